--- a/crates/route/benches/decision.rs
+++ b/crates/route/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Time per decision with 24 versions at 100, 1,000 and 10,000 endpoints.
+//! Measures the time per decision with 24 versions and 100, 1,000 and 10,000 endpoints.
 //!
 //! `cargo bench -p route --bench decision`
 
@@ -68,7 +68,7 @@
     let mut n = 0u64;
     let mut offer = |queue: &mut Queue| {
         n += 1;
-        let customer = &customers[usize::try_from(n % 40).expect("below forty")];
+        let customer = &customers[usize::try_from(n % 40).expect("less than 40")];
         let ticket = Ticket { customer, weight: 1, deadline: NOW.plus(1_000_000 + n % 977), run_ms: 1_000, draw: n };
         queue.offer(&ticket, NOW).is_ok()
     };
--- a/crates/route/benches/memory.rs
+++ b/crates/route/benches/memory.rs
@@ -1,4 +1,5 @@
-//! Memory per decision and of what an instance knows, with 24 versions.
+//! Measures the memory allocated per decision and the size of an instance's state,
+//! with 24 versions.
 //!
 //! `cargo bench -p route --bench memory`
 
@@ -12,25 +13,25 @@
 use route::endpoint::Target;
 use site::{SIZES, Site};
 
-/// Counts what is taken from the system's allocator.
+/// Allocator that counts the bytes and calls passed on to the system allocator.
 struct Counting;
 
 static TAKEN: AtomicU64 = AtomicU64::new(0);
 static CALLS: AtomicU64 = AtomicU64::new(0);
 static GIVEN: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: every call goes to the system's allocator unchanged.
+// SAFETY: every call is passed on to the system allocator unchanged.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         TAKEN.fetch_add(layout.size() as u64, Ordering::Relaxed);
         CALLS.fetch_add(1, Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
         GIVEN.fetch_add(layout.size() as u64, Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `dealloc`.
+        // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -38,7 +39,7 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-/// Decisions averaged over.
+/// Number of decisions to average over.
 const DECISIONS: u64 = 10_000;
 
 fn main() {
@@ -49,12 +50,12 @@
         let knowledge = held() - before;
         let (taken, calls) = (TAKEN.load(Ordering::Relaxed), CALLS.load(Ordering::Relaxed));
         for n in 0..DECISIONS {
-            let choice = site.choose_model(usize::try_from(n).expect("ten thousand"));
+            let choice = site.choose_model(usize::try_from(n).expect("at most 10,000"));
             let target = Target::Version(choice.start().version().clone());
             std::hint::black_box(site.choose_endpoint(&target, n));
         }
         println!(
-            "{endpoints} endpoints: {} bytes in {} allocations a decision, all freed; {knowledge} bytes known of {} endpoints, {} versions",
+            "{endpoints} endpoints: {} bytes in {} allocations per decision, all freed; {knowledge} bytes of state for {} endpoints, {} versions",
             (TAKEN.load(Ordering::Relaxed) - taken) / DECISIONS,
             (CALLS.load(Ordering::Relaxed) - calls) / DECISIONS,
             site.fleet.endpoints().count(),
--- a/crates/route/benches/site.rs
+++ b/crates/route/benches/site.rs
@@ -1,4 +1,4 @@
-//! A site of many endpoints, as one instance knows it.
+//! A site of many endpoints, as seen by one instance.
 
 use std::fmt::Write as _;
 
@@ -18,15 +18,15 @@
     request::{Class, Repeat},
 };
 
-/// Endpoints of a site.
+/// Numbers of endpoints to measure with.
 pub const SIZES: [usize; 3] = [100, 1_000, 10_000];
-/// The time.
+/// Current time.
 pub const NOW: Timestamp = Timestamp(1_000_000_000);
 const MODELS: usize = 6;
 const TIERS: usize = 4;
 const DOMAINS: usize = 8;
 
-/// One instance of a site with its knowledge.
+/// One instance of a site, with its state.
 pub struct Site {
     catalog: Catalog,
     pub fleet: Fleet,
@@ -39,7 +39,8 @@
 }
 
 impl Site {
-    /// A site of so many endpoints, each serving four of the versions.
+    /// Returns a site with `endpoints` endpoints, each serving the four versions of one
+    /// model.
     pub fn new(catalog: Catalog, endpoints: usize) -> Self {
         let models: Vec<Id> = (0..MODELS).map(|m| name(&format!("m{m}"))).collect();
         let version = |m: usize, t: usize| Version { model: models[m].clone(), number: name(&t.to_string()) };
@@ -51,7 +52,7 @@
         fleet.apply(&catalog, &peers);
         let mine: Vec<_> = fleet.endpoints().map(|(key, endpoint)| (key, endpoint.id.clone())).collect();
         for (n, (key, endpoint)) in mine.iter().enumerate() {
-            let running = u32::try_from(n % 13).expect("below thirteen");
+            let running = u32::try_from(n % 13).expect("less than 13");
             fleet.on(Event::Dispatched(*key), NOW);
             let report = Report { as_of: Timestamp(NOW.0 - 2_000), running, queued: 0, slots: 16, loaded: None };
             fleet.on(Event::Load { endpoint, report }, NOW);
@@ -84,17 +85,17 @@
             rater: Rater::Up,
             book: &self.book,
         };
-        model::choose(&inputs).expect("everything is allowed")
+        model::choose(&inputs).expect("the contract allows every model")
     }
 
     pub fn choose_endpoint(&self, target: &Target, n: u64) -> route::endpoint::Choice {
         let draw = hash::stable(&n.to_le_bytes());
         let wanted = Wanted { target, prefix: Some(draw % 500), avoid: &[], draw };
-        self.fleet.choose(&wanted, NOW).expect("there are endpoints")
+        self.fleet.choose(&wanted, NOW).expect("the site has endpoints")
     }
 }
 
-/// The catalog of a site of so many endpoints.
+/// Returns the catalog of a site with `endpoints` endpoints.
 pub fn catalog(endpoints: usize) -> Catalog {
     let mut text = String::new();
     for m in 0..MODELS {
@@ -136,7 +137,7 @@
     Peer { id: name(&format!("i{index}")), domain: name(&format!("d{}", index % DOMAINS)) }
 }
 
-/// A checked name.
+/// Parses a name.
 pub fn name<T: std::str::FromStr<Err = world::Invalid>>(text: &str) -> T {
-    text.parse().expect("the bench uses good names")
+    text.parse().expect("the name is valid")
 }
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -1,10 +1,9 @@
-//! Whose request runs next, and which are refused at once.
+//! Decides which request runs next and which are refused immediately.
 //!
-//! Each customer with waiting work gets the share of the runs that its weight
-//! gives it (start-time fair queueing); within one customer the earliest
-//! deadline goes first. A request that would not be done by its deadline is
-//! refused when it comes, with the time after which it would fit, and not
-//! after having waited for nothing.
+//! Each customer with waiting requests receives a share of the runs proportional to
+//! its weight (start-time fair queueing). Within one customer, the earliest deadline
+//! goes first. A request that would not finish by its deadline is refused on
+//! arrival, with the time after which it would fit, instead of waiting in vain.
 
 mod flow;
 mod rate;
@@ -18,78 +17,80 @@
 use rate::Rate;
 
 slotmap::new_key_type! {
-    /// A waiting request within a [`Queue`].
+    /// Key of a waiting request in a [`Queue`].
     pub struct Key;
 }
 
-/// Most requests that wait at an instance; a bound on memory.
+/// Maximum number of waiting requests in a queue, to bound memory.
 const MAX_WAITING: usize = 10_000;
-/// Customers remembered before those with nothing to wait or pay for go.
+/// Number of customers in a queue from which on idle ones are removed.
 const MAX_IDLE_FLOWS: usize = 256;
-/// Least time a refused caller is told to wait, in milliseconds.
+/// Minimum retry time of a refused request, in milliseconds.
 const MIN_RETRY_MS: Millis = 100;
-/// Retry times are spread over this share, so that those refused together do
-/// not come back together.
+/// Divisor of a retry time; up to the quotient is added to it, so that callers
+/// refused at the same time don't retry at the same time.
 const RETRY_SPREAD: u64 = 4;
-/// Percent of a run's expected time that a deadline must leave under backlog.
+/// Percentage of the expected duration of a run that its deadline must leave under
+/// backlog.
 const SPARE_PERCENT: u64 = 160;
-/// Priority of a run with time to spare; 0 is the most urgent.
+/// Lowest priority by slack; 0 is the most urgent.
 const LEAST_URGENT: u8 = 4;
-/// Past use below which a customer counts as idle, in milliseconds.
+/// Recent usage up to which a customer counts as idle, in milliseconds.
 const NO_USE_MS: f64 = 1.0;
-/// Use beyond which a customer's runs go behind the others', in its shares.
+/// Multiple of its fair share beyond which a customer's runs get a lower priority
+/// than those of others.
 const OVER_SHARE: f64 = 1.25;
 
-/// A request that asks to run.
+/// A request that asks for admission.
 #[derive(Debug, Clone, Copy)]
 pub struct Ticket<'a> {
-    /// Whose.
+    /// Customer that sent the request.
     pub customer: &'a Customer,
-    /// The contract's weight.
+    /// Weight from the customer's contract.
     pub weight: u32,
-    /// When it must be done.
+    /// Deadline of the answer.
     pub deadline: Timestamp,
-    /// Expected time of its run, in milliseconds.
+    /// Expected duration of its run, in milliseconds.
     pub run_ms: Millis,
-    /// Hash of the request; spreads retry times.
+    /// Hash of the request; used to spread retry times.
     pub draw: u64,
 }
 
-/// A request whose turn has come.
+/// A request that may run now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admitted {
-    /// Its place, now gone.
+    /// Key that it had in the queue; no longer valid.
     pub key: Key,
-    /// Whose.
+    /// Customer that sent the request.
     pub customer: Customer,
-    /// For the engine: 0 highest to 9.
+    /// Priority for the engine, from 0 (highest) to 9.
     pub priority: u8,
-    /// Time it waited, in milliseconds.
+    /// Time it spent in the queue, in milliseconds.
     pub waited_ms: Millis,
-    /// What its run was expected to take, in milliseconds.
+    /// Expected duration of its run, in milliseconds.
     pub run_ms: Millis,
 }
 
-/// Why a request may not wait. It has not run.
+/// Refusal of a request. The request has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// What stands against it.
+    /// Cause of the refusal.
     pub cause: Cause,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     pub retry_after_ms: Millis,
 }
 
-/// What stands against a request.
+/// Cause of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// It would not be done by its deadline.
+    /// The request would not finish by its deadline.
     Deadline {
-        /// Expected wait in the queue.
+        /// Expected time in the queue, in milliseconds.
         wait_ms: Millis,
-        /// Time left.
+        /// Time left until the deadline, in milliseconds.
         left_ms: Millis,
     },
-    /// Too many wait.
+    /// Too many requests are waiting.
     Full,
 }
 
@@ -108,7 +109,7 @@
 
 impl std::error::Error for Refusal {}
 
-/// One waiting request.
+/// A waiting request.
 #[derive(Debug)]
 struct Waiting {
     customer: Customer,
@@ -118,7 +119,7 @@
     draw: u64,
 }
 
-/// Requests that wait for a run, and the count of those that run.
+/// Requests that wait to run, and the number of running ones.
 #[derive(Debug)]
 pub struct Queue {
     limit: u32,
@@ -130,7 +131,7 @@
 }
 
 impl Queue {
-    /// An empty queue before `limit` runs at a time.
+    /// Returns an empty queue that lets at most `limit` requests run at a time.
     #[must_use]
     pub fn new(limit: u32) -> Self {
         Self {
@@ -143,28 +144,28 @@
         }
     }
 
-    /// Changes how many may run at a time.
+    /// Changes the maximum number of requests that run at a time.
     pub fn set_limit(&mut self, limit: u32) {
         self.limit = limit.max(1);
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Takes a request in, or refuses it at once.
+    /// Adds a request to the queue, or refuses it immediately.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`]; the request has not run and does not wait.
+    /// Returns a [`Refusal`]; the request has not run and is not in the queue.
     pub fn offer(&mut self, ticket: &Ticket<'_>, now: Timestamp) -> Result<Key, Refusal> {
         let left_ms = ticket.deadline.since(now);
         let wait_ms = self.wait(ticket);
@@ -192,10 +193,10 @@
         Ok(key)
     }
 
-    /// The next request to run, when one may.
+    /// Removes and returns the next request to run, if one may run now.
     ///
-    /// Each is to be ended with [`Queue::finished`]. One that would be late is
-    /// never given out; it waits for [`Queue::shed`].
+    /// The caller must report the end of each run with [`Queue::finished`]. A request
+    /// that would finish late is never returned; [`Queue::shed`] removes it.
     pub fn next(&mut self, now: Timestamp) -> Option<Admitted> {
         if self.running >= self.limit {
             return None;
@@ -217,13 +218,14 @@
         Some(Admitted { key, customer, priority, waited_ms, run_ms: waiting.run_ms })
     }
 
-    /// Ends a run that [`Queue::next`] gave out.
+    /// Records the end of a run that [`Queue::next`] returned.
     pub fn finished(&mut self, now: Timestamp) {
         self.running = self.running.saturating_sub(1);
         self.rate.finished(!self.waiting.is_empty(), now);
     }
 
-    /// Takes a waiting request out, when its caller has gone.
+    /// Removes a waiting request whose caller has disconnected. Returns false if it is
+    /// no longer in the queue.
     pub fn cancel(&mut self, key: Key) -> bool {
         let Some(waiting) = self.waiting.remove(key) else { return false };
         if let Some(flow) = self.flows.get_mut(&waiting.customer) {
@@ -232,10 +234,10 @@
         true
     }
 
-    /// Takes out every request that can no longer meet its deadline.
+    /// Removes and returns all requests that can no longer meet their deadline.
     ///
-    /// An earlier deadline may have come in before them, or runs may have
-    /// become slower; they are told now and not at their deadline.
+    /// A request with an earlier deadline may have overtaken them, or runs may have
+    /// become slower. They are refused now instead of at their deadline.
     pub fn shed(&mut self, now: Timestamp) -> Vec<(Key, Refusal)> {
         let late = |w: &Waiting| {
             let left_ms = w.deadline.since(now);
@@ -249,10 +251,12 @@
         late
     }
 
-    /// Expected wait of a request that came now, in milliseconds.
+    /// Returns the expected time in the queue of a request that arrives now, in
+    /// milliseconds.
     ///
-    /// The runs ahead of it are its own customer's with earlier deadlines, at
-    /// the rate of its share; never more than all that waits.
+    /// The runs ahead of it are those of its own customer with earlier deadlines,
+    /// multiplied by the inverse of the customer's share, and at most all waiting
+    /// requests.
     fn wait(&self, ticket: &Ticket<'_>) -> Millis {
         if self.running < self.limit && self.waiting.is_empty() {
             return 0;
@@ -266,11 +270,12 @@
         self.rate.time(turns).unwrap_or_else(|| turns * ticket.run_ms / u64::from(self.limit))
     }
 
-    /// Time from the turn to the answer that a deadline must leave.
+    /// Returns the time between the start of a run and the deadline that admission
+    /// requires, in milliseconds.
     ///
-    /// What the caller expects is the time of a run alone. Under backlog the
-    /// engines are full and runs differ; let in by the expected time, half of
-    /// the last ones would be run and come too late to be of use.
+    /// The expected duration is that of a run on an idle engine. Under backlog the
+    /// engines are full and durations vary. If the expected duration sufficed for
+    /// admission, half of the last admitted requests would run and finish too late.
     fn run_ms(&self, expected_ms: Millis) -> Millis {
         if self.waiting.is_empty() && self.running < self.limit {
             return expected_ms;
@@ -278,12 +283,12 @@
         expected_ms * SPARE_PERCENT / 100
     }
 
-    /// Priority for the engine: by slack, and behind everybody's for who has
-    /// had more than its share of late.
+    /// Returns the priority for the engine: by slack, and lower than all others for
+    /// customers that recently used more than their share.
     ///
-    /// Engines rank among all instances' runs. Without the second part a flood
-    /// that is over its share here would stand in an engine's queue before a
-    /// small customer's single run.
+    /// Engines order the runs of all instances by priority. If it depended on slack
+    /// only, a flood of runs of a customer over its share would precede a single run
+    /// of a small customer in the queue of an engine.
     fn priority(&self, customer: &Customer, slack_ms: Millis, run_ms: Millis, now: Timestamp) -> u8 {
         let urgency = u8::try_from(slack_ms / run_ms.max(1)).unwrap_or(u8::MAX).min(LEAST_URGENT);
         let used: f64 = self.flows.values().map(|flow| flow.used(now)).sum();
--- a/crates/route/src/admission/flow.rs
+++ b/crates/route/src/admission/flow.rs
@@ -1,4 +1,4 @@
-//! One customer's waiting requests.
+//! Waiting requests and recent usage of one customer.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use super::{Key, Ticket};
 
-/// Time in which past use fades to about a third.
+/// Time in which past usage decays to 1/e, about a third, in milliseconds.
 const USE_MS: f64 = 5_000.0;
 
 #[derive(Debug, Default)]
@@ -21,15 +21,16 @@
 impl Flow {
     pub fn push(&mut self, key: Key, ticket: &Ticket<'_>, virtual_time: f64) {
         self.weight = ticket.weight.max(1);
-        // A customer that was idle starts at the present: it neither saves up
-        // turns for a later burst nor pays for turns nobody else wanted.
+        // A customer that was idle starts at the current virtual time: it neither
+        // accumulates turns for a later burst nor pays for turns that no other
+        // customer wanted.
         if self.by_deadline.is_empty() {
             self.start = self.start.max(virtual_time);
         }
         self.by_deadline.insert((ticket.deadline, key));
     }
 
-    /// The request of the earliest deadline that `fits`.
+    /// Returns the request with the earliest deadline for which `fits` returns true.
     pub fn first(&self, fits: impl Fn(&Key) -> bool) -> Option<Key> {
         self.by_deadline.iter().map(|(_, key)| *key).find(fits)
     }
@@ -38,7 +39,8 @@
         self.by_deadline.remove(&(deadline, key));
     }
 
-    /// Moves the flow's next turn on by the work just taken.
+    /// Advances the virtual time of the next turn by the duration of a run that starts
+    /// now, and adds it to the usage.
     #[expect(clippy::cast_precision_loss, reason = "run times are far below 2^52 milliseconds")]
     pub fn charge(&mut self, run_ms: Millis, from: f64, now: Timestamp) {
         let run_ms = run_ms.max(1) as f64;
@@ -47,13 +49,13 @@
         self.used_at = now;
     }
 
-    /// Work given to it of late, in milliseconds; fades.
+    /// Returns the recent usage in milliseconds of run time, decayed to `now`.
     #[expect(clippy::cast_precision_loss, reason = "times are far below 2^52 milliseconds")]
     pub fn used(&self, now: Timestamp) -> f64 {
         self.used_ms * (-(now.since(self.used_at) as f64) / USE_MS).exp()
     }
 
-    /// Virtual time of its next turn.
+    /// Returns the virtual time of the next turn.
     pub fn start(&self) -> f64 {
         self.start
     }
@@ -66,7 +68,7 @@
         self.by_deadline.is_empty()
     }
 
-    /// Requests that go before one with this deadline.
+    /// Returns the number of requests ahead of one with this deadline.
     pub fn ahead(&self, deadline: Timestamp) -> u64 {
         self.by_deadline.iter().take_while(|(due, _)| *due <= deadline).count() as u64
     }
--- a/crates/route/src/admission/rate.rs
+++ b/crates/route/src/admission/rate.rs
@@ -1,16 +1,17 @@
-//! How fast runs end while others wait.
+//! Measures the rate at which runs finish under backlog.
 
 use world::{Millis, Timestamp};
 
-/// Share of the newest interval in the mean.
+/// Weight of the latest interval in the moving average.
 const STEP: f64 = 0.02;
-/// Ends before the mean is believed.
+/// Minimum number of intervals before the average is used.
 const LEAST: u32 = 20;
-/// Time after which what was measured is too old.
+/// Time without a finished run after which the average is discarded.
 const STALE_MS: Millis = 10_000;
 
-/// Mean time between the ends of runs, measured under backlog only: else it
-/// would tell how often requests come, not how fast they are done.
+/// Moving average of the time between the ends of runs, under backlog only.
+/// Without backlog it would reflect the arrival rate of requests instead of the
+/// rate at which they finish.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Rate {
     interval_ms: f64,
@@ -19,7 +20,7 @@
 }
 
 impl Rate {
-    /// Takes in the end of a run.
+    /// Records the end of a run.
     pub fn finished(&mut self, backlog: bool, now: Timestamp) {
         let last = self.last.replace(now);
         if !backlog {
@@ -37,7 +38,7 @@
         self.interval_ms += STEP.max(1.0 / f64::from(self.ends)) * (interval - self.interval_ms);
     }
 
-    /// Time in which so many runs end; nothing while that is not known.
+    /// Returns the time in which `runs` runs finish, or `None` if the rate is unknown.
     pub fn time(&self, runs: u64) -> Option<Millis> {
         if self.ends < LEAST || self.last.is_none() {
             return None;
--- a/crates/route/src/guard.rs
+++ b/crates/route/src/guard.rs
@@ -1,27 +1,27 @@
 //! Sequential test of a version against its predecessor.
 //!
 //! Three signals are counted in two arms: errors, failed ratings, and answers
-//! slower than a high quantile of the predecessor. Counts are sums, so that
-//! what several instances saw adds up.
+//! slower than a high quantile of the predecessor. Counts are sums, so the
+//! observations of several instances can be added.
 //!
-//! Sessions are dealt to the arms by hash, so while the new version is no
-//! worse, a session that shows something bad is one of the new version's with
-//! a known probability, whatever the rate of bad things is, how it moves with
-//! the time of day, or how it differs between customers. The test looks only
-//! at that: of the bad sessions, how many are the new version's. Each signal
-//! has an e-process, the likelihood of the deal mixed over several factors by
-//! which the version may be worse, against the likelihood when it is not. It
-//! is a nonnegative supermartingale that starts at 1, so by Ville's inequality
-//! it ever reaches `1 / alpha` with probability `alpha` at most, however often
-//! it is looked at. Steps deal at other odds, so their likelihoods multiply.
-//! `alpha` is shared out over signals and over three tests:
+//! Sessions are assigned to the arms by hash. While the new version is no worse, a
+//! session with a bad observation therefore belongs to the new version with a known
+//! probability, regardless of the rate of bad observations, its variation with the
+//! time of day, and its differences between customers. The test uses only this
+//! number: how many of the bad sessions belong to the new version. Each signal has
+//! an e-process: the likelihood of the observed assignment, mixed over several
+//! factors by which the version may be worse, divided by the likelihood if it is
+//! not worse. It is a nonnegative supermartingale that starts at 1, so by Ville's
+//! inequality it ever reaches `1 / alpha` with probability at most `alpha`, however
+//! often it is evaluated. Steps have different assignment probabilities, so their
+//! likelihoods multiply. `alpha` is divided among the signals and three tests:
 //!
 //! - the roll-out as a whole;
-//! - windows of a step: a version that turns bad late would else be hidden by
-//!   its good record for about as long again;
-//! - a step that exposes nearly everybody, where nobody is left to deal to the
-//!   other arm: there the new version is compared with the step before, by a
-//!   test of two rates that puts up with a margin, since rates move with time.
+//! - windows of a step: otherwise, the good record of a version that becomes bad
+//!   late would hide this for about as long again;
+//! - a step that exposes nearly all sessions and leaves no control arm: there the
+//!   new version is compared with the previous step, by a test of two rates that
+//!   tolerates a margin, since rates change over time.
 
 use std::{fmt, ops::AddAssign};
 
@@ -30,16 +30,18 @@
 
 use crate::rollout;
 
-/// How strict the test is.
+/// Strictness of the test.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Bound on the chance that one instance stops a clean roll-out.
+    /// Upper bound of the probability that one instance stops a roll-out of a version
+    /// that is no worse.
     pub alpha: f64,
-    /// Fewest answers of the new version before a step may end.
+    /// Minimum number of answers of the new version before a step may end.
     pub min_answers: u64,
-    /// Fewest rated ones of them; 0 where no service rates answers.
+    /// Minimum number of rated answers of the new version before a step may end; 0 if
+    /// there is no rating service.
     pub min_rated: u64,
-    /// Factor of a signal's rate that is put up with.
+    /// Tolerated factor of each signal's rate.
     pub margin: Margin,
 }
 
@@ -49,14 +51,14 @@
     }
 }
 
-/// Factor of each signal's rate that is put up with, from 1 on.
+/// Tolerated factor of each signal's rate relative to the predecessor, at least 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Margin {
-    /// Of errors.
+    /// Factor for errors.
     pub errors: f64,
-    /// Of failed ratings.
+    /// Factor for failed ratings.
     pub ratings: f64,
-    /// Of slow answers.
+    /// Factor for slow answers.
     pub latency: f64,
 }
 
@@ -66,7 +68,7 @@
     }
 }
 
-/// What is compared.
+/// Kind of observation compared between the arms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Signal {
@@ -74,12 +76,12 @@
     Errors,
     /// Answers that failed their rating.
     Ratings,
-    /// Answers slower than the predecessor's high quantile.
+    /// Answers slower than a high quantile of the predecessor.
     Latency,
 }
 
 impl Signal {
-    /// Every signal.
+    /// All signals.
     pub const ALL: [Self; 3] = [Self::Errors, Self::Ratings, Self::Latency];
 }
 
@@ -93,17 +95,17 @@
     }
 }
 
-/// Observations of one signal in one arm.
+/// Number of observations of one signal in one arm.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// All of them.
+    /// Number of all observations.
     pub n: u64,
-    /// The bad ones of them.
+    /// Number of bad observations.
     pub bad: u64,
 }
 
 impl Count {
-    /// Counts one observation.
+    /// Adds one observation.
     pub fn add(&mut self, bad: bool) {
         self.n += 1;
         self.bad += u64::from(bad);
@@ -123,19 +125,19 @@
     }
 }
 
-/// One arm's observations.
+/// Observations of one arm.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Requests, and those that failed.
+    /// Requests; bad ones failed.
     pub errors: Count,
-    /// Ratings, and those that failed.
+    /// Ratings; bad ones failed.
     pub ratings: Count,
-    /// Timed answers, and the slow ones.
+    /// Timed answers; bad ones were slow.
     pub latency: Count,
 }
 
 impl Tally {
-    /// The counts of one signal.
+    /// Returns the counts of one signal.
     #[must_use]
     pub fn of(&self, signal: Signal) -> Count {
         match signal {
@@ -147,7 +149,7 @@
 }
 
 impl Tally {
-    /// The counts of one signal, to be added to.
+    /// Returns the counts of one signal for updating.
     pub fn of_mut(&mut self, signal: Signal) -> &mut Count {
         match signal {
             Signal::Errors => &mut self.errors,
@@ -165,12 +167,12 @@
     }
 }
 
-/// Both arms' observations at one step; sums over instances are evidence too.
+/// Observations of both arms at one step, of one instance or summed over several.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The new version's.
+    /// Observations of the new version.
     pub new: Tally,
-    /// The predecessor's.
+    /// Observations of the predecessor.
     pub control: Tally,
 }
 
@@ -181,10 +183,10 @@
     }
 }
 
-/// What the evidence allows.
+/// Result of the test.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// Stay at the step.
+    /// The step continues.
     Continue,
     /// The step may end.
     Advance,
@@ -192,16 +194,16 @@
     Stop(Reason),
 }
 
-/// Why a version is held to be worse.
+/// Reason why a version is considered worse.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Reason {
-    /// What told.
+    /// Signal that stopped the version.
     pub signal: Signal,
-    /// The new version's counts.
+    /// Counts of the new version.
     pub new: Count,
-    /// The predecessor's counts.
+    /// Counts of the predecessor.
     pub control: Count,
-    /// Natural logarithm of the e-value reached.
+    /// Natural logarithm of the e-value that was reached.
     pub ln_e: f64,
 }
 
@@ -212,21 +214,21 @@
     }
 }
 
-/// Natural logarithm of the e-value above which a step does not end: the
-/// evidence has to lean towards "no worse" before more people meet a version.
+/// Natural logarithm of the e-value above which a step doesn't end. The evidence
+/// must favor "no worse" before a version is exposed to more sessions.
 const SUSPICION: f64 = 0.0;
 
-/// The latest part of a step.
+/// Latest window of a step.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Window {
-    /// Which part, from 0.
+    /// Index of the window within the step, from 0.
     pub number: u32,
-    /// What was seen in it.
+    /// Observations in the window.
     pub evidence: Evidence,
 }
 
-/// Judges a roll-out by the evidence of each of its steps up to the present
-/// one, the latest window of which comes besides.
+/// Tests a roll-out by the evidence of each step up to the current one, and of the
+/// latest window of the current step.
 #[must_use]
 pub fn judge(policy: &Policy, rollout: &Rollout, steps: &[Evidence], window: &Window) -> Verdict {
     let mut suspicious = false;
@@ -236,8 +238,8 @@
             if ln_e >= threshold(policy, test, signal) {
                 return Verdict::Stop(reason(steps, signal, ln_e));
             }
-            // Where nobody is dealt any more the whole's evidence stands still
-            // and could hold a step for ever.
+            // At a step without control sessions the evidence of `Test::Whole` no
+            // longer changes and could block the step forever.
             suspicious |= test == Test::Whole && ln_e > SUSPICION && !thin;
         }
     }
@@ -246,14 +248,14 @@
     if enough && !suspicious { Verdict::Advance } else { Verdict::Continue }
 }
 
-/// What a signal is tested by, each with its own part of `alpha`.
+/// Tests of a signal; each has its own part of `alpha`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Test {
-    /// The deal over all steps.
+    /// Assignment of bad sessions to the arms over all steps.
     Whole,
-    /// The deal in one window.
+    /// Assignment of bad sessions to the arms in the window with this index.
     Window(u32),
-    /// Rates at a step without a control, against the step before.
+    /// Rate at a step without control sessions, compared with the previous step.
     Rates,
 }
 
@@ -300,7 +302,7 @@
     }
 }
 
-/// Natural logarithm of the e-value that stops a version; the parts of
+/// Returns the natural logarithm of the e-value that stops a version. The parts of
 /// `alpha` add up to one over signals and over tests.
 fn threshold(policy: &Policy, test: Test, signal: Signal) -> f64 {
     let of_signal = match signal {
@@ -321,12 +323,12 @@
     count as f64
 }
 
-/// Factors by which a worse version may exceed the margin, each as likely.
+/// Factors by which a worse version may exceed the margin; all equally likely.
 const FACTORS: [f64; 3] = [1.5, 4.0, 15.0];
 
-/// Natural logarithm of the e-value that a session of the new arm is more than
-/// `margin` times as likely to be bad as one of the control arm, over deals
-/// each with its ratio of control sessions to new ones.
+/// Returns the natural logarithm of the e-value for the hypothesis that a session of
+/// the new arm is more than `margin` times as likely to be bad as one of the control
+/// arm. Each item is a ratio of control sessions to new ones with its evidence.
 fn ln_e_deal<'a>(deals: impl Iterator<Item = (f64, &'a Evidence)>, signal: Signal, margin: f64) -> f64 {
     let mut logs = [0.0; FACTORS.len()];
     for (ratio, evidence) in deals {
@@ -334,7 +336,7 @@
         let (_, bad_control) = parts(evidence.control.of(signal));
         let same = margin / (margin + ratio);
         for (log, factor) in logs.iter_mut().zip(FACTORS) {
-            // Of bad sessions, the new arm's part when it is this much worse.
+            // Share of the new arm among bad sessions if it is worse by `factor`.
             let worse = factor * margin / (factor * margin + ratio);
             *log += bad_new * (worse / same).ln() + bad_control * ((1.0 - worse) / (1.0 - same)).ln();
         }
@@ -343,12 +345,13 @@
     most + (logs.iter().map(|log| (log - most).exp()).sum::<f64>() / to_f64(FACTORS.len())).ln()
 }
 
-/// Rise of a rate against the step before that is put up with.
+/// Tolerated increase of a rate over that of the previous step.
 const RATE_MARGIN: f64 = 0.05;
 
-/// Natural logarithm of the e-value that the new arm's rate exceeds the
-/// control's by more than `margin`: the likelihood of both counts, mixed over
-/// all rates, against the best that rates within the margin can reach.
+/// Returns the natural logarithm of the e-value for the hypothesis that the rate of
+/// the new arm exceeds that of the control by more than `margin`: the likelihood of
+/// both counts, mixed over all rates, divided by the maximum likelihood of rates
+/// within the margin.
 fn ln_e_rates(new: Count, control: Count, margin: f64) -> f64 {
     if new.n == 0 || control.n == 0 {
         return 0.0;
@@ -356,36 +359,36 @@
     ln_mixture(new) + ln_mixture(control) - ln_null(new, control, margin)
 }
 
-/// Weight of one pseudo-count of the mixing prior, Jeffreys' choice.
+/// Pseudo-count of good and of bad observations in the Jeffreys prior.
 const PRIOR: f64 = 0.5;
 
-/// Likelihood of counts, mixed over all rates.
+/// Returns the log-likelihood of counts, mixed over all rates.
 fn ln_mixture(count: Count) -> f64 {
     let (good, bad) = parts(count);
     ln_beta(PRIOR + bad, PRIOR + good) - ln_beta(PRIOR, PRIOR)
 }
 
-/// Best likelihood of both arms' counts when the new rate is at most the
-/// control's plus `margin`.
+/// Returns the maximum log-likelihood of the counts of both arms under the null
+/// hypothesis that the new rate is at most the control rate plus `margin`.
 fn ln_null(new: Count, control: Count, margin: f64) -> f64 {
     let free = (rate(new), rate(control));
     if free.0 <= free.1 + margin {
         return ln_likelihood(new, free.0) + ln_likelihood(control, free.1);
     }
-    // The likelihood is concave, so its best lies on the border where the new
-    // rate is just the margin above.
+    // The log-likelihood is concave, so its maximum lies on the boundary where
+    // the new rate equals the control rate plus the margin.
     let at = |p: f64| ln_likelihood(new, p + margin) + ln_likelihood(control, p);
     let (mut low, mut high) = (free.1, free.0 - margin);
     for _ in 0..SEARCH_ROUNDS {
         let third = (high - low) / 3.0;
         if at(low + third) < at(high - third) { low += third } else { high -= third }
     }
-    // The border's best lies between the two found; taking the better of them
-    // may miss it by less than rounding does.
+    // The maximum on the boundary lies between `low` and `high`, which are so
+    // close that the error is below rounding.
     at(low).max(at(high)).max(at(f64::midpoint(low, high)))
 }
 
-/// Rounds of ternary search; each keeps two thirds of the interval.
+/// Rounds of ternary search; each round keeps two thirds of the interval.
 const SEARCH_ROUNDS: usize = 60;
 
 fn ln_likelihood(count: Count, rate: f64) -> f64 {
@@ -393,7 +396,7 @@
     times_ln(bad, rate) + times_ln(good, 1.0 - rate)
 }
 
-/// `n * ln(p)`, with nothing times anything as nothing.
+/// Returns `n * ln(p)`, or 0 if `n` is 0.
 fn times_ln(n: f64, p: f64) -> f64 {
     if n == 0.0 { 0.0 } else { n * p.ln() }
 }
@@ -403,7 +406,7 @@
     bad / (good + bad)
 }
 
-/// Good and bad observations.
+/// Returns the numbers of good and bad observations.
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^53")]
 fn parts(count: Count) -> (f64, f64) {
     let bad = count.bad.min(count.n);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions, pure: no I/O, no clock, no global random source.
+//! Routing decisions as pure functions: no I/O, no clock, no global random source.
 //!
-//! Every function takes what it needs, time and random source included, and
-//! returns the decision with its reason, so that `explain` can print why.
+//! Every function takes all its inputs as arguments, including the current time
+//! and the random source, and returns the decision together with its reason,
+//! which `explain` prints.
 
 pub mod address;
 pub mod admission;
--- a/crates/route/src/model.rs
+++ b/crates/route/src/model.rs
@@ -1,14 +1,16 @@
-//! Which version a request starts on, and which it escalates to.
+//! Chooses the version that a request starts on and the versions it may escalate to.
 //!
-//! [`choose`] takes the cheapest ladder of versions whose expected quality
-//! meets the customer's target, inside the deadline and the price ceiling.
-//! What the target leaves open is settled by the contract's objective.
+//! A ladder is a sequence of versions of rising tiers: the next one runs only if
+//! the previous answer fails its rating. [`choose`] selects the cheapest ladder
+//! whose expected quality meets the customer's target within the deadline and the
+//! price ceiling. The contract's objective decides between ladders that meet the
+//! target.
 //!
-//! The limits of contract, configuration and session are kept by type: a
-//! [`Choice`] holds [`Permit`]s, and only [`Permits::resolve`] makes those,
-//! from a catalog, a contract and a session. [`Permit::renew`] asks a later
-//! catalog again before each dispatch, so that a version withdrawn between
-//! two steps of a ladder gets no work.
+//! Types enforce the limits of contract, configuration and session: a [`Choice`]
+//! holds [`Permit`]s, and only [`Permits::resolve`] issues those, from a catalog,
+//! a contract and a session. [`Permit::renew`] checks a permit against a later
+//! catalog before each dispatch, so that a version withdrawn between two steps of
+//! a ladder receives no work.
 
 mod ladder;
 mod permit;
@@ -31,51 +33,52 @@
 pub use permit::{Permit, Permits};
 pub use reason::{Reason, Refusal, Rule, Step};
 
-/// Whether a rating can be had while the caller waits.
+/// Availability of the rating service while the caller waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rater {
-    /// Answers at once.
+    /// Rates answers without delay.
     Up,
-    /// Slow or down: no cascade can be decided.
+    /// Slow or down: an answer cannot be rated in time to decide on escalation.
     Down,
 }
 
-/// All that a choice depends on.
+/// Inputs of [`choose`].
 #[derive(Debug, Clone, Copy)]
 pub struct Inputs<'a> {
-    /// The configuration in force.
+    /// Catalog of the configuration in force.
     pub catalog: &'a Catalog,
-    /// Whose request.
+    /// Customer that sent the request.
     pub customer: &'a Customer,
-    /// The model it names.
+    /// Model that the request names.
     pub model: &'a model::Id,
-    /// Its class.
+    /// Class of the request.
     pub class: &'a Class,
-    /// The session it belongs to.
+    /// Session that the request belongs to, if any.
     pub session: Option<&'a Session>,
-    /// Its session or else itself, as roll-outs count it; alike at every instance.
+    /// Unit of exposure to roll-outs: the session, or the request if it has none.
+    /// Identical at every instance.
     pub unit: Unit,
-    /// Versions stopped by evidence that the configuration does not show yet.
+    /// Versions stopped by evidence that the configuration does not reflect yet.
     pub stops: &'a Stops,
-    /// Whether it may run twice.
+    /// Whether the request may run twice.
     pub repeat: Repeat,
-    /// Length of the prompt in tokens.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens the caller takes.
+    /// Maximum number of output tokens that the caller accepts.
     pub max_tokens: Option<u32>,
-    /// The time.
+    /// Current time.
     pub now: Timestamp,
-    /// Time left until its deadline.
+    /// Time left until the deadline of the request, in milliseconds.
     pub left_ms: Millis,
-    /// Most it may cost, all steps together.
+    /// Maximum total cost of all steps.
     pub ceiling: Amount,
-    /// Whether the rating service answers.
+    /// Availability of the rating service.
     pub rater: Rater,
-    /// What has been learned.
+    /// Learned quality and speed of the versions.
     pub book: &'a Book,
 }
 
-/// The versions a request may run on, in the order it tries them.
+/// Versions that a request may run on, in the order in which they are tried.
 #[derive(Debug, Clone)]
 pub struct Choice {
     steps: Vec<Permit>,
@@ -84,11 +87,11 @@
     reason: Reason,
 }
 
-/// Chooses start and escalation for a request.
+/// Chooses the start version and the escalation steps of a request.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] when nothing may run; nothing has run then.
+/// Returns a [`Refusal`] if no version may run. Nothing has run in that case.
 pub fn choose(inputs: &Inputs<'_>) -> Result<Choice, Refusal> {
     let contract = inputs.catalog.contract(inputs.customer).ok_or(Refusal::NoContract)?;
     let permits =
@@ -111,8 +114,8 @@
     ) -> Self {
         let Ladder { ref rungs, .. } = decided.ladder;
         let steps: Vec<_> = rungs.iter().map(|rung| permits.as_slice()[usize::from(*rung)].clone()).collect();
-        // A step that the ladder does without is not left yet: nothing takes its
-        // place before it is needed again.
+        // A pin of a tier that the ladder doesn't use is not reported as moved:
+        // no other version has replaced it yet.
         let is_replaced = |pin: &&Pin| steps.iter().any(|step| step.tier() == pin.tier);
         let moved = permits.left().iter().filter(is_replaced).map(|pin| pin.version.clone()).collect();
         let reason = Reason {
@@ -133,41 +136,40 @@
         Self { steps, expected, ceiling: decided.ladder.ceiling, reason }
     }
 
-    /// The version to start on.
+    /// Returns the permit of the version to start on.
     #[must_use]
     pub fn start(&self) -> &Permit {
         &self.steps[0]
     }
 
-    /// Every step, the start included; never empty, and one long for a request
-    /// that must not run twice.
+    /// Returns all steps including the start. Never empty; a request that must
+    /// not run twice has exactly one step.
     #[must_use]
     pub fn steps(&self) -> &[Permit] {
         &self.steps
     }
 
-    /// Most that all steps together can cost: the amount to reserve.
+    /// Returns the maximum total cost of all steps, which is the amount to reserve.
     #[must_use]
     pub fn ceiling(&self) -> Amount {
         self.ceiling
     }
 
-    /// The rate at which the request is expected to pass once it has come to a
-    /// step, with caution: what [`Book::open`] and [`Book::escalated`] are to
-    /// be told. Zero past the last step.
+    /// Returns the expected pass rate of the request once it has reached `step`,
+    /// for [`Book::open`] and [`Book::escalated`]. Zero past the last step.
     #[must_use]
     pub fn expected(&self, step: usize) -> f64 {
         self.expected.get(step).copied().unwrap_or_default()
     }
 
-    /// Why.
+    /// Returns the reason for the choice.
     #[must_use]
     pub fn reason(&self) -> &Reason {
         &self.reason
     }
 
-    /// The pins a session has after this choice: its old ones where they still
-    /// hold, and the versions of the steps.
+    /// Returns the pins of a session after this choice: the versions of the steps,
+    /// and the previous pins of all other tiers and models.
     #[must_use]
     pub fn pins(&self, session: Option<&Session>) -> Vec<Pin> {
         let mut pins: Vec<Pin> = session.map(|s| s.pins.clone()).unwrap_or_default();
--- a/crates/route/src/model/ladder.rs
+++ b/crates/route/src/model/ladder.rs
@@ -1,11 +1,12 @@
-//! Ladders of versions, weighed against each other.
+//! Enumerates ladders of versions and selects one.
 //!
-//! A ladder is one to three versions of rising tiers: the next runs when the
-//! answer before has failed its rating. Each has an expected quality, cost
-//! and time. Those on the lower convex hull of cost over quality are the only
-//! ones worth running, alone or in turns; [`Market::decide`] walks that hull
-//! up to the required quality and uses the account to take turns between the
-//! hull's two points around it.
+//! A ladder is one to three versions of rising tiers: the next one runs if the
+//! previous answer has failed its rating. Each ladder has an expected quality,
+//! cost and time. Only ladders on the lower convex hull of cost over quality are
+//! worth running, alone or alternating: any other is more expensive than a mix of
+//! two hull points of the same quality. [`Market::decide`] walks the hull up to
+//! the required quality and alternates between the two hull points around it
+//! depending on the credit of the account.
 
 use world::{Millis, contract::Objective, money::Amount, request::Repeat};
 
@@ -15,38 +16,42 @@
 };
 use crate::quality::{Account, Cell, Estimate, Guess, Profile, Speed};
 
-/// Longest ladder.
+/// Maximum number of steps of a ladder.
 const MAX_STEPS: usize = 3;
-/// Tiers weighed; a model with more has its cheapest and dearest weighed.
+/// Maximum number of tiers considered. Of a model with more tiers, only the
+/// cheapest and the most expensive ones are considered, half of each.
 const MAX_TIERS: usize = 8;
 /// Time to rate an answer while the caller waits, in milliseconds.
 const RATING_MS: f64 = 100.0;
-/// Share of what an earlier tier passes that a later one passes too.
+/// Share of the requests passed by the first tier that a later tier passes too.
 const NESTED: f64 = 0.97;
-/// Pass rate of the first tier while nobody has rated it.
+/// Assumed pass rate of the first tier before any rating.
 const BLANK_FIRST: f64 = 0.5;
-/// Pass rate of the last tier while nobody has rated it.
+/// Assumed pass rate of the last tier before any rating.
 const BLANK_LAST: f64 = 0.9;
-/// Standard deviations taken off an estimated rate.
+/// Standard deviations subtracted from an estimated pass rate.
 const CAUTION: f64 = 0.5;
-/// The same where contact with unproven versions weighs most.
+/// Standard deviations subtracted from an estimated pass rate under the
+/// objective exposure.
 const EXPOSURE_CAUTION: f64 = 2.0;
-/// Standard deviations taken off the rate an answer is entered with.
+/// Standard deviations subtracted from the pass rate that a pending answer is
+/// recorded with in the account.
 const EXPECTED_CAUTION: f64 = 0.0;
-/// Passes the account keeps ahead; one failed answer costs less than this.
+/// Passes that the account keeps in reserve. One failed answer costs less.
 const RESERVE: f64 = 1.0;
-/// Answers over which an account behind its reserve is to catch up.
+/// Number of answers within which an account below its reserve catches up.
 const HORIZON: f64 = 200.0;
-/// Most that catching up adds to the target.
+/// Maximum increase of the target while catching up.
 const MAX_CATCH_UP: f64 = 0.05;
-/// Quality differences below this are none.
+/// Quality differences up to this value are ignored.
 const SAME_QUALITY: f64 = 0.005;
-/// Weight of time against cost by objective.
+/// Weight of time relative to cost under the objective latency.
 const LATENCY_WEIGHT: f64 = 0.3;
-/// Weight of a version under roll-out against cost, objective exposure.
+/// Weight of a run on a version under roll-out relative to cost under the
+/// objective exposure.
 const NEW_WEIGHT: f64 = 0.5;
 
-/// What each permitted version offers this request.
+/// Permitted versions of a request, with its limits.
 #[derive(Debug)]
 pub(super) struct Market {
     offers: Vec<Offer>,
@@ -55,7 +60,7 @@
     ceiling: Amount,
 }
 
-/// One version's figures for this request.
+/// Expected quality, cost and speed of one version for a request.
 #[derive(Debug, Clone, Copy)]
 struct Offer {
     permit: u8,
@@ -67,14 +72,14 @@
     new: bool,
 }
 
-/// A ladder and what to expect of it.
+/// A ladder with its expected quality, cost and time.
 #[derive(Debug, Clone)]
 pub(super) struct Ladder {
-    /// Positions in the permits.
+    /// Indices into the permits.
     pub rungs: Vec<u8>,
     /// Expected quality.
     pub quality: Estimate,
-    /// Most it can cost.
+    /// Maximum cost.
     pub ceiling: Amount,
     cost: f64,
     millis: f64,
@@ -92,7 +97,7 @@
     }
 }
 
-/// The ladder decided on.
+/// The selected ladder and the figures behind the selection.
 #[derive(Debug)]
 pub(super) struct Decided {
     pub ladder: Ladder,
@@ -102,7 +107,7 @@
     pub considered: u32,
 }
 
-/// A ladder before it is chosen: no allocation, thousands a second.
+/// A candidate ladder. Holds no heap data, since thousands are built per second.
 #[derive(Debug, Clone, Copy)]
 struct Draft {
     offers: [u8; MAX_STEPS],
@@ -146,7 +151,7 @@
         offers.map(step).collect()
     }
 
-    /// Expected quality of what is left of a ladder at each step, with caution.
+    /// Returns, for each step, the expected pass rate of the rest of the ladder.
     pub fn expected(&self, rungs: &[u8], ladder: &Ladder) -> Vec<f64> {
         let mut left = 1.0;
         let mut expected = Vec::with_capacity(rungs.len());
@@ -166,7 +171,7 @@
         expected
     }
 
-    /// Every ladder inside deadline and ceiling.
+    /// Returns every ladder within the deadline and the price ceiling.
     fn drafts(&self, objective: Objective) -> Vec<Draft> {
         let mut drafts = Vec::with_capacity(32);
         let Some(scale) = self.scale() else { return drafts };
@@ -205,7 +210,7 @@
         let mut new = 0.0;
         for (index, offer) in rungs().enumerate() {
             let pass = if index == 0 { offer.first } else { offer.escalated };
-            // Every answer but the last step's waits for its rating, passed or not.
+            // Every answer except that of the last step waits for its rating, whether it passes or not.
             let rating = if index + 1 < len { RATING_MS } else { 0.0 };
             draft.cost += reached * offer.cost;
             draft.millis += reached * (offer.speed.mean_ms() + rating);
@@ -217,8 +222,9 @@
             reached *= 1.0 - pass.mean;
             best = best.filter(|b| b.mean >= offer.first.mean).or(Some(offer.first));
         }
-        // A single step may be tried as long as it is likely to end in time; a
-        // ladder must be safe to end in time, or its escalation is paid for nothing.
+        // A single step is allowed if it can possibly end in time. A longer ladder
+        // must be nearly certain to end in time, otherwise the escalation costs
+        // money and its answer arrives too late.
         let needed = if len == 1 { rungs().next()?.speed.least_ms() } else { whole_ms + 2.0 * f64::sqrt(spread) };
         if needed > self.left_ms {
             return None;
@@ -226,8 +232,8 @@
         draft.quality.deviation = variance.sqrt();
         let caution = if objective == Objective::Exposure { EXPOSURE_CAUTION } else { CAUTION };
         draft.lower = draft.quality.lower(caution);
-        // What one of its steps would pass alone, the ladder passes too: each
-        // answer that fails moves on, so a ladder is never below its best step.
+        // A failed answer escalates, so a request that any one step passes is
+        // passed by the ladder too: its quality is at least that of its best step.
         if let Some(best) = best {
             if best.mean > draft.quality.mean {
                 draft.quality = best;
@@ -254,7 +260,7 @@
         Ladder { rungs, quality: draft.quality, ceiling: draft.ceiling, cost: draft.cost, millis: draft.millis }
     }
 
-    /// Why no single version fits.
+    /// Returns the reason why no single version fits.
     fn refusal(&self) -> Refusal {
         let cheapest = self.offers.iter().map(|offer| offer.ceiling).min().unwrap_or_default();
         if cheapest > self.ceiling {
@@ -267,14 +273,14 @@
     }
 }
 
-/// What cost and time are measured against: the dearest version's.
+/// Cost and time of the most expensive version, used to normalize those of ladders.
 #[derive(Debug, Clone, Copy)]
 struct Scale {
     cost: f64,
     millis: f64,
 }
 
-/// Walks the hull from the least value to the required quality.
+/// Walks the convex hull from the ladder of the lowest value up to the required quality.
 fn pick(drafts: &[Draft], required: f64, credit: f64) -> (Draft, Rule) {
     let least = |a: &&Draft, b: &&Draft| a.value.total_cmp(&b.value).then(b.lower.total_cmp(&a.lower));
     let mut current = *drafts.iter().min_by(least).expect("the caller has checked that there are some");
@@ -298,7 +304,7 @@
     }
 }
 
-/// Positions of the tiers that are weighed.
+/// Returns the indices of the tiers to consider.
 fn weighed(tiers: usize) -> impl Iterator<Item = usize> {
     let skipped = tiers.saturating_sub(MAX_TIERS);
     let kept = MAX_TIERS / 2;
@@ -325,20 +331,24 @@
     }
 }
 
-/// Pass rate of a version nobody has rated: tiers are put in order by those
-/// who know the models, so a class that is new starts at the last.
+/// Returns the assumed pass rate of a version without ratings.
+///
+/// Rises with the tier, since operators order tiers by quality. A class without
+/// ratings therefore starts on the last tier.
 fn blank(index: usize, tiers: usize) -> f64 {
     let place = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX));
     let last = tiers.saturating_sub(1).max(1);
     (BLANK_LAST - BLANK_FIRST).mul_add(place(index + usize::from(tiers == 1)) / place(last), BLANK_FIRST)
 }
 
-/// Learns first answers from escalated ones.
+/// Infers the pass rate of first answers from that of escalated answers.
 ///
-/// A cascade that always starts cheap never sees its last version answer
-/// first. Without this, an hour without ratings (no cascade then) would find
-/// the best version unproven. What the cheap one passes, the better one
-/// passes nearly always; of the rest, its escalated rate says.
+/// If requests always start on the cheapest version, the better versions never
+/// give a first answer. While the rating service is down there is no escalation,
+/// and the best version would then count as unproven. The inference assumes that
+/// a better version passes nearly all requests that the cheapest one passes, and
+/// the remaining ones at its escalated rate. It replaces the direct estimate only
+/// where it has the smaller deviation.
 fn imply_first(offers: &mut [Offer]) {
     let Some((cheap, dearer)) = offers.split_first_mut() else { return };
     for offer in dearer {
--- a/crates/route/src/model/permit.rs
+++ b/crates/route/src/model/permit.rs
@@ -1,4 +1,4 @@
-//! Leave to run a request on a version: made only from a catalog, a contract
+//! Permits to run a request on a version, issued only from a catalog, a contract
 //! and a session.
 
 use world::{
@@ -13,12 +13,12 @@
 use super::reason::Refusal;
 use crate::rollout::{self, Stops, Unit};
 
-/// Leave to run a customer's request on one version.
+/// A permit to run a customer's request on one version.
 ///
-/// Its fields are private and nothing but [`Permits::resolve`] and
-/// [`Permit::renew`] makes one, so holding it means that the contract allows
-/// the version, that it was not withdrawn in [`Permit::generation`], and that
-/// the session's pin was honoured.
+/// Its fields are private and only [`Permits::resolve`] and [`Permit::renew`]
+/// create one. A permit therefore proves that the contract allows the version,
+/// that the version was not withdrawn in [`Permit::generation`], and that the
+/// session's pin was honoured.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Permit {
     customer: Customer,
@@ -31,7 +31,7 @@
     pinned: bool,
 }
 
-/// The permits of one request: at most one per tier, cheapest tier first.
+/// Permits of one request: at most one per tier, cheapest tier first.
 #[derive(Debug, Clone)]
 pub struct Permits {
     held: Vec<Permit>,
@@ -39,60 +39,61 @@
 }
 
 impl Permit {
-    /// Whose request.
+    /// Returns the customer that sent the request.
     #[must_use]
     pub fn customer(&self) -> &Customer {
         &self.customer
     }
 
-    /// The version.
+    /// Returns the permitted version.
     #[must_use]
     pub fn version(&self) -> &Version {
         &self.version
     }
 
-    /// Its step in the cascade.
+    /// Returns the tier of the version; escalation goes from lower to higher tiers.
     #[must_use]
     pub fn tier(&self) -> u8 {
         self.tier
     }
 
-    /// What its tokens cost.
+    /// Returns the token prices of the version.
     #[must_use]
     pub fn price(&self) -> Price {
         self.price
     }
 
-    /// Most tokens one answer may have.
+    /// Returns the maximum number of tokens of one answer.
     #[must_use]
     pub fn max_output(&self) -> u32 {
         self.max_output
     }
 
-    /// The configuration that allowed it.
+    /// Returns the configuration generation that the permit was issued under.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The version it replaces, while it is under roll-out.
+    /// Returns the version that this one replaces, if it is under roll-out.
     #[must_use]
     pub fn predecessor(&self) -> Option<&Version> {
         self.predecessor.as_ref()
     }
 
-    /// Whether the session was on it already.
+    /// Returns whether the session was already pinned to the version.
     #[must_use]
     pub fn pinned(&self) -> bool {
         self.pinned
     }
 
-    /// The same permit under a later catalog; nothing when it no longer holds.
+    /// Reissues the permit under a later catalog, or returns `None` if it is no
+    /// longer valid.
     ///
-    /// Asked before every dispatch: between the choice and a later step of the
+    /// Called before every dispatch: between the choice and a later step of the
     /// ladder, or after a wait in a queue, the version may have been withdrawn
-    /// and would otherwise still get this one run. A paused roll-out takes no
-    /// session it does not have.
+    /// and would otherwise still receive this one run. A paused roll-out accepts
+    /// no new sessions.
     #[must_use]
     pub fn renew(&self, catalog: &Catalog, stops: &Stops) -> Option<Self> {
         let contract = catalog.contract(&self.customer)?;
@@ -121,14 +122,14 @@
 }
 
 impl Permits {
-    /// Every version that a request may run on, one per tier.
+    /// Determines the versions that a request may run on, one per tier.
     ///
-    /// A pinned version has its tier; a tier without a pin goes to the version
-    /// that the roll-outs give new sessions.
+    /// A version that the session is pinned to takes its tier. A tier without a
+    /// pin goes to the version that the roll-outs assign to new sessions.
     ///
     /// # Errors
     ///
-    /// [`Refusal::NoContract`], [`Refusal::ModelNotAllowed`] or
+    /// Returns [`Refusal::NoContract`], [`Refusal::ModelNotAllowed`] or
     /// [`Refusal::NoVersion`].
     pub fn resolve(
         catalog: &Catalog,
@@ -143,8 +144,8 @@
             return Err(Refusal::ModelNotAllowed);
         }
         let mut permits = Self { held: Vec::with_capacity(4), left: Vec::new() };
-        // A session of another customer would carry pins past this contract's
-        // exposure limit; it counts as none.
+        // The pins of another customer's session would bypass the exposure limit
+        // of this contract, so such a session is ignored.
         let pins = session.filter(|s| s.customer == *customer).map_or(&[][..], |s| s.pins.as_slice());
         for pin in pins.iter().filter(|pin| pin.version.model == *model) {
             permits.keep(catalog, stops, contract, customer, pin);
@@ -159,13 +160,13 @@
         Ok(permits)
     }
 
-    /// The permits, cheapest tier first; never empty.
+    /// Returns the permits, cheapest tier first. Never empty.
     #[must_use]
     pub fn as_slice(&self) -> &[Permit] {
         &self.held
     }
 
-    /// The session's pins that no longer hold.
+    /// Returns the pins of the session that are no longer valid.
     #[must_use]
     pub fn left(&self) -> &[Pin] {
         &self.left
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Gives a tier to a version; of two alike, the later release has it.
+    /// Assigns the version to its tier, unless the tier has a pinned version, or one
+    /// under roll-out and this one is not. Of two equal ones, the later release wins.
     fn offer(&mut self, catalog: &Catalog, customer: &Customer, version: &Version) {
         let Some(release) = catalog.release(version) else { return };
         let permit = Permit::new(catalog, customer, version, release, false);
@@ -194,7 +196,7 @@
     }
 }
 
-/// The version that a roll-out under way replaces by `version`.
+/// Returns the version that an unfinished roll-out replaces by `version`.
 fn predecessor(catalog: &Catalog, version: &Version) -> Option<Version> {
     let rollout = match catalog.standing(version) {
         Standing::Exposed { rollout, .. } | Standing::Held { rollout } => rollout,
--- a/crates/route/src/model/reason.rs
+++ b/crates/route/src/model/reason.rs
@@ -1,4 +1,4 @@
-//! Why a choice was made, or why nothing may run.
+//! Reasons of choices and refusals.
 
 use std::fmt;
 
@@ -7,20 +7,20 @@
 
 use crate::quality::Estimate;
 
-/// Why this ladder; printed by `explain`.
+/// Reason why a ladder was chosen; printed by `explain`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Reason {
-    /// The configuration it was made under.
+    /// Configuration generation that the choice was made under.
     pub generation: u64,
-    /// The contract's objective.
+    /// Objective of the contract.
     pub objective: Objective,
-    /// The contract's quality target.
+    /// Quality target of the contract.
     pub target: f64,
-    /// The quality asked of this choice, after the account.
+    /// Quality required of this choice: the target, raised while the account catches up.
     pub required: f64,
-    /// Passes ahead of the target, unrated answers counted with caution.
+    /// Passes by which the account is ahead of the target, less a margin for unrated answers.
     pub credit: f64,
-    /// What settled it.
+    /// Rule that decided.
     pub rule: Rule,
     /// Expected quality of the ladder.
     pub quality: Estimate,
@@ -28,11 +28,11 @@
     pub expected_cost: Amount,
     /// Expected time of the ladder, in milliseconds.
     pub expected_ms: Millis,
-    /// The steps.
+    /// Steps of the ladder.
     pub steps: Vec<Step>,
-    /// Ladders weighed.
+    /// Number of ladders considered.
     pub considered: u32,
-    /// Versions the session had to leave.
+    /// Versions that the session was pinned to and had to leave.
     #[serde(default)]
     pub moved: Vec<Version>,
 }
@@ -40,51 +40,51 @@
 /// One step of the ladder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// The version.
+    /// Version of the step.
     pub version: Version,
-    /// Its expected quality as a first answer.
+    /// Expected quality of its answer if it runs first.
     pub quality: Estimate,
-    /// Whether the session was on it.
+    /// Whether the session was pinned to it.
     pub pinned: bool,
     /// Whether it is under roll-out.
     pub new: bool,
 }
 
-/// What settled a choice.
+/// Rule that decided a choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Nothing else may run.
+    /// No other ladder may run.
     Only,
-    /// The best by the objective of those that meet the target.
+    /// The best ladder by the objective among those that meet the target.
     MeetsTarget,
-    /// Cheaper than the target asks: the account is ahead.
+    /// A cheaper ladder than the target requires, because the account is ahead.
     AheadOfTarget,
-    /// Nothing meets the target for sure: the best quality there is.
+    /// No ladder meets the target with enough certainty: the best quality available.
     BestEffort,
 }
 
-/// Why nothing may run. Nothing has run.
+/// Reason why no version may run. Nothing has run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// No contract names the customer.
+    /// There is no contract for the customer.
     NoContract,
     /// The contract does not allow the model.
     ModelNotAllowed,
-    /// Every allowed version is withdrawn, held back or not yet exposed.
+    /// Every allowed version is withdrawn, held back or not yet exposed to this session.
     NoVersion,
-    /// No version answers in time.
+    /// No version can answer in time.
     Deadline {
-        /// Time the fastest version needs.
+        /// Time that the fastest affordable version needs, in milliseconds.
         needed_ms: Millis,
-        /// Time left.
+        /// Time left until the deadline, in milliseconds.
         left_ms: Millis,
     },
     /// No version fits the price ceiling.
     Budget {
-        /// Most that the cheapest version can cost.
+        /// Maximum cost of the cheapest version.
         needed: Amount,
-        /// What may be spent.
+        /// Amount that may be spent.
         left: Amount,
     },
 }
--- a/crates/route/src/quality.rs
+++ b/crates/route/src/quality.rs
@@ -1,16 +1,16 @@
-//! Learned pass rates: how often a version's answers pass their rating, per
-//! customer and request class.
+//! Learns how often and how fast versions give answers that pass their rating,
+//! per customer and request class.
 //!
-//! Ratings come late, are missing, or stop for an hour, so every figure comes
-//! with its uncertainty. Three levels shrink towards each other: a version in
-//! general, a version in a class, and a version in a class for one customer.
-//! A new class therefore starts from what other customers saw, and a class
-//! that nobody has seen starts with a wide spread, which the choice reads as
-//! "not safe yet".
+//! Ratings arrive late, are missing, or stop for an hour, so every pass rate
+//! comes with its uncertainty. The model is hierarchical, with shrinkage from each
+//! level to the next: a version in general, a version in a class, and a version in
+//! a class for one customer. A class that is new to a customer therefore starts
+//! from the ratings of other customers. A class without any ratings starts with a
+//! wide deviation, which makes the choice cautious.
 //!
-//! Beside the rates stands one [`Account`] per customer and class: passes
-//! ahead of or behind the target. It is what makes the target hold for the
-//! answers really given, not only for the rates believed.
+//! One [`Account`] per customer and class counts the passes ahead of or behind the
+//! target. It makes the target hold for the answers actually given, even where the
+//! estimated rates are wrong.
 
 mod account;
 mod ledger;
@@ -28,37 +28,37 @@
 pub use ledger::{Answer, LAPSE_MS, Ledger};
 pub use speed::Speed;
 
-/// Keys are hashes already; this one only has to be quick and the same always.
+/// Hasher of keys that are already hashes: fast and deterministic.
 type Hasher = BuildHasherDefault<DefaultHasher>;
 
-/// Cells kept at each level; the one longest unused goes first.
+/// Maximum number of cells; those updated least recently are evicted first.
 const MAX_CELLS: usize = 65_536;
-/// Classes learned per customer; further ones share one cell.
+/// Maximum number of classes learned per customer; further classes share one cell.
 const MAX_CLASSES: usize = 64;
-/// Ratings a cell remembers; older ones fade, so that a version that turns
-/// bad shows within some hundreds of answers.
+/// Number of ratings at which the older ratings of a cell start to decay, so that
+/// a regression of a version shows within some hundreds of answers.
 const MEMORY: f64 = 1_000.0;
-/// Most ratings a parent level counts for in its child.
+/// Maximum weight of a parent level in its child, in ratings.
 const PARENT_WEIGHT: f64 = 30.0;
-/// Ratings at which a parent counts for half of that.
+/// Number of ratings at which a parent has half of [`PARENT_WEIGHT`].
 const PARENT_HALF: f64 = 30.0;
-/// Ratings the blank prior counts for.
+/// Weight of the prior without ratings, in ratings.
 const BLANK_WEIGHT: f64 = 2.0;
-/// Factor on the first-stage rate where an earlier step has failed and no
-/// rating tells better: what fails once is harder than the rest.
+/// Factor from the pass rate of first answers to that of escalated answers without
+/// ratings: requests whose first answer failed are harder than average.
 const HARDER: f64 = 0.7;
 
-/// Where in a cascade an answer was given.
+/// Position in the ladder at which an answer was given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// First answer to its request.
+    /// First answer to the request.
     First,
-    /// After an earlier step's answer had failed its rating.
+    /// Answer after that of an earlier step failed its rating.
     Escalated,
 }
 
-/// Whose answers: one customer's in one class.
+/// One request class of one customer; the finest level at which ratings are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Cell {
     customer: u64,
@@ -66,10 +66,10 @@
 }
 
 impl Cell {
-    /// Nobody's: what holds in general.
+    /// No particular customer and class: selects the figures of a version in general.
     pub const ANY: Self = Self { customer: 0, class: 0 };
 
-    /// The cell of a customer's class.
+    /// Returns the cell of a customer's class.
     #[must_use]
     pub fn new(customer: &Customer, class: &Class) -> Self {
         Self { customer: hash::stable(customer.as_str().as_bytes()), class: hash::stable(class.as_str().as_bytes()) }
@@ -80,44 +80,44 @@
     }
 }
 
-/// A pass rate and how sure it is.
+/// Estimate of a pass rate.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Estimate {
-    /// Expected share that passes, 0 to 1.
+    /// Expected share of answers that pass, from 0 to 1.
     pub mean: f64,
-    /// Standard deviation of that share.
+    /// Standard deviation of the share.
     pub deviation: f64,
 }
 
 impl Estimate {
-    /// The rate that holds with `z` standard deviations to spare.
+    /// Returns the rate `z` standard deviations below the mean, clamped to 0 to 1.
     #[must_use]
     pub fn lower(&self, z: f64) -> f64 {
         z.mul_add(-self.deviation, self.mean).clamp(0.0, 1.0)
     }
 }
 
-/// What is known of a version in a customer's class.
+/// Estimated quality and speed of a version in a customer's class.
 #[derive(Debug, Clone, Copy)]
 pub struct Profile {
-    /// Pass rate as the first answer.
+    /// Pass rate of first answers.
     pub first: Estimate,
-    /// Pass rate after another answer has failed.
+    /// Pass rate of answers after another version's answer failed.
     pub escalated: Estimate,
-    /// How long its runs take.
+    /// Duration of its runs.
     pub speed: Speed,
 }
 
-/// What a version's rate is taken for while it has no ratings.
+/// Prior of a version's pass rate while it has no ratings.
 #[derive(Debug, Clone, Copy)]
 pub struct Guess<'a> {
-    /// The version that a roll-out replaces by it.
+    /// Version that a roll-out replaces by this one; its pass rate is the prior.
     pub parent: Option<&'a Version>,
-    /// The rate where nothing at all is known.
+    /// Pass rate to assume if there are no ratings at all.
     pub blank: f64,
 }
 
-/// Everything learned about quality and speed.
+/// Learned quality and speed of versions, and the accounts of customers.
 #[derive(Debug, Clone, Default)]
 pub struct Book {
     counts: HashMap<u64, Counts, Hasher>,
@@ -128,7 +128,7 @@
 }
 
 impl Book {
-    /// Takes in one rating.
+    /// Records a rating.
     pub fn rate(&mut self, cell: Cell, version: &Version, stage: Stage, pass: bool) {
         let cell = self.known(cell);
         let version = staged(version_key(version), stage);
@@ -137,9 +137,9 @@
         }
     }
 
-    /// What is known of a version in a customer's class.
+    /// Returns the estimated quality and speed of a version in a customer's class.
     ///
-    /// `guess` stands in for ratings while there are none.
+    /// `guess` is the prior while there are no ratings.
     #[must_use]
     pub fn profile(&self, cell: Cell, version: &Version, guess: Guess<'_>, now: Timestamp) -> Profile {
         let cell = self.lookup(cell);
@@ -157,40 +157,40 @@
         Profile { first: first.estimate(), escalated: escalated.estimate(), speed }
     }
 
-    /// The account of a customer's class; empty when nothing is known.
+    /// Returns the account of a customer's class, or an empty one.
     #[must_use]
     pub fn account(&self, cell: Cell) -> Account {
         self.accounts.get(&self.lookup(cell).key()).copied().unwrap_or_default()
     }
 
-    /// Enters a request that is about to run, expected to pass at `rate`.
+    /// Adds a request that is about to run and is expected to pass at `rate`.
     ///
-    /// Entered at the choice and not at the answer: of many requests at a time
-    /// each must see what the ones before it may still cost the account.
+    /// It is added at the choice instead of at the answer, so that each of many
+    /// concurrent requests takes into account what earlier ones may still cost.
     pub fn open(&mut self, cell: Cell, rate: f64, target: f64) -> Pending {
         self.account_mut(cell).open(rate, target)
     }
 
-    /// Enters that a request has escalated and is now expected to pass at `rate`.
+    /// Records that a request has escalated and is now expected to pass at `rate`.
     ///
-    /// Those that reach a later step are the harder ones. Left at the whole
-    /// ladder's rate, the unrated among them would count as better than they
+    /// Requests that reach a later step are harder than average. If they kept the
+    /// rate of the whole ladder, the unrated ones would count as better than they
     /// are, and the class would end below its target.
     pub fn escalated(&mut self, cell: Cell, pending: Pending, rate: f64) -> Pending {
         self.account_mut(cell).reopen(pending, rate)
     }
 
-    /// Enters the rating of a request's final answer.
+    /// Records the rating of a request's final answer.
     pub fn close(&mut self, cell: Cell, pending: Pending, pass: bool) {
         self.account_mut(cell).close(pending, pass);
     }
 
-    /// Enters that an answer's rating will not come.
+    /// Records that the rating of an answer is no longer expected.
     pub fn lapse(&mut self, cell: Cell, pending: Pending) {
         self.account_mut(cell).lapse(pending);
     }
 
-    /// Takes out a request that has given no answer.
+    /// Removes a request that produced no answer.
     pub fn void(&mut self, cell: Cell, pending: Pending) {
         self.account_mut(cell).void(pending);
     }
@@ -200,7 +200,8 @@
         self.accounts.entry(cell.key()).or_default()
     }
 
-    /// How long a version's runs take in a class, or else in general.
+    /// Returns the duration of a version's runs in a class, or in general if the
+    /// class has none.
     #[must_use]
     pub fn speed(&self, cell: Cell, version: &Version, now: Timestamp) -> Speed {
         let general = version_key(version);
@@ -209,7 +210,7 @@
         known.copied().unwrap_or_default().aged(now)
     }
 
-    /// Takes in one finished run.
+    /// Records a finished run.
     pub fn ran(&mut self, cell: Cell, version: &Version, millis: Millis, output_tokens: u32, now: Timestamp) {
         let general = version_key(version);
         let class = mix(general, self.known(cell).class);
@@ -236,7 +237,8 @@
         self.counts.entry(key).or_default().add(pass, clock);
     }
 
-    /// Drops the older half of the cells: rare, and linear only then.
+    /// Evicts the cells that were not updated within the last [`MAX_CELLS`] updates,
+    /// or all cells if none are that old. Takes linear time, but runs rarely.
     fn forget(&mut self) {
         let horizon = self.clock.saturating_sub(MAX_CELLS as u64);
         self.counts.retain(|_, counts| counts.touched > horizon);
@@ -245,11 +247,11 @@
         }
     }
 
-    /// The cell that is learned for `cell`.
+    /// Returns the cell that `cell` is counted in, and registers its class.
     ///
-    /// Callers name classes freely. One that put a number into the name would
-    /// fill the book with cells of one rating each; past the limit a customer's
-    /// further classes are learned as one.
+    /// Callers choose the names of classes. A caller that puts a number into the
+    /// name would create a cell per rating, so beyond [`MAX_CLASSES`] all further
+    /// classes of a customer are counted in one cell.
     fn known(&mut self, cell: Cell) -> Cell {
         let classes = self.classes.entry(cell.customer).or_default();
         if classes.contains(&cell.class) {
@@ -272,7 +274,7 @@
     }
 }
 
-/// Ratings of one cell at one level.
+/// Ratings counted under one key.
 #[derive(Debug, Clone, Copy, Default)]
 struct Counts {
     pass: f64,
@@ -297,7 +299,7 @@
     }
 }
 
-/// A rate worth `weight` ratings.
+/// A pass rate that counts as much as `weight` ratings.
 #[derive(Debug, Clone, Copy)]
 struct Belief {
     rate: f64,
@@ -311,7 +313,7 @@
         Self { rate: self.rate.mul_add(self.weight, counts.pass) / weight, weight }
     }
 
-    /// What the next level down takes over: the rate, at a bounded weight.
+    /// Returns the prior for the next lower level: the same rate with a bounded weight.
     fn as_parent(self) -> Self {
         let seen = (self.weight - BLANK_WEIGHT).max(0.0);
         Self { rate: self.rate, weight: BLANK_WEIGHT + PARENT_WEIGHT * seen / (seen + PARENT_HALF) }
@@ -332,8 +334,8 @@
     mix(version, stage as u64 + 1)
 }
 
-/// One hash of two; a collision would mix two cells' ratings and is as
-/// unlikely as any of 64 bits.
+/// Combines two hashes. A collision would merge the ratings of two cells; with 64
+/// bits its probability is negligible.
 fn mix(a: u64, b: u64) -> u64 {
     hash::rendezvous(a, &b.to_le_bytes())
 }
--- a/crates/route/src/quality/account.rs
+++ b/crates/route/src/quality/account.rs
@@ -1,27 +1,27 @@
-//! A customer's account in one class: passes ahead of or behind its target.
+//! The quality account of a customer in one class: passes ahead of or behind the
+//! target.
 
 use serde::{Deserialize, Serialize};
 
-/// Most passes an account may be ahead. Where even the cheapest version is
-/// better than asked, the account would grow for months, and would then pay
-/// for a version that has turned bad for as long.
+/// Maximum number of passes that an account may be ahead. If even the cheapest
+/// version exceeds the target, an unbounded account would grow for months, and
+/// would then tolerate a version that has become bad for as long.
 const MAX_AHEAD: f64 = 60.0;
-/// Most passes an account may be behind: a bad day is made good, but not by
-/// paying for the best version all year.
+/// Maximum number of passes that an account may be behind. A bad day is compensated
+/// for, but not by paying for the best version all year.
 const MAX_BEHIND: f64 = 100.0;
-/// Largest variance of lapsed answers.
+/// Maximum variance of lapsed answers.
 const MAX_LAPSED: f64 = 25.0;
 
-/// Standard deviations held back for answers whose rating is to come.
+/// Standard deviations subtracted for answers whose rating is pending.
 const PENDING_CAUTION: f64 = 1.0;
-/// Standard deviations held back for answers whose rating will not come.
+/// Standard deviations subtracted for answers whose rating has lapsed.
 const LAPSED_CAUTION: f64 = 3.0;
 
 /// Passes ahead of (positive) or behind (negative) the target.
 ///
-/// An answer with no rating yet counts as expected at a cautious rate, and
-/// its spread is kept, so that an hour without ratings makes the account
-/// careful and not bold.
+/// An answer without a rating counts with its expected pass rate, and its variance
+/// is added up, so that an hour without ratings makes the account more cautious.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
     rated: f64,
@@ -30,7 +30,7 @@
     lapsed_variance: f64,
 }
 
-/// An answer that waits for its rating.
+/// An answer whose rating is pending.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Pending {
     target: f64,
@@ -39,7 +39,7 @@
 }
 
 impl Account {
-    /// Enters an answer of unknown rating, expected to pass at `rate`.
+    /// Adds an answer without a rating that is expected to pass at `rate`.
     pub fn open(&mut self, rate: f64, target: f64) -> Pending {
         let pending = Pending { target, expected: rate - target, variance: rate * (1.0 - rate) };
         self.pending += pending.expected;
@@ -47,38 +47,38 @@
         pending
     }
 
-    /// Expects another rate of an answer not yet rated.
+    /// Changes the expected pass rate of an answer without a rating.
     pub fn reopen(&mut self, pending: Pending, rate: f64) -> Pending {
         self.void(pending);
         self.open(rate, pending.target)
     }
 
-    /// Replaces an expected rating by the real one.
+    /// Replaces the expected rating of an answer by the actual one.
     pub fn close(&mut self, pending: Pending, pass: bool) {
         self.void(pending);
         self.enter(f64::from(u8::from(pass)) - pending.target);
     }
 
-    /// Lets an answer count as expected for good: its rating will not come.
+    /// Counts an answer permanently with its expected rating, since the actual one
+    /// is no longer expected.
     ///
-    /// Its spread stays: the answer was as good or bad as any, only nobody
-    /// will say.
+    /// Its variance is kept, since the quality of the answer remains unknown.
     pub fn lapse(&mut self, pending: Pending) {
         self.void(pending);
         self.enter(pending.expected);
         self.lapsed_variance = (self.lapsed_variance + pending.variance).min(MAX_LAPSED);
     }
 
-    /// Takes an answer out that was never given.
+    /// Removes an answer that was never given.
     pub fn void(&mut self, pending: Pending) {
         self.pending -= pending.expected;
         self.pending_variance = (self.pending_variance - pending.variance).max(0.0);
     }
 
-    /// Passes ahead of the target, with caution.
+    /// Returns the passes ahead of the target, less a margin for unrated answers.
     ///
-    /// A pending answer's rating will correct the account, a lapsed one's will
-    /// not; so more is held back for the lapsed.
+    /// The rating of a pending answer will correct the account, that of a lapsed
+    /// answer will not, so the margin for lapsed answers is larger.
     #[must_use]
     pub fn credit(&self) -> f64 {
         let spread = PENDING_CAUTION.powi(2) * self.pending_variance + LAPSED_CAUTION.powi(2) * self.lapsed_variance;
--- a/crates/route/src/quality/ledger.rs
+++ b/crates/route/src/quality/ledger.rs
@@ -1,4 +1,4 @@
-//! Answers whose rating is still to come.
+//! Answers whose rating is pending.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,30 +6,32 @@
 
 use super::{Book, Cell, Hasher, Pending, Stage};
 
-/// Answers that may wait at an instance; the oldest lapses.
+/// Maximum number of answers with a pending rating at an instance; beyond it the
+/// oldest lapses.
 const MAX_WAITING: usize = 100_000;
-/// How much older than a rated answer another may be and still wait.
+/// Age difference to a rated answer, in milliseconds, above which an older answer
+/// lapses.
 pub const LAPSE_MS: Millis = 10 * 60 * 1_000;
 
-/// A final answer as its rating will be entered.
+/// A final answer, with the data needed to record its rating.
 #[derive(Debug, Clone, Copy)]
 pub struct Answer<'a> {
-    /// Whose, in which class.
+    /// Customer and class of the request.
     pub cell: Cell,
-    /// The version that gave it.
+    /// Version that gave the answer.
     pub version: &'a Version,
-    /// Where in its cascade.
+    /// Position in the ladder.
     pub stage: Stage,
-    /// What [`Book::open`] returned for its request.
+    /// Value that [`Book::open`] returned for the request.
     pub pending: Pending,
 }
 
-/// Answers whose rating is still to come, bounded.
+/// A bounded set of answers whose rating is pending.
 ///
-/// Ratings may be minutes late or stop for an hour, and some never come. An
-/// answer lapses when the rating of one given `LAPSE_MS` later is in: the
-/// rating service has then passed it by. While the service is down nothing
-/// lapses, so that the account stays as careful as the outage asks for.
+/// Ratings may be minutes late or stop for an hour, and some never arrive. An
+/// answer lapses when an answer given more than [`LAPSE_MS`] later has been rated:
+/// the rating service has then skipped it. While the service is down nothing
+/// lapses, so that the account stays cautious during the outage.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     waiting: HashMap<u64, Waiting, Hasher>,
@@ -46,7 +48,7 @@
 }
 
 impl Ledger {
-    /// Enters an answer given at `now`; `id` is the hash of its request.
+    /// Adds an answer given at `now`; `id` is the hash of its request.
     pub fn answered(&mut self, book: &mut Book, id: u64, answer: &Answer<'_>, now: Timestamp) {
         if self.waiting.len() >= MAX_WAITING {
             self.lapse_oldest(book);
@@ -56,7 +58,7 @@
         self.order.push_back((now, id));
     }
 
-    /// Enters a rating; false when no answer waits for it.
+    /// Records a rating. Returns false if no answer is waiting for it.
     pub fn rated(&mut self, book: &mut Book, id: u64, pass: bool) -> bool {
         let Some(waiting) = self.waiting.remove(&id) else { return false };
         book.rate(waiting.cell, &waiting.version, waiting.stage, pass);
@@ -67,7 +69,7 @@
         true
     }
 
-    /// Answers that wait.
+    /// Returns the number of answers whose rating is pending.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
--- a/crates/route/src/quality/speed.rs
+++ b/crates/route/src/quality/speed.rs
@@ -1,24 +1,24 @@
-//! How long a version's runs take.
+//! Estimates the duration of a version's runs.
 
 use serde::{Deserialize, Serialize};
 use world::{Millis, Timestamp};
 
-/// Share of the newest run in the means.
+/// Weight of the latest run in the moving averages.
 const STEP: f64 = 0.05;
-/// Deviations added for a run that must be done in time.
+/// Ratio of the mean to the deviation of a run's duration before the first run.
 const SPARE: f64 = 2.0;
-/// Guess before the first run: time to the first token, in milliseconds.
+/// Assumed time to the first token before the first run, in milliseconds.
 const BLANK_START_MS: f64 = 300.0;
-/// Guess before the first run: milliseconds per generated token.
+/// Assumed time per generated token before the first run, in milliseconds.
 const BLANK_TOKEN_MS: f64 = 10.0;
-/// Guess before the first run: tokens of an answer.
+/// Assumed number of tokens of an answer before the first run.
 const BLANK_OUTPUT: f64 = 100.0;
-/// Time without a run after which what was learned counts for half.
+/// Time without a run after which the learned durations are halved.
 const STALE_MS: Millis = 30_000;
-/// Halvings after which nothing is left.
+/// Maximum number of halvings; after that many the durations are near zero.
 const MAX_HALVINGS: i32 = 20;
 
-/// Running means of a version's runs.
+/// Moving averages over the runs of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Speed {
     millis: f64,
@@ -36,7 +36,7 @@
 }
 
 impl Speed {
-    /// Takes in a finished run.
+    /// Records a finished run.
     pub fn observe(&mut self, millis: Millis, output_tokens: u32, now: Timestamp) {
         self.runs += 1;
         self.seen = now;
@@ -48,29 +48,31 @@
         self.output += step * (f64::from(output_tokens) - self.output);
     }
 
-    /// Expected time of a run, in milliseconds.
+    /// Returns the expected duration of a run, in milliseconds.
     #[must_use]
     pub fn mean_ms(&self) -> f64 {
         self.millis
     }
 
-    /// Mean absolute deviation of a run's time, in milliseconds.
+    /// Returns the mean absolute deviation of the duration of a run, in milliseconds.
     #[must_use]
     pub fn deviation_ms(&self) -> f64 {
         self.deviation
     }
 
-    /// Time that a run can hardly beat, in milliseconds; what refusals rest on.
+    /// Returns a time that a run is unlikely to undercut, in milliseconds, or 0
+    /// before the first run. Refusals for lack of time are based on it.
     #[must_use]
     pub fn least_ms(&self) -> f64 {
         if self.runs == 0 { 0.0 } else { (self.millis - self.deviation).max(0.0) }
     }
 
-    /// The same, as far as it still holds at `now`.
+    /// Returns the averages decayed to `now`: durations halve with every
+    /// `STALE_MS` without a run.
     ///
-    /// After a slow spell every request might be refused for want of time; then
-    /// no run would ever show that the spell is over, and the refusals would
-    /// stay. So times halve with every `STALE_MS` without a run.
+    /// After a slow period every request might be refused for lack of time. Without
+    /// the decay no run would ever show that the period is over, and the refusals
+    /// would continue.
     #[must_use]
     pub fn aged(mut self, now: Timestamp) -> Self {
         let halvings = i32::try_from(now.since(self.seen) / STALE_MS).unwrap_or(i32::MAX).min(MAX_HALVINGS);
@@ -81,7 +83,7 @@
         self
     }
 
-    /// Expected tokens of an answer.
+    /// Returns the expected number of tokens of an answer.
     #[must_use]
     pub fn output_tokens(&self) -> f64 {
         self.output
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,26 +1,27 @@
-//! Retries and hedges inside one budget per customer.
+//! Decides on retries and hedges within one retry budget per customer.
 //!
-//! A retry repairs a lost try; many retries turn a short fault into an
-//! overload that feeds itself. So each customer earns a share of a token with
-//! every first try and pays a whole one for every further dispatch, retry or
-//! hedge alike: whatever fails, dispatches stay under `1 + share` times the
-//! first tries, plus a small burst for customers that send little.
+//! A retry repairs a failed attempt, but many retries turn a short fault into a
+//! self-sustaining overload. So each customer earns a fraction of a token with
+//! every first attempt and spends a whole token on every further dispatch, retry
+//! or hedge. Whatever fails, dispatches stay below `1 + share` times the first
+//! attempts, plus a small burst for customers that send few requests.
 
 use rand::Rng;
 use world::{Millis, Timestamp, request::Repeat};
 
-/// What retries may cost.
+/// Limits of retries and hedges.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Tokens earned by one first try.
+    /// Tokens earned by each first attempt.
     pub share: f64,
-    /// Most tokens kept; also what a customer starts with.
+    /// Maximum number of tokens; also the initial number of a customer.
     pub burst: f64,
-    /// Upper bound of the first wait, in milliseconds; doubles with each try.
+    /// Upper bound of the first delay, in milliseconds; doubles with each attempt.
     pub base_ms: Millis,
-    /// Upper bound of any wait, in milliseconds.
+    /// Upper bound of every delay, not counting a delay that the endpoint asked for,
+    /// in milliseconds.
     pub cap_ms: Millis,
-    /// Most dispatches of one request, hedges included.
+    /// Maximum number of dispatches of one request, hedges included.
     pub max_tries: u32,
 }
 
@@ -30,25 +31,25 @@
     }
 }
 
-/// What a customer's requests may still spend on further dispatches.
+/// Tokens that a customer's requests may spend on further dispatches.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
     tokens: f64,
 }
 
 impl Budget {
-    /// A customer's budget before its first request.
+    /// Returns the budget of a customer before its first request.
     #[must_use]
     pub fn new(policy: &Policy) -> Self {
         Self { tokens: policy.burst }
     }
 
-    /// Earns for one first try.
+    /// Adds the tokens earned by one first attempt.
     pub fn earn(&mut self, policy: &Policy) {
         self.tokens = (self.tokens + policy.share).min(policy.burst);
     }
 
-    /// Whole dispatches it would pay for now.
+    /// Returns the number of tokens left; each whole token pays for one dispatch.
     #[must_use]
     pub fn left(&self) -> f64 {
         self.tokens
@@ -63,53 +64,53 @@
     }
 }
 
-/// How the last try ended.
+/// Outcome of the last failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// Certainly nothing was run.
+    /// The request certainly did not run.
     NotRun {
-        /// Wait the endpoint asked for, in milliseconds.
+        /// Delay that the endpoint asked for, in milliseconds.
         retry_after: Option<Millis>,
     },
-    /// It ran, or may have.
+    /// The request ran or may have run.
     MayHaveRun,
 }
 
-/// One request as the decision sees it.
+/// Properties of a request that the decisions depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Request {
-    /// Whether it may run twice.
+    /// Whether the request may run twice.
     pub repeat: Repeat,
-    /// Dispatches so far, hedges included.
+    /// Number of dispatches so far, hedges included.
     pub tries: u32,
-    /// When its answer is due.
+    /// Deadline of the answer.
     pub deadline: Timestamp,
-    /// Time a dispatch is expected to take, in milliseconds.
+    /// Expected duration of a dispatch, in milliseconds.
     pub expected_ms: Millis,
 }
 
-/// Whether to try again.
+/// Whether to dispatch a failed request again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Dispatch again after this many milliseconds.
+    /// Dispatch again after a delay.
     Retry {
-        /// The wait.
+        /// Delay in milliseconds.
         after_ms: Millis,
     },
-    /// Answer the caller at once.
+    /// Answer the caller without another attempt.
     GiveUp(Reason),
 }
 
-/// Why there is no further dispatch.
+/// Reason against another dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// It may have run and must not run twice.
+    /// The request may have run and must not run twice.
     NotRepeatable,
-    /// The customer's retry budget is used up.
+    /// The retry budget of the customer is exhausted.
     Budget,
     /// The answer would come after the deadline.
     Deadline,
-    /// It has had its most tries.
+    /// The request has reached the maximum number of dispatches.
     Tries,
 }
 
@@ -124,7 +125,7 @@
     }
 }
 
-/// Decides whether a failed request is dispatched again, and pays for it.
+/// Decides whether a failed request is dispatched again, and spends a token if so.
 pub fn decide(
     policy: &Policy,
     budget: &mut Budget,
@@ -133,8 +134,8 @@
     now: Timestamp,
     random: &mut impl Rng,
 ) -> Decision {
-    // A second dispatch of a request that may have run would double a
-    // deposit: only a certain "not run" lets it go again.
+    // A second run of a non-idempotent request could, for example, book a deposit
+    // twice, so such a request is only repeated if it certainly did not run.
     if request.repeat == Repeat::Never && failure == Failure::MayHaveRun {
         return Decision::GiveUp(Reason::NotRepeatable);
     }
@@ -151,7 +152,8 @@
     Decision::Retry { after_ms }
 }
 
-/// Full jitter over a doubling bound, on top of what the endpoint asked for.
+/// Returns an exponential backoff delay with full jitter, added to the delay that the
+/// endpoint asked for.
 fn wait(policy: &Policy, tries: u32, failure: Failure, random: &mut impl Rng) -> Millis {
     let doublings = tries.saturating_sub(1).min(20);
     let bound = policy.base_ms.saturating_mul(1 << doublings).min(policy.cap_ms);
@@ -162,20 +164,20 @@
     }
 }
 
-/// Whether a running request gets a second dispatch beside the first.
+/// Whether a running request is dispatched a second time in parallel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Hedge {
-    /// Dispatch now; the first to answer wins, the other is cancelled.
+    /// Dispatch now; the first answer wins, the other dispatch is cancelled.
     Dispatch,
-    /// Ask again at this time.
+    /// Decide again at this time.
     At(Timestamp),
-    /// Never for this request.
+    /// Do not hedge this request.
     Never(Reason),
 }
 
-/// Decides whether a request without a first byte is hedged, and pays for it.
+/// Decides whether a request without a first byte is hedged, and spends a token if so.
 ///
-/// A hedge goes out as late as it can still meet the deadline, so that only
+/// A hedge is sent as late as it can still meet the deadline, so that only
 /// requests that would likely miss it cost a second run.
 pub fn hedge(policy: &Policy, budget: &mut Budget, request: &Request, now: Timestamp) -> Hedge {
     if request.repeat == Repeat::Never {
@@ -198,8 +200,9 @@
     Hedge::Dispatch
 }
 
-/// Most dispatches of one request at a time.
+/// Maximum number of dispatches of a request for it to be hedged.
 const MAX_PARALLEL: u32 = 2;
 
-/// Part of a dispatch's expected time that a hedge leaves as margin.
+/// Divisor of the expected duration of a dispatch; the quotient is the margin before
+/// the latest possible time of a hedge.
 const HEDGE_MARGIN: Millis = 4;
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -1,10 +1,11 @@
-//! Who meets a version under roll-out, and what the roll-out does next.
+//! Decides which sessions are exposed to a version under roll-out, and the next
+//! move of a roll-out.
 //!
-//! Exposure is decided per session by a hash salted with the version: every
-//! instance decides alike, a session exposed at a small share stays exposed
-//! at every larger one, and two roll-outs do not meet the same sessions
-//! first. A stop heard from a peer counts like a withdrawal before the
-//! configuration says so.
+//! Exposure is decided per session by a hash salted with the version. So every
+//! instance decides the same, a session exposed at a small share stays exposed at
+//! every larger one, and two roll-outs don't start with the same sessions. A stop
+//! received from a peer counts as a withdrawal even before the configuration
+//! contains it.
 
 use std::collections::BTreeMap;
 
@@ -22,24 +23,24 @@
 
 use crate::guard::{Reason, Verdict};
 
-/// What exposure is decided by: a session, or a request without one.
+/// Unit of exposure: the hash of a session, or of a request without a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Unit(pub u64);
 
 impl Unit {
-    /// The unit of a caller's session.
+    /// Returns the unit of a customer's session.
     #[must_use]
     pub fn session(customer: &Customer, session: &session::Id) -> Self {
         Self(hash::stable(format!("session/{customer}/{session}").as_bytes()))
     }
 
-    /// The unit of a request without a session.
+    /// Returns the unit of a request without a session.
     #[must_use]
     pub fn request(id: &request::Id) -> Self {
         Self(id.hash())
     }
 
-    /// Where the unit lies from 0 to 1 for a version.
+    /// Returns the position of the unit for a version, from 0 to 1.
     fn fraction(self, version: &Version) -> f64 {
         let salted = hash::rendezvous(self.0, version.model.as_str().as_bytes());
         let mixed = hash::rendezvous(salted, version.number.as_str().as_bytes());
@@ -49,29 +50,29 @@
     }
 }
 
-/// Versions stopped by evidence, whatever the catalog still says.
+/// Versions stopped by evidence, even if the catalog still exposes them.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Stops(BTreeMap<Version, Stop>);
 
-/// One stopped version.
+/// The stop of one version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Stop {
-    /// The stopped version.
+    /// Stopped version.
     pub version: Version,
-    /// Its roll-out.
+    /// Roll-out of the version.
     pub rollout: rollout::Id,
-    /// Why, for people.
+    /// Reason as text for operators.
     pub reason: String,
 }
 
 impl Stops {
-    /// Whether a version is stopped.
+    /// Returns whether a version is stopped.
     #[must_use]
     pub fn contains(&self, version: &Version) -> bool {
         self.0.contains_key(version)
     }
 
-    /// Adds a stop; false when the version is stopped already.
+    /// Adds a stop. Returns false if the version is already stopped.
     pub fn insert(&mut self, stop: Stop) -> bool {
         if self.contains(&stop.version) {
             return false;
@@ -80,13 +81,13 @@
         true
     }
 
-    /// Every stop.
+    /// Iterates over all stops.
     pub fn iter(&self) -> impl Iterator<Item = &Stop> {
         self.0.values()
     }
 
-    /// Drops the stops that the catalog has taken over or whose roll-out is
-    /// gone from it.
+    /// Removes the stops of versions that the catalog has withdrawn, and of
+    /// roll-outs that it no longer contains.
     pub fn settle(&mut self, catalog: &Catalog) {
         self.0.retain(|version, stop| {
             let running = catalog.rollouts().get(&stop.rollout).is_some_and(|r| r.version == *version);
@@ -95,10 +96,10 @@
     }
 }
 
-/// Versions of a model that a new session may start on.
+/// Returns the versions of a model that a new session may start on.
 ///
-/// Each tier's predecessor is replaced by the version under roll-out for the
-/// sessions that meet it, and for all once it is promoted.
+/// A version under roll-out replaces its predecessor for the sessions exposed to
+/// it, and for all sessions once it is promoted.
 #[must_use]
 pub fn open(catalog: &Catalog, stops: &Stops, contract: &Contract, model: &model::Id, unit: Unit) -> Vec<Version> {
     let Some(spec) = catalog.model(model) else { return Vec::new() };
@@ -109,14 +110,14 @@
         .collect()
 }
 
-/// Whether a session pinned to a version may go on with it.
+/// Returns whether a session pinned to a version may continue on it.
 #[must_use]
 pub fn keeps(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version) -> bool {
     let gone = matches!(catalog.standing(version), Standing::Withdrawn | Standing::Unknown);
     allowed(contract, version) && !gone && !stops.contains(version)
 }
 
-/// Whether a new session meets a version that is under roll-out.
+/// Returns whether a new session is exposed to a version under roll-out.
 #[must_use]
 pub fn exposed(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version, unit: Unit) -> bool {
     match catalog.standing(version) {
@@ -127,41 +128,41 @@
     }
 }
 
-/// Which arm of the comparison a session's answers count for.
+/// Arm of the comparison that the answers of a session count for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Arm {
-    /// Meets the new version.
+    /// Exposed to the new version.
     New,
-    /// Counts for the predecessor.
+    /// Control group, on the predecessor.
     Control,
-    /// Counts for neither.
+    /// Not part of the comparison.
     Outside,
 }
 
-/// Most control sessions to one exposed session.
+/// Maximum number of control sessions per exposed session.
 const CONTROL_RATIO: f64 = 30.0;
 
-/// Control sessions to one exposed session at a step's share.
+/// Returns the number of control sessions per exposed session at the share of a step.
 #[must_use]
 pub fn control_ratio(share: f64) -> f64 {
     if share > 0.0 { ((1.0 - share) / share).min(CONTROL_RATIO) } else { CONTROL_RATIO }
 }
 
-/// Whether a step's share leaves too few to compare with.
+/// Returns whether the share of a step leaves too few control sessions for a comparison.
 #[must_use]
 pub fn thin(share: f64) -> bool {
     control_ratio(share) < THIN_RATIO
 }
 
-/// Fewest control sessions to one exposed session that make a comparison.
+/// Minimum number of control sessions per exposed session for a comparison.
 const THIN_RATIO: f64 = 0.25;
 
-/// The arm of a customer's session at a step's share.
+/// Returns the arm of a customer's session at the share of a step.
 ///
-/// The control group is as many times larger than the exposed one for every
-/// customer. Counting all of the predecessor's sessions would compare two
-/// mixes of customers wherever contracts cap exposure, and a version could
-/// look bad only because careful customers do not meet it.
+/// The ratio of control sessions to exposed sessions is the same for every
+/// customer. If all sessions on the predecessor counted as control, the arms would
+/// contain different mixes of customers wherever contracts cap exposure, and a
+/// version could look bad only because cautious customers are not exposed to it.
 #[must_use]
 pub fn arm(share: f64, contract: &Contract, version: &Version, unit: Unit) -> Arm {
     let own = limited(share, contract);
@@ -173,10 +174,10 @@
     if place >= 1.0 - own * ratio { Arm::Control } else { Arm::Outside }
 }
 
-/// A step's share as a contract takes it.
+/// Returns the share of a step as limited by a contract.
 fn limited(share: f64, contract: &Contract) -> f64 {
-    // Customers that ask for least contact come late: the square is nearly
-    // nothing at the first steps and everything at the last.
+    // Customers with the objective exposure are exposed late: the square of the
+    // share is close to 0 at the first steps and 1 at the last.
     let share = if contract.objective == Objective::Exposure { share * share } else { share };
     share.min(contract.exposure.new_version_share)
 }
@@ -186,7 +187,7 @@
     model.is_some_and(|a| a.versions.contains(&version.number))
 }
 
-/// Whether a version takes a new session, its successors aside.
+/// Returns whether a version accepts a new session, regardless of its successors.
 fn takes(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version, unit: Unit) -> bool {
     match catalog.standing(version) {
         Standing::Serving => keeps(catalog, stops, contract, version),
@@ -195,7 +196,7 @@
     }
 }
 
-/// Whether a successor takes a version's new sessions from it.
+/// Returns whether a successor takes over the new sessions of a version.
 fn replaced(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version, unit: Unit) -> bool {
     catalog.rollouts().values().any(|rollout| {
         let successor = rollout.version.model == version.model && rollout.predecessor == version.number;
@@ -204,55 +205,55 @@
     })
 }
 
-/// How far a roll-out's present state has come.
+/// Progress of a roll-out in its current state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
-    /// Time since the present step was seen in force, in milliseconds.
+    /// Time since the current step was seen in force, in milliseconds.
     pub at_step_ms: Millis,
-    /// Endpoints that hold the version.
+    /// Number of endpoints that have the version loaded.
     pub loaded: usize,
-    /// Endpoints that must hold it for the present step.
+    /// Number of endpoints that must have it loaded for the current step.
     pub wanted: usize,
 }
 
-/// What a roll-out does next.
+/// Next move of a roll-out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Plan {
-    /// Nothing yet.
+    /// Stay in the current state.
     Wait(Waiting),
-    /// Begin the first step.
+    /// Start the first step.
     Expose,
-    /// Go to this step.
+    /// Go to the step with this index.
     Step(usize),
     /// Replace the predecessor.
     Promote,
-    /// Stop for good.
+    /// Withdraw the version permanently.
     Withdraw(Reason),
 }
 
-/// What a roll-out waits for.
+/// Condition that a roll-out waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Waiting {
-    /// Endpoints that load the version.
+    /// More endpoints that have loaded the version.
     Load,
-    /// The step's least time.
+    /// Minimum duration of the step.
     Time,
     /// More answers to compare.
     Evidence,
-    /// An operator, to resume or withdraw.
+    /// An operator, to resume or withdraw it.
     Operator,
-    /// Nothing; it has ended.
+    /// Nothing: the roll-out has ended.
     End,
 }
 
-/// Plans a roll-out's next move.
+/// Returns the next move of a roll-out.
 #[must_use]
 pub fn plan(rollout: &Rollout, verdict: &Verdict, progress: &Progress) -> Plan {
     let ended = matches!(rollout.state, State::Promoted | State::Withdrawn);
     if ended {
         return Plan::Wait(Waiting::End);
     }
-    // A stop counts in every state that has sessions, paused ones too.
+    // A stop takes effect in every state that may have sessions, including paused.
     if let Verdict::Stop(reason) = verdict {
         return Plan::Withdraw(reason.clone());
     }
--- a/crates/route/tests/admission.rs
+++ b/crates/route/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is, and who is refused at once.
+//! Order of admission, and immediate refusals.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,14 @@
 const RUN_MS: u64 = 100;
 
 fn customer(name: &str) -> Customer {
-    Customer::parse(name).expect("a name")
+    Customer::parse(name).expect("valid name")
 }
 
 fn ticket(customer: &Customer, weight: u32, deadline: u64) -> Ticket<'_> {
     Ticket { customer, weight, deadline: Timestamp(deadline), run_ms: RUN_MS, draw: 7 }
 }
 
-/// Gives out `turns` runs, one after the other, and counts them by customer.
+/// Admits and finishes `turns` requests one after the other and counts them by customer.
 fn shares(queue: &mut Queue, turns: usize) -> BTreeMap<String, usize> {
     let mut shares = BTreeMap::new();
     for _ in 0..turns {
@@ -32,7 +32,7 @@
     for (name, weight, requests) in weights {
         for _ in 0..*requests {
             let offered = queue.offer(&ticket(&customer(name), *weight, 1_000_000), Timestamp(0));
-            offered.expect("the deadline is far");
+            offered.expect("the deadline is far away");
         }
     }
     let expected = expected.iter().map(|(name, turns)| (name.to_string(), *turns)).collect();
@@ -55,7 +55,7 @@
 #[test]
 fn earliest_deadline_first_within_a_customer() {
     let (mut queue, a) = (Queue::new(1), customer("a"));
-    let keys = [9_000, 3_000, 6_000].map(|due| queue.offer(&ticket(&a, 1, due), Timestamp(0)).expect("there is time"));
+    let keys = [9_000, 3_000, 6_000].map(|due| queue.offer(&ticket(&a, 1, due), Timestamp(0)).expect("the deadline leaves enough time"));
     let mut turns = Vec::new();
     while let Some(admitted) = queue.next(Timestamp(0)) {
         queue.finished(Timestamp(0));
@@ -64,15 +64,15 @@
     assert_eq!(turns, [keys[1], keys[2], keys[0]]);
 }
 
-/// Engines rank the runs of all instances by the priority that comes with them.
-/// A flood and a single request are let in here alike; in the engine's queue
-/// the single one goes first.
+/// Engines order the runs of all instances by priority. A customer that floods the
+/// queue must get a lower priority than one with a single request, otherwise its runs
+/// would delay the single one in the queue of the engine.
 #[test]
 fn who_is_over_its_share_goes_behind_in_the_engines() {
     let (mut queue, large, small) = (Queue::new(100), customer("large"), customer("small"));
     let mut run = |customer: &Customer, now: u64| {
-        queue.offer(&ticket(customer, 1, now + 1_000_000), Timestamp(now)).expect("there is time");
-        let admitted = queue.next(Timestamp(now)).expect("it waits");
+        queue.offer(&ticket(customer, 1, now + 1_000_000), Timestamp(now)).expect("the deadline leaves enough time");
+        let admitted = queue.next(Timestamp(now)).expect("a request is waiting");
         queue.finished(Timestamp(now));
         admitted.priority
     };
@@ -80,29 +80,30 @@
     let flood = (1..50).map(|now| run(&large, now)).max().expect("there are some");
     assert_eq!(run(&small, 50), small_first);
     assert!(flood > small_first, "{flood} and {small_first}");
-    assert_eq!(run(&large, 500_000), small_first, "past use fades");
+    assert_eq!(run(&large, 500_000), small_first, "past usage decays");
 }
 
-/// A customer that was idle for long comes back with a burst. Had it saved up
-/// its unused turns, the burst would shut everybody else out.
+/// A customer returns with a burst after being idle. If it had accumulated its unused
+/// turns, the burst would lock out all other customers.
 #[test]
 fn idle_time_is_not_saved_up() {
     let (mut queue, a, b) = (Queue::new(1), customer("a"), customer("b"));
     for _ in 0..100 {
-        queue.offer(&ticket(&a, 1, 1_000_000), Timestamp(0)).expect("there is time");
-        queue.next(Timestamp(0)).expect("it waits");
+        queue.offer(&ticket(&a, 1, 1_000_000), Timestamp(0)).expect("the deadline leaves enough time");
+        queue.next(Timestamp(0)).expect("a request is waiting");
         queue.finished(Timestamp(0));
     }
     for _ in 0..20 {
-        queue.offer(&ticket(&a, 1, 1_000_000), Timestamp(0)).expect("there is time");
-        queue.offer(&ticket(&b, 1, 1_000_000), Timestamp(0)).expect("there is time");
+        queue.offer(&ticket(&a, 1, 1_000_000), Timestamp(0)).expect("the deadline leaves enough time");
+        queue.offer(&ticket(&b, 1, 1_000_000), Timestamp(0)).expect("the deadline leaves enough time");
     }
     let shares = shares(&mut queue, 10);
     assert!((4..=6).contains(&shares["a"]), "{shares:?}");
 }
 
-/// One run at a time, ten wait, and the eleventh has time for five. It is told
-/// now, with a time after which it would fit, and does not wait for nothing.
+/// One request runs at a time, and more are offered than fit before their deadline.
+/// The next one must be refused on arrival with a retry time, instead of waiting in
+/// vain.
 #[test]
 fn what_cannot_be_done_in_time_is_refused_at_once() {
     let (mut queue, a) = (Queue::new(1), customer("a"));
@@ -110,24 +111,24 @@
         queue.offer(&ticket(&a, 1, 400), Timestamp(0)).ok();
     }
     let waiting = queue.waiting();
-    let refusal = queue.offer(&ticket(&a, 1, 400), Timestamp(0)).expect_err("there is no time");
+    let refusal = queue.offer(&ticket(&a, 1, 400), Timestamp(0)).expect_err("the deadline leaves too little time");
     assert!(matches!(refusal.cause, Cause::Deadline { .. }));
     assert!(refusal.retry_after_ms >= RUN_MS, "{refusal}");
     assert_eq!(queue.waiting(), waiting);
 }
 
-/// An earlier deadline overtakes; the one behind it can no longer be done. It
-/// is shed as soon as that is so and not given out late.
+/// A waiting request can no longer meet its deadline. It must be shed as soon as this
+/// is so, and must not be admitted late.
 #[test]
 fn overtaken_work_is_shed_and_never_run_late() {
     let (mut queue, a) = (Queue::new(1), customer("a"));
-    let slow = queue.offer(&ticket(&a, 1, 150), Timestamp(0)).expect("there is time");
+    let slow = queue.offer(&ticket(&a, 1, 150), Timestamp(0)).expect("the deadline leaves enough time");
     let shed = queue.shed(Timestamp(60));
     assert_eq!(shed.iter().map(|(key, _)| *key).collect::<Vec<_>>(), [slow]);
     assert!(queue.next(Timestamp(60)).is_none());
 }
 
-/// What the caller of the queue does.
+/// An operation on the queue.
 #[derive(Debug, Clone)]
 enum Act {
     Offer { customer: usize, weight: u32, within_ms: u64, run_ms: u64 },
@@ -157,8 +158,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Every request let in is told one thing, once: its turn, or that it has
-    /// none; no more run than may; none is given its turn too late.
+    /// Every accepted request gets exactly one outcome: admitted, shed or cancelled. The
+    /// limit of running requests holds, and no request is admitted too late.
     #[test]
     fn every_request_is_told_once(acts in proptest::collection::vec(act(), 1..200)) {
         let names: Vec<_> = ["a", "b", "c", "d"].map(customer).into();
@@ -176,7 +177,7 @@
                     }
                 }
                 Act::Next => if let Some(admitted) = queue.next(now) {
-                    let (deadline, run_ms) = waiting.remove(&admitted.key).expect("it was told already");
+                    let (deadline, run_ms) = waiting.remove(&admitted.key).expect("the request has no outcome yet");
                     prop_assert!(now.plus(run_ms) <= deadline);
                     prop_assert!(running < limit);
                     prop_assert!(admitted.priority <= 9);
--- a/crates/route/tests/guard.rs
+++ b/crates/route/tests/guard.rs
@@ -1,4 +1,4 @@
-//! The version guard's false alarms and its power, by seeded simulation.
+//! False alarm rate and power of the version guard, by seeded simulation.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,8 +19,9 @@
     rollout
 }
 
-/// Deals one answer to an arm at a step's share and counts a failed rating.
-/// True when it was the new version's: only then the evidence against it grows.
+/// Adds an answer to a random arm at the share of a step. Returns true if it is an
+/// answer of the new version that failed its rating: only then the evidence against
+/// the version grows.
 fn answer(random: &mut ChaCha8Rng, evidence: &mut Evidence, share: f64, good: f64, worse: f64) -> bool {
     let new = random.random_bool(1.0 / (1.0 + control_ratio(share)));
     let failed = random.random_bool(if new { worse } else { good });
@@ -30,7 +31,8 @@
     new && failed
 }
 
-/// Answers at each of the steps until a stop; returns the new version's count.
+/// Simulates `per_step` answers at each step until the version is stopped, and returns
+/// the number of its answers until then, or `None` if it is not stopped.
 fn play(policy: &Policy, seed: u64, per_step: usize, rate: impl Fn(usize) -> (f64, f64)) -> Option<u64> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut steps = Vec::new();
@@ -49,10 +51,10 @@
     None
 }
 
-/// A clean version, judged after each answer, while the rate of failed ratings
-/// swings between 2 and 30 in 100 and every tenth customer fails half of its
-/// ratings. A test that compares rates over time would take such a swing for
-/// the version's. With `alpha` at 1 in 20, far fewer may be stopped.
+/// Tests a version that is no worse than its predecessor, while the rate of failed
+/// ratings alternates between 2 and 30 in 100 and every tenth customer fails half of
+/// its ratings. A test that compares rates over time would attribute the change to the
+/// version. With `alpha` of 1 in 20, at most that share of the versions may be stopped.
 #[test]
 fn clean_versions_are_not_stopped() {
     let policy = Policy { alpha: 0.05, ..Policy::default() };
@@ -64,8 +66,8 @@
             play(&policy, *seed, 1_500, |number| (rate(number), rate(number))).is_some()
         })
         .count();
-    assert!(stopped <= 50, "{stopped} of {runs} clean versions stopped, alpha allows 50");
-    assert!(stopped > 0, "none at all: the test is far weaker than alpha allows, or does not look");
+    assert!(stopped <= 50, "{stopped} of {runs} versions stopped that are no worse, alpha allows 50");
+    assert!(stopped > 0, "no version stopped: the test is much weaker than alpha allows, or does not run");
 }
 
 macro_rules! power {
@@ -77,7 +79,7 @@
                 .map(|seed| play(&policy, seed, 100_000, |_| ($good, $worse)).unwrap_or(u64::MAX))
                 .collect();
             met.sort_unstable();
-            assert!(met[20] <= $answers, "half of them met {} answers", met[20]);
+            assert!(met[20] <= $answers, "median of {} answers until the stop", met[20]);
         })*
     };
 }
@@ -89,9 +91,9 @@
     errors_where_there_were_none: 0.000_1 to 0.3, half within 25;
 }
 
-/// A version was good for 40,000 answers of a step and then turns bad. The
-/// step's sums alone would need thousands of bad answers to tell; the window
-/// it turned bad in tells after about as many as at the start.
+/// A version is good for 40,000 answers of a step and then becomes bad. The counts of
+/// the whole step would need thousands of bad answers to show this; the current window
+/// shows it after about as many answers as at the start of the step.
 #[test]
 fn late_change_is_seen_in_its_window() {
     let policy = Policy::default();
@@ -114,12 +116,12 @@
         window.evidence += one;
         met += one.new.errors.n;
     }
-    assert!(met <= 150, "{met} answers since it turned bad");
-    assert!(!stopped(&steps, &Window::default()), "the whole step alone does not tell yet");
+    assert!(met <= 150, "{met} answers since the version became bad");
+    assert!(!stopped(&steps, &Window::default()), "the counts of the whole step must not suffice yet");
 }
 
-/// At the last step everybody meets the version and nobody is left to compare
-/// with. One that turns bad only then is seen against the step before.
+/// At the last step all sessions are exposed and there is no control arm. A version
+/// that becomes bad only then must be detected by comparison with the previous step.
 #[test]
 fn last_step_is_compared_with_the_one_before() {
     let count = |n, bad| Count { n, bad };
@@ -133,7 +135,8 @@
     assert!(matches!(verdict(&steps), Verdict::Stop(_)));
 }
 
-/// Rating service down: no step ends on errors alone where ratings are wanted.
+/// While the rating service is down, no step may end on the error counts alone if the
+/// policy requires ratings.
 #[test]
 fn no_step_ends_without_ratings() {
     let mut evidence = Evidence::default();
--- a/crates/route/tests/model.rs
+++ b/crates/route/tests/model.rs
@@ -1,5 +1,5 @@
-//! Choices stay inside contract, configuration and session, and are made for
-//! least cost at the target.
+//! Choices respect contract, configuration and session, and minimize cost at the
+//! quality target.
 
 use std::collections::BTreeSet;
 
@@ -64,13 +64,13 @@
 }
 
 fn cell() -> Cell {
-    Cell::new(&Customer::parse("c").expect("a name"), &Class::parse("k").expect("a name"))
+    Cell::new(&Customer::parse("c").expect("valid name"), &Class::parse("k").expect("valid name"))
 }
 
 impl Case {
     fn pinned(mut self, versions: &[(u8, &str)]) -> Self {
         let pins = versions.iter().map(|(tier, v)| Pin { tier: *tier, version: text(v), left: None }).collect();
-        self.session = Some(Session { customer: Customer::parse("c").expect("a name"), pins });
+        self.session = Some(Session { customer: Customer::parse("c").expect("valid name"), pins });
         self
     }
 
@@ -84,9 +84,9 @@
     fn choose(&self) -> Result<Choice, Refusal> {
         model::choose(&Inputs {
             catalog: &self.catalog,
-            customer: &Customer::parse("c").expect("a name"),
-            model: &Id::parse("m").expect("a name"),
-            class: &Class::parse("k").expect("a name"),
+            customer: &Customer::parse("c").expect("valid name"),
+            model: &Id::parse("m").expect("valid name"),
+            class: &Class::parse("k").expect("valid name"),
             session: self.session.as_ref(),
             unit: self.unit,
             stops: &self.stops,
@@ -156,16 +156,17 @@
     the_deadline_forbids_the_cascade: Case { left_ms: 1_500, ..middling() } => Ok(&["m@9"]);
 }
 
-/// A peer's strong evidence stops a version before any configuration says so.
-/// A session that was on it is moved, and the answer can say that it was.
+/// Evidence from a peer stops a version before the configuration withdraws it. A
+/// session pinned to the version is moved at once, and the reason names the version
+/// that it left.
 #[test]
 fn a_stop_heard_from_a_peer_counts_at_once() {
     let mut case = case(ALL, "").pinned(&[(0, "m@2")]).rated("m@1", Stage::First, 99, 1);
-    let before = case.choose().expect("something runs");
-    let rollout = world::rollout::Id::parse("r").expect("a name");
+    let before = case.choose().expect("some version may run");
+    let rollout = world::rollout::Id::parse("r").expect("valid name");
     case.stops.insert(Stop { version: text("m@2"), rollout, reason: "errors".into() });
 
-    let after = case.choose().expect("something runs");
+    let after = case.choose().expect("some version may run");
     assert_eq!(steps(&after), ["m@1"]);
     assert_eq!(after.reason().moved, [text("m@2")]);
     assert!(
@@ -176,30 +177,30 @@
     );
 }
 
-/// Both versions that a session is on are stopped at once. The answer may come
-/// from either tier, so the choice names both; of a tier that it does without,
-/// nothing has been left yet.
+/// Both versions that a session is pinned to are stopped at once. The answer may come
+/// from either tier, so the reason must name the version left in each tier that the
+/// ladder uses, and none of other tiers.
 #[test]
 fn every_version_that_a_session_leaves_is_named() {
     let mut case = middling().pinned(&[(0, "m@1"), (1, "m@9")]);
-    let cascade = steps(&case.choose().expect("something runs"));
+    let cascade = steps(&case.choose().expect("some version may run"));
     assert_eq!(cascade, ["m@1", "m@9"]);
-    let rollout = world::rollout::Id::parse("r").expect("a name");
+    let rollout = world::rollout::Id::parse("r").expect("valid name");
     for version in ["m@1", "m@9"] {
         case.stops.insert(Stop { version: text(version), rollout: rollout.clone(), reason: "errors".into() });
     }
-    let after = case.choose().expect("something runs");
+    let after = case.choose().expect("some version may run");
     let tiers: Vec<u8> = after.steps().iter().map(route::model::Permit::tier).collect();
     let expected: Vec<_> = [(0, "m@1"), (1, "m@9")].iter().filter(|(tier, _)| tiers.contains(tier)).collect();
     let expected: Vec<_> = expected.into_iter().map(|(_, version)| text(version)).collect();
     assert_eq!(after.reason().moved, expected, "{:?}", steps(&after));
 }
 
-/// The choice is made under one generation; before the second step runs, its
-/// version is withdrawn by the next. The permit must not outlive it.
+/// A version is withdrawn between the choice and the dispatch of its step. The
+/// permit must not be renewed, otherwise the withdrawn version would run once more.
 #[test]
 fn a_permit_does_not_outlive_a_withdrawal() {
-    let before = middling().choose().expect("something runs");
+    let before = middling().choose().expect("some version may run");
     let later = case(ALL, WITHDRAWN);
     let renewed: Vec<_> =
         before.steps().iter().map(|step| step.renew(&later.catalog, &later.stops).is_some()).collect();
@@ -210,7 +211,7 @@
 #[test]
 fn pins_keep_the_other_tiers_of_a_session() {
     let case = middling().pinned(&[(0, "m@1"), (1, "m@9")]).rated("m@1", Stage::First, 990, 10);
-    let choice = case.choose().expect("something runs");
+    let choice = case.choose().expect("some version may run");
     let pins: BTreeSet<_> = choice.pins(case.session.as_ref()).into_iter().map(|pin| pin.version.to_string()).collect();
     assert_eq!(steps(&choice), ["m@1"]);
     assert_eq!(pins, BTreeSet::from(["m@1".into(), "m@9".into()]));
--- a/crates/route/tests/properties.rs
+++ b/crates/route/tests/properties.rs
@@ -1,5 +1,5 @@
-//! No choice breaks a contract, withdrawal, session, budget or deadline rule,
-//! over generated contracts, configurations, ratings and loads.
+//! Property test: no choice breaks a rule of contract, withdrawal, session, budget or
+//! deadline, with generated contracts, configurations, ratings and run times.
 
 use std::{collections::BTreeSet, fmt::Write as _};
 
@@ -26,7 +26,7 @@
 const OBJECTIVES: [&str; 3] = ["cost", "latency", "exposure"];
 
 #[derive(Debug, Clone)]
-#[expect(clippy::struct_excessive_bools, reason = "every combination is to be generated")]
+#[expect(clippy::struct_excessive_bools, reason = "every combination must be generated")]
 struct Release {
     tier: u8,
     price: u32,
@@ -34,7 +34,8 @@
     allowed: bool,
     stopped: bool,
     pinned: bool,
-    /// Its roll-out's state, with the release before it as predecessor.
+    /// Index of the state of its roll-out in [`STATES`], if it has one. The predecessor is
+    /// the previous release of the same tier.
     rollout: Option<usize>,
     passes: u32,
     fails: u32,
@@ -133,13 +134,13 @@
             left: None,
         });
         let customer = if self.owner { "c" } else { "another" };
-        Session { customer: Customer::parse(customer).expect("a name"), pins: pins.collect() }
+        Session { customer: Customer::parse(customer).expect("valid name"), pins: pins.collect() }
     }
 
     fn stops(&self) -> Stops {
         let mut stops = Stops::default();
         for (index, _) in self.releases.iter().enumerate().filter(|(_, release)| release.stopped) {
-            let rollout = world::rollout::Id::parse("r").expect("a name");
+            let rollout = world::rollout::Id::parse("r").expect("valid name");
             stops.insert(Stop { version: version(index), rollout, reason: "errors".into() });
         }
         stops
@@ -160,7 +161,7 @@
     }
 
     fn most_cost(&self, catalog: &Catalog, version: &Version) -> Amount {
-        let release = catalog.release(version).expect("the catalog has it");
+        let release = catalog.release(version).expect("the catalog contains the version");
         let tokens = self.max_tokens.unwrap_or(u32::MAX).min(release.max_output);
         release.price.cost(PROMPT.into(), tokens.into())
     }
@@ -170,8 +171,9 @@
     contract.models.iter().any(|a| a.model == version.model && a.versions.contains(&version.number))
 }
 
-/// Versions that the request may start on, by the rules and not by the code
-/// under test: allowed, not stopped, serving, or new and met, or pinned.
+/// Returns whether the request may run on a version: it is allowed, not stopped, and
+/// either serving, exposed to the request, or pinned. Implements the rules
+/// independently of [`model::choose`].
 fn may_run(
     case: &Case,
     catalog: &Catalog,
@@ -204,16 +206,16 @@
 
     #[test]
     fn no_choice_breaks_a_rule(case in case()) {
-        let customer = Customer::parse("c").expect("a name");
-        let class = Class::parse("k").expect("a name");
+        let customer = Customer::parse("c").expect("valid name");
+        let class = Class::parse("k").expect("valid name");
         let (catalog, stops, session) = (case.catalog(), case.stops(), case.session());
-        let contract = catalog.contract(&customer).expect("it was built in");
+        let contract = catalog.contract(&customer).expect("the catalog contains the contract");
         let cell = Cell::new(&customer, &class);
         let book = case.book(cell);
         let chosen = model::choose(&Inputs {
             catalog: &catalog,
             customer: &customer,
-            model: &Id::parse("m").expect("a name"),
+            model: &Id::parse("m").expect("valid name"),
             class: &class,
             session: Some(&session),
             unit: Unit(case.unit),
@@ -239,7 +241,7 @@
                 return Ok(());
             }
             Err(Refusal::NoVersion) => {
-                prop_assert!(open.is_empty(), "{open:?} might have run");
+                prop_assert!(open.is_empty(), "{open:?} may run");
                 return Ok(());
             }
             Err(Refusal::Budget { needed, left }) => {
@@ -265,20 +267,20 @@
         let kept = |pin: &&Pin| case.owner && rollout::keeps(&catalog, &stops, contract, &pin.version);
         for pin in session.pins.iter().filter(kept) {
             let step = choice.steps().iter().find(|step| step.tier() == pin.tier);
-            prop_assert!(step.is_none_or(|step| *step.version() == pin.version), "left its pin {}", pin.version);
+            prop_assert!(step.is_none_or(|step| *step.version() == pin.version), "moved away from its pin {}", pin.version);
         }
 
         let most = steps.iter().fold(Amount::ZERO, |sum, step| sum.saturating_add(case.most_cost(&catalog, step)));
         prop_assert_eq!(choice.ceiling(), most);
         prop_assert!(most <= Amount(case.ceiling));
         let least: f64 = steps.iter().map(|step| book.speed(cell, step, NOW).least_ms()).sum();
-        prop_assert!(least <= f64::from(u32::try_from(case.left_ms).expect("under a minute")));
+        prop_assert!(least <= f64::from(u32::try_from(case.left_ms).expect("less than a minute")));
 
         let reason = choice.reason();
         prop_assert!((0.0..=1.0).contains(&reason.quality.mean) && reason.quality.deviation.is_finite());
         prop_assert!(reason.to_string().starts_with(&steps[0].to_string()));
-        let text = serde_json::to_string(reason).expect("a reason serialises");
-        let back: Reason = serde_json::from_str(&text).expect("and comes back");
+        let text = serde_json::to_string(reason).expect("the reason serializes");
+        let back: Reason = serde_json::from_str(&text).expect("the reason deserializes");
         prop_assert_eq!(back.to_string(), reason.to_string());
     }
 }
--- a/crates/route/tests/quality.rs
+++ b/crates/route/tests/quality.rs
@@ -1,4 +1,4 @@
-//! What is learned from ratings that come late, are missing, or stop.
+//! Learning from ratings that arrive late, are missing, or stop.
 
 use route::quality::{Answer, Book, Cell, Guess, Ledger, Stage};
 use world::{Timestamp, contract::Customer, model::Version, request::Class};
@@ -8,7 +8,7 @@
 const MINUTE: u64 = 60_000;
 
 fn cell(customer: &str, class: &str) -> Cell {
-    Cell::new(&Customer::parse(customer).expect("a name"), &Class::parse(class).expect("a name"))
+    Cell::new(&Customer::parse(customer).expect("valid name"), &Class::parse(class).expect("valid name"))
 }
 
 fn version(text: &str) -> Version {
@@ -21,7 +21,8 @@
     }
 }
 
-/// Rates 1,000 answers at `seen` and checks what is then believed of `asked`.
+/// Records 1,000 ratings, of which 700 pass, for the customer, class and version in
+/// `seen`, and checks the estimate for those in `asked`.
 fn check(seen: (&str, &str, &str), asked: (&str, &str, &str), parent: Option<&str>, low: f64, high: f64, spread: f64) {
     let mut book = Book::default();
     rate(&mut book, cell(seen.0, seen.1), seen.2, 700, 300);
@@ -53,8 +54,8 @@
     assert!(estimate.lower(1.0) < 0.75, "{estimate:?}");
 }
 
-/// A caller puts a number into the class name. Each request would be a class
-/// of its own, never learned; past a limit they are learned as one.
+/// A caller puts a number into the class name, so that each request has its own class.
+/// Beyond the limit such classes share one cell; otherwise nothing would be learned.
 #[test]
 fn classes_without_number_are_learned_as_one() {
     let mut book = Book::default();
@@ -75,8 +76,8 @@
     assert!(book.profile(cell("a", "k"), &version("m@1"), guess, Timestamp(0)).first.mean < 0.6);
 }
 
-/// The rating service is down for an hour. What is given then counts as
-/// expected, but the account must get more careful with each answer.
+/// The rating service is down for an hour. Answers count with their expected rating,
+/// but the account must become more cautious with each of them.
 #[test]
 fn an_hour_without_ratings_makes_careful() {
     let (mut book, cell) = (Book::default(), cell("a", "k"));
@@ -87,8 +88,9 @@
     assert!(book.account(cell).credit() < before - 5.0);
 }
 
-/// Ten answers are given, one is never rated. When one given ten minutes later
-/// is, the service has passed it by; it counts as expected, its spread stays.
+/// One of three answers is not rated, and an answer given more than ten minutes later
+/// is. The rating service has skipped the first: it lapses, counts with its expected
+/// rating, and its variance lowers the credit.
 #[test]
 fn an_answer_that_is_passed_by_lapses() {
     let (mut book, mut ledger, cell) = (Book::default(), Ledger::default(), cell("a", "k"));
@@ -109,8 +111,8 @@
     assert!(credit < passes && credit > passes - 1.0, "{credit}");
 }
 
-/// Requests that escalate are the harder ones. Counted at the whole ladder's
-/// rate, the unrated among them made classes end below their target.
+/// Requests that escalate are harder than average. When unrated ones counted with the
+/// rate of the whole ladder, classes ended below their target.
 #[test]
 fn an_escalated_answer_counts_at_what_is_left_of_its_ladder() {
     let (mut book, cell) = (Book::default(), cell("a", "k"));
@@ -120,8 +122,9 @@
     assert!(book.account(cell).credit() < 0.6 - TARGET);
 }
 
-/// Even the cheapest version is better than asked for a year, then it turns
-/// bad. What was saved up must not pay for long.
+/// Even the cheapest version exceeds the target for a year, then becomes bad. The
+/// credit accumulated until then must be bounded, or bad answers would be tolerated
+/// for long.
 #[test]
 fn an_account_does_not_save_without_end() {
     let (mut book, cell) = (Book::default(), cell("a", "k"));
@@ -132,8 +135,8 @@
     assert!(book.account(cell).credit() <= 60.0);
 }
 
-/// A slow spell: every run takes a minute, and requests with less are refused.
-/// No run would then show the end of the spell; so its memory fades.
+/// In a slow period every run takes a minute, and requests with less time are refused.
+/// Without runs the end of the period is not observed, so the durations must decay.
 #[test]
 fn a_slow_spell_is_forgotten() {
     let (mut book, cell) = (Book::default(), cell("a", "k"));
--- a/crates/route/tests/retry.rs
+++ b/crates/route/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and hedges stay inside budget and deadline.
+//! Retries and hedges stay within budget and deadline.
 
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -54,18 +54,18 @@
     assert_eq!(hedge(&request(Repeat::Idempotent, 2), 9_400), Hedge::Never(Reason::Tries));
 }
 
-/// Every endpoint fails everything. Dispatches stay under `1 + share` times
-/// the first tries and the burst: retries cannot feed the overload.
+/// Every attempt fails. Dispatches must stay below `1 + share` times the first attempts
+/// plus the burst, so that retries cannot sustain an overload.
 #[test]
 fn overload_is_not_multiplied() {
     let unbounded = dispatches(&Policy { share: 3.0, burst: 1e9, ..Policy::default() });
     let bounded = dispatches(&Policy::default());
-    println!("10,000 requests, all fail: {bounded} dispatches, {unbounded} without a budget");
-    assert!((10_990..=11_005).contains(&bounded), "{bounded} dispatches of 10,000 requests");
+    println!("10,000 requests, every attempt fails: {bounded} dispatches, {unbounded} without a budget");
+    assert!((10_990..=11_005).contains(&bounded), "{bounded} dispatches for 10,000 requests");
     assert_eq!(unbounded, 40_000);
 }
 
-/// Dispatches of 10,000 requests that fail at every endpoint.
+/// Returns the number of dispatches of 10,000 requests if every attempt fails.
 fn dispatches(policy: &Policy) -> u64 {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut budget = Budget::new(policy);
@@ -87,8 +87,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Whatever fails when: nothing that may have run runs twice where it must
-    /// not, no retry would end after the deadline, no budget is overdrawn.
+    /// For any sequence of failures: a request that may have run and must not run twice
+    /// is not retried, no retry would end after the deadline, and no budget is overdrawn.
     #[test]
     fn no_decision_breaks_a_rule(
         seed: u64,
--- a/crates/route/tests/rollout.rs
+++ b/crates/route/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Who meets a version under roll-out.
+//! Exposure of sessions to versions under roll-out, and the next move of a roll-out.
 
 use proptest::prelude::*;
 use route::{
@@ -62,7 +62,7 @@
     stops
 }
 
-/// Shares of 10,000 new sessions that start on each of versions 1, 2 and 3,
+/// Checks the shares of 10,000 new sessions that may start on versions 1, 2 and 3,
 /// in percent.
 fn check(rollouts: &str, stops: &Stops, customer: &str, wanted: [u64; 3]) {
     let catalog = catalog(rollouts);
@@ -70,16 +70,16 @@
     let mut met = [0u64; 3];
     for unit in 0..10_000u64 {
         let open = rollout::open(&catalog, stops, contract, &Id::parse("m").unwrap(), Unit(unit * 0x9E37_79B9));
-        assert!(open.contains(&version("9")), "other tiers stay open");
+        assert!(open.contains(&version("9")), "other tiers stay available");
         for (place, number) in ["1", "2", "3"].into_iter().enumerate() {
             met[place] += u64::from(open.contains(&version(number)));
         }
         assert!(open.len() <= 2, "one version per tier: {open:?}");
     }
     for (met, wanted) in met.into_iter().zip(wanted.map(|percent| percent * 100)) {
-        // Nobody and everybody are meant to the last session.
+        // Shares of 0 and 100 percent must be exact.
         let near = if wanted % 10_000 == 0 { met == wanted } else { met.abs_diff(wanted) <= 150 };
-        assert!(near, "{met} sessions, {wanted} wanted");
+        assert!(near, "{met} sessions, {wanted} expected");
     }
 }
 
@@ -117,7 +117,8 @@
         Stops::default(), "old" => [100, 0, 0];
 }
 
-/// A stop is dropped once the catalog withdraws the version, and not before.
+/// A stop must last until the catalog withdraws the version; otherwise the version
+/// would receive sessions again in between.
 #[test]
 fn stops_settle_into_the_catalog() {
     let mut stops = stopped("2", "r");
@@ -127,8 +128,9 @@
     assert!(!stops.contains(&version("2")));
 }
 
-/// Customers with a capped share have as many control sessions to each exposed
-/// one as the others; else the arms would be two different mixes of customers.
+/// Customers whose contract caps the share must have the same ratio of control to
+/// exposed sessions as others; otherwise the arms would contain different mixes of
+/// customers.
 #[test]
 fn arms_keep_the_mix_of_customers() {
     let catalog = catalog(&rolling("r", "2", "1", "exposing", 0.2));
@@ -138,7 +140,7 @@
         let arms: Vec<_> = arms.collect();
         let of = |arm: Arm| arms.iter().filter(|a| **a == arm).count();
         let ratio = of(Arm::Control) * 10 / of(Arm::New);
-        assert!((38..=42).contains(&ratio), "{customer}: {ratio} tenths, 40 wanted");
+        assert!((38..=42).contains(&ratio), "{customer}: {ratio} tenths, 40 expected");
     }
 }
 
@@ -164,7 +166,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// A session that meets a version at one share meets it at every larger.
+    /// A session that is exposed at one share is exposed at every larger share.
     #[test]
     fn exposure_only_grows(unit: u64, small in 0.0f64..1.0, more in 0.0f64..1.0) {
         let meets = |share: f64| {
