--- a/crates/route/benches/memory.rs
+++ b/crates/route/benches/memory.rs
@@ -14,30 +14,30 @@
 use site::{SIZES, Site};
 
 /// Allocator that counts the bytes and calls passed on to the system allocator.
-struct Counting;
+struct CountingAllocator;
 
-static TAKEN: AtomicU64 = AtomicU64::new(0);
-static CALLS: AtomicU64 = AtomicU64::new(0);
-static GIVEN: AtomicU64 = AtomicU64::new(0);
+static ALLOCATED_BYTES: AtomicU64 = AtomicU64::new(0);
+static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
+static FREED_BYTES: AtomicU64 = AtomicU64::new(0);
 
 // SAFETY: every call is passed on to the system allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        TAKEN.fetch_add(layout.size() as u64, Ordering::Relaxed);
-        CALLS.fetch_add(1, Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size() as u64, Ordering::Relaxed);
+        ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
         // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        GIVEN.fetch_add(layout.size() as u64, Ordering::Relaxed);
+        FREED_BYTES.fetch_add(layout.size() as u64, Ordering::Relaxed);
         // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 /// Number of decisions to average over.
 const DECISIONS: u64 = 10_000;
@@ -45,25 +45,25 @@
 fn main() {
     for endpoints in SIZES {
         let catalog = site::catalog(endpoints);
-        let before = held();
+        let before = live_bytes();
         let site = Site::new(catalog, endpoints);
-        let knowledge = held() - before;
-        let (taken, calls) = (TAKEN.load(Ordering::Relaxed), CALLS.load(Ordering::Relaxed));
+        let state_bytes = live_bytes() - before;
+        let (allocated, calls) = (ALLOCATED_BYTES.load(Ordering::Relaxed), ALLOCATIONS.load(Ordering::Relaxed));
         for n in 0..DECISIONS {
             let choice = site.choose_model(usize::try_from(n).expect("at most 10,000"));
             let target = Target::Version(choice.start().version().clone());
             std::hint::black_box(site.choose_endpoint(&target, n));
         }
         println!(
-            "{endpoints} endpoints: {} bytes in {} allocations per decision, all freed; {knowledge} bytes of state for {} endpoints, {} versions",
-            (TAKEN.load(Ordering::Relaxed) - taken) / DECISIONS,
-            (CALLS.load(Ordering::Relaxed) - calls) / DECISIONS,
+            "{endpoints} endpoints: {} bytes in {} allocations per decision, all freed; {state_bytes} bytes of state for {} endpoints, {} versions",
+            (ALLOCATED_BYTES.load(Ordering::Relaxed) - allocated) / DECISIONS,
+            (ALLOCATIONS.load(Ordering::Relaxed) - calls) / DECISIONS,
             site.fleet.endpoints().count(),
             site.versions.len(),
         );
     }
 }
 
-fn held() -> u64 {
-    TAKEN.load(Ordering::Relaxed) - GIVEN.load(Ordering::Relaxed)
+fn live_bytes() -> u64 {
+    ALLOCATED_BYTES.load(Ordering::Relaxed) - FREED_BYTES.load(Ordering::Relaxed)
 }
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -14,7 +14,7 @@
 use world::{Millis, Timestamp, contract::Customer};
 
 use flow::Flow;
-use rate::Rate;
+use rate::CompletionRate;
 
 slotmap::new_key_type! {
     /// Key of a waiting request in a [`Queue`].
@@ -22,24 +22,24 @@
 }
 
 /// Maximum number of waiting requests in a queue, to bound memory.
-const MAX_WAITING: usize = 10_000;
+const MAX_WAITING_REQUESTS: usize = 10_000;
 /// Number of customers in a queue from which on idle ones are removed.
-const MAX_IDLE_FLOWS: usize = 256;
+const MIN_FLOWS_FOR_CLEANUP: usize = 256;
 /// Minimum retry time of a refused request, in milliseconds.
 const MIN_RETRY_MS: Millis = 100;
 /// Divisor of a retry time; up to the quotient is added to it, so that callers
 /// refused at the same time don't retry at the same time.
-const RETRY_SPREAD: u64 = 4;
+const RETRY_SPREAD_DIVISOR: u64 = 4;
 /// Percentage of the expected duration of a run that its deadline must leave under
 /// backlog.
-const SPARE_PERCENT: u64 = 160;
+const BACKLOG_RUN_PERCENT: u64 = 160;
 /// Lowest priority by slack; 0 is the most urgent.
-const LEAST_URGENT: u8 = 4;
+const LOWEST_SLACK_PRIORITY: u8 = 4;
 /// Recent usage up to which a customer counts as idle, in milliseconds.
-const NO_USE_MS: f64 = 1.0;
+const MAX_IDLE_USAGE_MS: f64 = 1.0;
 /// Multiple of its fair share beyond which a customer's runs get a lower priority
 /// than those of others.
-const OVER_SHARE: f64 = 1.25;
+const OVER_SHARE_FACTOR: f64 = 1.25;
 
 /// A request that asks for admission.
 #[derive(Debug, Clone, Copy)]
@@ -111,10 +111,10 @@
 
 /// A waiting request.
 #[derive(Debug)]
-struct Waiting {
+struct WaitingRequest {
     customer: Customer,
     deadline: Timestamp,
-    since: Timestamp,
+    arrived_at: Timestamp,
     run_ms: Millis,
     draw: u64,
 }
@@ -125,9 +125,9 @@
     limit: u32,
     running: u32,
     flows: HashMap<Customer, Flow>,
-    waiting: SlotMap<Key, Waiting>,
+    waiting: SlotMap<Key, WaitingRequest>,
     virtual_time: f64,
-    rate: Rate,
+    rate: CompletionRate,
 }
 
 impl Queue {
@@ -140,7 +140,7 @@
             flows: HashMap::new(),
             waiting: SlotMap::with_key(),
             virtual_time: 0.0,
-            rate: Rate::default(),
+            rate: CompletionRate::default(),
         }
     }
 
@@ -168,25 +168,27 @@
     /// Returns a [`Refusal`]; the request has not run and is not in the queue.
     pub fn offer(&mut self, ticket: &Ticket<'_>, now: Timestamp) -> Result<Key, Refusal> {
         let left_ms = ticket.deadline.since(now);
-        let wait_ms = self.wait(ticket);
-        let late_by = (wait_ms + self.run_ms(ticket.run_ms)).saturating_sub(left_ms);
+        let wait_ms = self.expected_wait_ms(ticket);
+        let late_by = (wait_ms + self.required_ms(ticket.run_ms)).saturating_sub(left_ms);
         if late_by > 0 {
             return Err(refusal(Cause::Deadline { wait_ms, left_ms }, late_by, ticket.draw));
         }
-        if self.waiting.len() >= MAX_WAITING {
+        if self.waiting.len() >= MAX_WAITING_REQUESTS {
             return Err(refusal(Cause::Full, wait_ms, ticket.draw));
         }
-        let waiting = Waiting {
+        let waiting = WaitingRequest {
             customer: ticket.customer.clone(),
             deadline: ticket.deadline,
-            since: now,
+            arrived_at: now,
             run_ms: ticket.run_ms,
             draw: ticket.draw,
         };
         let key = self.waiting.insert(waiting);
-        if self.flows.len() >= MAX_IDLE_FLOWS {
-            let present = self.virtual_time;
-            self.flows.retain(|_, flow| !flow.is_empty() || flow.start() > present || flow.used(now) > NO_USE_MS);
+        if self.flows.len() >= MIN_FLOWS_FOR_CLEANUP {
+            let virtual_time = self.virtual_time;
+            self.flows.retain(|_, flow| {
+                !flow.is_empty() || flow.start() > virtual_time || flow.recent_usage_ms(now) > MAX_IDLE_USAGE_MS
+            });
         }
         let flow = self.flows.entry(ticket.customer.clone()).or_default();
         flow.push(key, ticket, self.virtual_time);
@@ -202,8 +204,8 @@
             return None;
         }
         let in_time = |key: &Key| self.waiting.get(*key).is_some_and(|w| w.deadline.since(now) >= w.run_ms);
-        let firsts = self.flows.iter().filter_map(|(id, flow)| Some((id, flow.start(), flow.first(in_time)?)));
-        let (customer, start, key) = firsts.min_by(|(a, x, _), (b, y, _)| x.total_cmp(y).then(a.cmp(b)))?;
+        let candidates = self.flows.iter().filter_map(|(id, flow)| Some((id, flow.start(), flow.earliest(in_time)?)));
+        let (customer, start, key) = candidates.min_by(|(a, x, _), (b, y, _)| x.total_cmp(y).then(a.cmp(b)))?;
 
         let customer = customer.clone();
         let waiting = self.waiting.remove(key)?;
@@ -214,14 +216,14 @@
         self.running += 1;
         let slack_ms = waiting.deadline.since(now).saturating_sub(waiting.run_ms);
         let priority = self.priority(&customer, slack_ms, waiting.run_ms, now);
-        let waited_ms = now.since(waiting.since);
+        let waited_ms = now.since(waiting.arrived_at);
         Some(Admitted { key, customer, priority, waited_ms, run_ms: waiting.run_ms })
     }
 
     /// Records the end of a run that [`Queue::next`] returned.
     pub fn finished(&mut self, now: Timestamp) {
         self.running = self.running.saturating_sub(1);
-        self.rate.finished(!self.waiting.is_empty(), now);
+        self.rate.record_finish(!self.waiting.is_empty(), now);
     }
 
     /// Removes a waiting request whose caller has disconnected. Returns false if it is
@@ -239,9 +241,9 @@
     /// A request with an earlier deadline may have overtaken them, or runs may have
     /// become slower. They are refused now instead of at their deadline.
     pub fn shed(&mut self, now: Timestamp) -> Vec<(Key, Refusal)> {
-        let late = |w: &Waiting| {
+        let late = |w: &WaitingRequest| {
             let left_ms = w.deadline.since(now);
-            let late_by = self.run_ms(w.run_ms).saturating_sub(left_ms);
+            let late_by = self.required_ms(w.run_ms).saturating_sub(left_ms);
             (late_by > 0).then(|| refusal(Cause::Deadline { wait_ms: 0, left_ms }, late_by, w.draw))
         };
         let late: Vec<_> = self.waiting.iter().filter_map(|(key, w)| late(w).map(|refusal| (key, refusal))).collect();
@@ -257,17 +259,17 @@
     /// The runs ahead of it are those of its own customer with earlier deadlines,
     /// multiplied by the inverse of the customer's share, and at most all waiting
     /// requests.
-    fn wait(&self, ticket: &Ticket<'_>) -> Millis {
+    fn expected_wait_ms(&self, ticket: &Ticket<'_>) -> Millis {
         if self.running < self.limit && self.waiting.is_empty() {
             return 0;
         }
         let active = self.flows.iter().filter(|(id, flow)| !flow.is_empty() && *id != ticket.customer);
-        let others: u64 = active.map(|(_, flow)| u64::from(flow.weight())).sum();
-        let mine = u64::from(ticket.weight.max(1));
-        let ahead = self.flows.get(ticket.customer).map_or(0, |flow| flow.ahead(ticket.deadline));
-        let by_share = (ahead + 1).saturating_mul(mine + others) / mine;
+        let other_weights: u64 = active.map(|(_, flow)| u64::from(flow.weight())).sum();
+        let own_weight = u64::from(ticket.weight.max(1));
+        let ahead = self.flows.get(ticket.customer).map_or(0, |flow| flow.count_ahead(ticket.deadline));
+        let by_share = (ahead + 1).saturating_mul(own_weight + other_weights) / own_weight;
         let turns = by_share.min(self.waiting.len() as u64 + 1);
-        self.rate.time(turns).unwrap_or_else(|| turns * ticket.run_ms / u64::from(self.limit))
+        self.rate.time_for(turns).unwrap_or_else(|| turns * ticket.run_ms / u64::from(self.limit))
     }
 
     /// Returns the time between the start of a run and the deadline that admission
@@ -276,11 +278,11 @@
     /// The expected duration is that of a run on an idle engine. Under backlog the
     /// engines are full and durations vary. If the expected duration sufficed for
     /// admission, half of the last admitted requests would run and finish too late.
-    fn run_ms(&self, expected_ms: Millis) -> Millis {
+    fn required_ms(&self, expected_ms: Millis) -> Millis {
         if self.waiting.is_empty() && self.running < self.limit {
             return expected_ms;
         }
-        expected_ms * SPARE_PERCENT / 100
+        expected_ms * BACKLOG_RUN_PERCENT / 100
     }
 
     /// Returns the priority for the engine: by slack, and lower than all others for
@@ -290,19 +292,20 @@
     /// only, a flood of runs of a customer over its share would precede a single run
     /// of a small customer in the queue of an engine.
     fn priority(&self, customer: &Customer, slack_ms: Millis, run_ms: Millis, now: Timestamp) -> u8 {
-        let urgency = u8::try_from(slack_ms / run_ms.max(1)).unwrap_or(u8::MAX).min(LEAST_URGENT);
-        let used: f64 = self.flows.values().map(|flow| flow.used(now)).sum();
-        let weights: u32 = self.flows.values().filter(|flow| flow.used(now) > NO_USE_MS).map(Flow::weight).sum();
-        let over = self
-            .flows
-            .get(customer)
-            .is_some_and(|flow| flow.used(now) * f64::from(weights) > OVER_SHARE * used * f64::from(flow.weight()));
-        if over { urgency + LEAST_URGENT + 1 } else { urgency }
+        let urgency = u8::try_from(slack_ms / run_ms.max(1)).unwrap_or(u8::MAX).min(LOWEST_SLACK_PRIORITY);
+        let recent_usage_ms: f64 = self.flows.values().map(|flow| flow.recent_usage_ms(now)).sum();
+        let weights: u32 =
+            self.flows.values().filter(|flow| flow.recent_usage_ms(now) > MAX_IDLE_USAGE_MS).map(Flow::weight).sum();
+        let over = self.flows.get(customer).is_some_and(|flow| {
+            flow.recent_usage_ms(now) * f64::from(weights)
+                > OVER_SHARE_FACTOR * recent_usage_ms * f64::from(flow.weight())
+        });
+        if over { urgency + LOWEST_SLACK_PRIORITY + 1 } else { urgency }
     }
 }
 
 fn refusal(cause: Cause, after_ms: Millis, draw: u64) -> Refusal {
     let after_ms = after_ms.max(MIN_RETRY_MS);
-    let spread = draw % (after_ms / RETRY_SPREAD + 1);
+    let spread = draw % (after_ms / RETRY_SPREAD_DIVISOR + 1);
     Refusal { cause, retry_after_ms: after_ms + spread }
 }
--- a/crates/route/src/admission/flow.rs
+++ b/crates/route/src/admission/flow.rs
@@ -7,14 +7,14 @@
 use super::{Key, Ticket};
 
 /// Time in which past usage decays to 1/e, about a third, in milliseconds.
-const USE_MS: f64 = 5_000.0;
+const USAGE_DECAY_MS: f64 = 5_000.0;
 
 #[derive(Debug, Default)]
 pub(super) struct Flow {
     weight: u32,
     start: f64,
-    used_ms: f64,
-    used_at: Timestamp,
+    usage_ms: f64,
+    usage_updated_at: Timestamp,
     by_deadline: BTreeSet<(Timestamp, Key)>,
 }
 
@@ -30,9 +30,9 @@
         self.by_deadline.insert((ticket.deadline, key));
     }
 
-    /// Returns the request with the earliest deadline for which `fits` returns true.
-    pub fn first(&self, fits: impl Fn(&Key) -> bool) -> Option<Key> {
-        self.by_deadline.iter().map(|(_, key)| *key).find(fits)
+    /// Returns the request with the earliest deadline for which `predicate` returns true.
+    pub fn earliest(&self, predicate: impl Fn(&Key) -> bool) -> Option<Key> {
+        self.by_deadline.iter().map(|(_, key)| *key).find(predicate)
     }
 
     pub fn remove(&mut self, key: Key, deadline: Timestamp) {
@@ -45,14 +45,14 @@
     pub fn charge(&mut self, run_ms: Millis, from: f64, now: Timestamp) {
         let run_ms = run_ms.max(1) as f64;
         self.start = from + run_ms / f64::from(self.weight.max(1));
-        self.used_ms = self.used(now) + run_ms;
-        self.used_at = now;
+        self.usage_ms = self.recent_usage_ms(now) + run_ms;
+        self.usage_updated_at = now;
     }
 
     /// Returns the recent usage in milliseconds of run time, decayed to `now`.
     #[expect(clippy::cast_precision_loss, reason = "times are far below 2^52 milliseconds")]
-    pub fn used(&self, now: Timestamp) -> f64 {
-        self.used_ms * (-(now.since(self.used_at) as f64) / USE_MS).exp()
+    pub fn recent_usage_ms(&self, now: Timestamp) -> f64 {
+        self.usage_ms * (-(now.since(self.usage_updated_at) as f64) / USAGE_DECAY_MS).exp()
     }
 
     /// Returns the virtual time of the next turn.
@@ -69,7 +69,7 @@
     }
 
     /// Returns the number of requests ahead of one with this deadline.
-    pub fn ahead(&self, deadline: Timestamp) -> u64 {
+    pub fn count_ahead(&self, deadline: Timestamp) -> u64 {
         self.by_deadline.iter().take_while(|(due, _)| *due <= deadline).count() as u64
     }
 }
--- a/crates/route/src/admission/rate.rs
+++ b/crates/route/src/admission/rate.rs
@@ -3,9 +3,9 @@
 use world::{Millis, Timestamp};
 
 /// Weight of the latest interval in the moving average.
-const STEP: f64 = 0.02;
+const SMOOTHING_FACTOR: f64 = 0.02;
 /// Minimum number of intervals before the average is used.
-const LEAST: u32 = 20;
+const MIN_INTERVALS: u32 = 20;
 /// Time without a finished run after which the average is discarded.
 const STALE_MS: Millis = 10_000;
 
@@ -13,15 +13,15 @@
 /// Without backlog it would reflect the arrival rate of requests instead of the
 /// rate at which they finish.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Rate {
+pub(super) struct CompletionRate {
     interval_ms: f64,
-    ends: u32,
+    intervals: u32,
     last: Option<Timestamp>,
 }
 
-impl Rate {
+impl CompletionRate {
     /// Records the end of a run.
-    pub fn finished(&mut self, backlog: bool, now: Timestamp) {
+    pub fn record_finish(&mut self, backlog: bool, now: Timestamp) {
         let last = self.last.replace(now);
         if !backlog {
             self.last = None;
@@ -32,15 +32,15 @@
             *self = Self { last: Some(now), ..Self::default() };
             return;
         }
-        self.ends = self.ends.saturating_add(1);
+        self.intervals = self.intervals.saturating_add(1);
         #[expect(clippy::cast_precision_loss, reason = "an interval is far below 2^52 milliseconds")]
         let interval = now.since(last) as f64;
-        self.interval_ms += STEP.max(1.0 / f64::from(self.ends)) * (interval - self.interval_ms);
+        self.interval_ms += SMOOTHING_FACTOR.max(1.0 / f64::from(self.intervals)) * (interval - self.interval_ms);
     }
 
     /// Returns the time in which `runs` runs finish, or `None` if the rate is unknown.
-    pub fn time(&self, runs: u64) -> Option<Millis> {
-        if self.ends < LEAST || self.last.is_none() {
+    pub fn time_for(&self, runs: u64) -> Option<Millis> {
+        if self.intervals < MIN_INTERVALS || self.last.is_none() {
             return None;
         }
         #[expect(
--- a/crates/route/src/guard.rs
+++ b/crates/route/src/guard.rs
@@ -139,7 +139,7 @@
 impl Tally {
     /// Returns the counts of one signal.
     #[must_use]
-    pub fn of(&self, signal: Signal) -> Count {
+    pub fn count(&self, signal: Signal) -> Count {
         match signal {
             Signal::Errors => self.errors,
             Signal::Ratings => self.ratings,
@@ -216,7 +216,7 @@
 
 /// Natural logarithm of the e-value above which a step doesn't end. The evidence
 /// must favor "no worse" before a version is exposed to more sessions.
-const SUSPICION: f64 = 0.0;
+const MAX_LN_E_TO_ADVANCE: f64 = 0.0;
 
 /// Latest window of a step.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -232,15 +232,15 @@
 #[must_use]
 pub fn judge(policy: &Policy, rollout: &Rollout, steps: &[Evidence], window: &Window) -> Verdict {
     let mut suspicious = false;
-    let thin = rollout::thin(rollout.steps.get(rollout.step).copied().unwrap_or(1.0));
+    let lacks_control = rollout::lacks_control(rollout.steps.get(rollout.step).copied().unwrap_or(1.0));
     for signal in Signal::ALL {
-        for (test, ln_e) in tests(policy, rollout, steps, window, signal) {
+        for (test, ln_e) in run_tests(policy, rollout, steps, window, signal) {
             if ln_e >= threshold(policy, test, signal) {
                 return Verdict::Stop(reason(steps, signal, ln_e));
             }
-            // At a step without control sessions the evidence of `Test::Whole` no
+            // At a step without control sessions the evidence of `Test::Rollout` no
             // longer changes and could block the step forever.
-            suspicious |= test == Test::Whole && ln_e > SUSPICION && !thin;
+            suspicious |= test == Test::Rollout && ln_e > MAX_LN_E_TO_ADVANCE && !lacks_control;
         }
     }
     let new = steps.get(rollout.step).map(|evidence| evidence.new).unwrap_or_default();
@@ -252,36 +252,36 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Test {
     /// Assignment of bad sessions to the arms over all steps.
-    Whole,
+    Rollout,
     /// Assignment of bad sessions to the arms in the window with this index.
     Window(u32),
     /// Rate at a step without control sessions, compared with the previous step.
     Rates,
 }
 
-fn tests(
+fn run_tests(
     policy: &Policy,
     rollout: &Rollout,
     steps: &[Evidence],
     window: &Window,
     signal: Signal,
 ) -> impl Iterator<Item = (Test, f64)> {
-    let margin = policy.margin.of(signal);
+    let margin = policy.margin.count(signal);
     let share = |step: usize| rollout.steps.get(step).copied().unwrap_or(1.0);
-    let dealt = steps.iter().enumerate().filter(|(step, _)| !rollout::thin(share(*step)));
-    let dealt = dealt.map(|(step, evidence)| (rollout::control_ratio(share(step)), evidence));
-    let whole = Some((Test::Whole, ln_e_deal(dealt, signal, margin)));
-    let thin = rollout::thin(share(rollout.step));
-    let window = (window.number > 0 && !thin).then(|| {
-        let dealt = std::iter::once((rollout::control_ratio(share(rollout.step)), &window.evidence));
-        (Test::Window(window.number), ln_e_deal(dealt, signal, margin))
+    let assigned = steps.iter().enumerate().filter(|(step, _)| !rollout::lacks_control(share(*step)));
+    let assigned = assigned.map(|(step, evidence)| (rollout::control_ratio(share(step)), evidence));
+    let whole_rollout = Some((Test::Rollout, ln_e_assignment(assigned, signal, margin)));
+    let lacks_control = rollout::lacks_control(share(rollout.step));
+    let window = (window.number > 0 && !lacks_control).then(|| {
+        let assigned = std::iter::once((rollout::control_ratio(share(rollout.step)), &window.evidence));
+        (Test::Window(window.number), ln_e_assignment(assigned, signal, margin))
     });
-    let rates = (thin && rollout.step > 0).then(|| {
-        let new = steps.get(rollout.step).map(|evidence| evidence.new.of(signal)).unwrap_or_default();
-        let control = steps.get(rollout.step - 1).map(|evidence| evidence.control.of(signal)).unwrap_or_default();
+    let rates = (lacks_control && rollout.step > 0).then(|| {
+        let new = steps.get(rollout.step).map(|evidence| evidence.new.count(signal)).unwrap_or_default();
+        let control = steps.get(rollout.step - 1).map(|evidence| evidence.control.count(signal)).unwrap_or_default();
         (Test::Rates, ln_e_rates(new, control, RATE_MARGIN))
     });
-    whole.into_iter().chain(window).chain(rates)
+    whole_rollout.into_iter().chain(window).chain(rates)
 }
 
 fn reason(steps: &[Evidence], signal: Signal, ln_e: f64) -> Reason {
@@ -289,11 +289,11 @@
     for evidence in steps {
         total += *evidence;
     }
-    Reason { signal, new: total.new.of(signal), control: total.control.of(signal), ln_e }
+    Reason { signal, new: total.new.count(signal), control: total.control.count(signal), ln_e }
 }
 
 impl Margin {
-    fn of(&self, signal: Signal) -> f64 {
+    fn count(&self, signal: Signal) -> f64 {
         match signal {
             Signal::Errors => self.errors,
             Signal::Ratings => self.ratings,
@@ -310,7 +310,7 @@
         Signal::Latency => 0.1,
     };
     let of_test = match test {
-        Test::Whole => 0.8,
+        Test::Rollout => 0.8,
         // The parts `6 / (pi^2 n^2)` of all windows add up to one.
         Test::Window(number) => 0.15 * 6.0 / (std::f64::consts::PI * f64::from(number)).powi(2),
         Test::Rates => 0.05,
@@ -324,25 +324,27 @@
 }
 
 /// Factors by which a worse version may exceed the margin; all equally likely.
-const FACTORS: [f64; 3] = [1.5, 4.0, 15.0];
+const ALTERNATIVE_FACTORS: [f64; 3] = [1.5, 4.0, 15.0];
 
 /// Returns the natural logarithm of the e-value for the hypothesis that a session of
 /// the new arm is more than `margin` times as likely to be bad as one of the control
 /// arm. Each item is a ratio of control sessions to new ones with its evidence.
-fn ln_e_deal<'a>(deals: impl Iterator<Item = (f64, &'a Evidence)>, signal: Signal, margin: f64) -> f64 {
-    let mut logs = [0.0; FACTORS.len()];
-    for (ratio, evidence) in deals {
-        let (_, bad_new) = parts(evidence.new.of(signal));
-        let (_, bad_control) = parts(evidence.control.of(signal));
-        let same = margin / (margin + ratio);
-        for (log, factor) in logs.iter_mut().zip(FACTORS) {
+fn ln_e_assignment<'a>(steps: impl Iterator<Item = (f64, &'a Evidence)>, signal: Signal, margin: f64) -> f64 {
+    let mut log_ratios = [0.0; ALTERNATIVE_FACTORS.len()];
+    for (ratio, evidence) in steps {
+        let (_, bad_new) = good_and_bad(evidence.new.count(signal));
+        let (_, bad_control) = good_and_bad(evidence.control.count(signal));
+        let null_share = margin / (margin + ratio);
+        for (log_ratio, factor) in log_ratios.iter_mut().zip(ALTERNATIVE_FACTORS) {
             // Share of the new arm among bad sessions if it is worse by `factor`.
-            let worse = factor * margin / (factor * margin + ratio);
-            *log += bad_new * (worse / same).ln() + bad_control * ((1.0 - worse) / (1.0 - same)).ln();
+            let alternative_share = factor * margin / (factor * margin + ratio);
+            *log_ratio += bad_new * (alternative_share / null_share).ln()
+                + bad_control * ((1.0 - alternative_share) / (1.0 - null_share)).ln();
         }
     }
-    let most = logs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    most + (logs.iter().map(|log| (log - most).exp()).sum::<f64>() / to_f64(FACTORS.len())).ln()
+    let max = log_ratios.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    max + (log_ratios.iter().map(|log_ratio| (log_ratio - max).exp()).sum::<f64>() / to_f64(ALTERNATIVE_FACTORS.len()))
+        .ln()
 }
 
 /// Tolerated increase of a rate over that of the previous step.
@@ -360,55 +362,56 @@
 }
 
 /// Pseudo-count of good and of bad observations in the Jeffreys prior.
-const PRIOR: f64 = 0.5;
+const JEFFREYS_PSEUDO_COUNT: f64 = 0.5;
 
 /// Returns the log-likelihood of counts, mixed over all rates.
 fn ln_mixture(count: Count) -> f64 {
-    let (good, bad) = parts(count);
-    ln_beta(PRIOR + bad, PRIOR + good) - ln_beta(PRIOR, PRIOR)
+    let (good, bad) = good_and_bad(count);
+    ln_beta(JEFFREYS_PSEUDO_COUNT + bad, JEFFREYS_PSEUDO_COUNT + good)
+        - ln_beta(JEFFREYS_PSEUDO_COUNT, JEFFREYS_PSEUDO_COUNT)
 }
 
 /// Returns the maximum log-likelihood of the counts of both arms under the null
 /// hypothesis that the new rate is at most the control rate plus `margin`.
 fn ln_null(new: Count, control: Count, margin: f64) -> f64 {
-    let free = (rate(new), rate(control));
-    if free.0 <= free.1 + margin {
-        return ln_likelihood(new, free.0) + ln_likelihood(control, free.1);
+    let rates = (rate(new), rate(control));
+    if rates.0 <= rates.1 + margin {
+        return ln_likelihood(new, rates.0) + ln_likelihood(control, rates.1);
     }
     // The log-likelihood is concave, so its maximum lies on the boundary where
     // the new rate equals the control rate plus the margin.
-    let at = |p: f64| ln_likelihood(new, p + margin) + ln_likelihood(control, p);
-    let (mut low, mut high) = (free.1, free.0 - margin);
+    let ln_likelihood_at = |p: f64| ln_likelihood(new, p + margin) + ln_likelihood(control, p);
+    let (mut low, mut high) = (rates.1, rates.0 - margin);
     for _ in 0..SEARCH_ROUNDS {
         let third = (high - low) / 3.0;
-        if at(low + third) < at(high - third) { low += third } else { high -= third }
+        if ln_likelihood_at(low + third) < ln_likelihood_at(high - third) { low += third } else { high -= third }
     }
     // The maximum on the boundary lies between `low` and `high`, which are so
     // close that the error is below rounding.
-    at(low).max(at(high)).max(at(f64::midpoint(low, high)))
+    ln_likelihood_at(low).max(ln_likelihood_at(high)).max(ln_likelihood_at(f64::midpoint(low, high)))
 }
 
 /// Rounds of ternary search; each round keeps two thirds of the interval.
 const SEARCH_ROUNDS: usize = 60;
 
 fn ln_likelihood(count: Count, rate: f64) -> f64 {
-    let (good, bad) = parts(count);
-    times_ln(bad, rate) + times_ln(good, 1.0 - rate)
+    let (good, bad) = good_and_bad(count);
+    mul_ln(bad, rate) + mul_ln(good, 1.0 - rate)
 }
 
 /// Returns `n * ln(p)`, or 0 if `n` is 0.
-fn times_ln(n: f64, p: f64) -> f64 {
+fn mul_ln(n: f64, p: f64) -> f64 {
     if n == 0.0 { 0.0 } else { n * p.ln() }
 }
 
 fn rate(count: Count) -> f64 {
-    let (good, bad) = parts(count);
+    let (good, bad) = good_and_bad(count);
     bad / (good + bad)
 }
 
 /// Returns the numbers of good and bad observations.
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^53")]
-fn parts(count: Count) -> (f64, f64) {
+fn good_and_bad(count: Count) -> (f64, f64) {
     let bad = count.bad.min(count.n);
     ((count.n - bad) as f64, bad as f64)
 }
--- a/crates/route/src/model.rs
+++ b/crates/route/src/model.rs
@@ -29,7 +29,7 @@
     quality::{Book, Cell},
     rollout::{Stops, Unit},
 };
-use ladder::{Ladder, Market};
+use ladder::{Ladder, LadderSearch};
 pub use permit::{Permit, Permits};
 pub use reason::{Reason, Refusal, Rule, Step};
 
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone)]
 pub struct Choice {
     steps: Vec<Permit>,
-    expected: Vec<f64>,
+    expected_pass_rates: Vec<f64>,
     ceiling: Amount,
     reason: Reason,
 }
@@ -97,43 +97,44 @@
     let permits =
         Permits::resolve(inputs.catalog, inputs.stops, inputs.customer, inputs.model, inputs.session, inputs.unit)?;
     let cell = Cell::new(inputs.customer, inputs.class);
-    let market = Market::open(inputs, cell, &permits);
+    let search = LadderSearch::new(inputs, cell, &permits);
     let account = inputs.book.account(cell);
-    let decided = market.decide(contract.quality.target, account, contract.objective)?;
-    Ok(Choice::new(inputs, &permits, &market, &decided, contract.quality.target, contract.objective))
+    let decision = search.decide(contract.quality.target, account, contract.objective)?;
+    Ok(Choice::new(inputs, &permits, &search, &decision, contract.quality.target, contract.objective))
 }
 
 impl Choice {
     fn new(
         inputs: &Inputs<'_>,
         permits: &Permits,
-        market: &Market,
-        decided: &ladder::Decided,
+        search: &LadderSearch,
+        decision: &ladder::Decision,
         target: f64,
         objective: Objective,
     ) -> Self {
-        let Ladder { ref rungs, .. } = decided.ladder;
-        let steps: Vec<_> = rungs.iter().map(|rung| permits.as_slice()[usize::from(*rung)].clone()).collect();
+        let Ladder { ref permit_indices, .. } = decision.ladder;
+        let steps: Vec<_> =
+            permit_indices.iter().map(|permit_index| permits.as_slice()[usize::from(*permit_index)].clone()).collect();
         // A pin of a tier that the ladder doesn't use is not reported as moved:
         // no other version has replaced it yet.
         let is_replaced = |pin: &&Pin| steps.iter().any(|step| step.tier() == pin.tier);
-        let moved = permits.left().iter().filter(is_replaced).map(|pin| pin.version.clone()).collect();
+        let moved = permits.invalid_pins().iter().filter(is_replaced).map(|pin| pin.version.clone()).collect();
         let reason = Reason {
             generation: inputs.catalog.generation(),
             objective,
             target,
-            required: decided.required,
-            credit: decided.credit,
-            rule: decided.rule,
-            quality: decided.ladder.quality,
-            expected_cost: decided.ladder.expected_cost(),
-            expected_ms: decided.ladder.expected_ms(),
-            steps: market.describe(rungs, permits),
-            considered: decided.considered,
+            required: decision.required,
+            credit: decision.credit,
+            rule: decision.rule,
+            quality: decision.ladder.quality,
+            expected_cost: decision.ladder.expected_cost(),
+            expected_ms: decision.ladder.expected_ms(),
+            steps: search.describe(permit_indices, permits),
+            considered: decision.considered,
             moved,
         };
-        let expected = market.expected(rungs, &decided.ladder);
-        Self { steps, expected, ceiling: decided.ladder.ceiling, reason }
+        let expected_pass_rates = search.expected_pass_rates(permit_indices, &decision.ladder);
+        Self { steps, expected_pass_rates, ceiling: decision.ladder.ceiling, reason }
     }
 
     /// Returns the permit of the version to start on.
@@ -159,7 +160,7 @@
     /// for [`Book::open`] and [`Book::escalated`]. Zero past the last step.
     #[must_use]
     pub fn expected(&self, step: usize) -> f64 {
-        self.expected.get(step).copied().unwrap_or_default()
+        self.expected_pass_rates.get(step).copied().unwrap_or_default()
     }
 
     /// Returns the reason for the choice.
--- a/crates/route/src/model/permit.rs
+++ b/crates/route/src/model/permit.rs
@@ -34,8 +34,8 @@
 /// Permits of one request: at most one per tier, cheapest tier first.
 #[derive(Debug, Clone)]
 pub struct Permits {
-    held: Vec<Permit>,
-    left: Vec<Pin>,
+    by_tier: Vec<Permit>,
+    invalid_pins: Vec<Pin>,
 }
 
 impl Permit {
@@ -98,7 +98,7 @@
     pub fn renew(&self, catalog: &Catalog, stops: &Stops) -> Option<Self> {
         let contract = catalog.contract(&self.customer)?;
         let release = catalog.release(&self.version)?;
-        if !rollout::keeps(catalog, stops, contract, &self.version) {
+        if !rollout::may_continue(catalog, stops, contract, &self.version) {
             return None;
         }
         if !self.pinned && matches!(catalog.standing(&self.version), Standing::Held { .. }) {
@@ -143,18 +143,18 @@
         if !contract.models.iter().any(|allowed| allowed.model == *model) {
             return Err(Refusal::ModelNotAllowed);
         }
-        let mut permits = Self { held: Vec::with_capacity(4), left: Vec::new() };
+        let mut permits = Self { by_tier: Vec::with_capacity(4), invalid_pins: Vec::new() };
         // The pins of another customer's session would bypass the exposure limit
         // of this contract, so such a session is ignored.
         let pins = session.filter(|s| s.customer == *customer).map_or(&[][..], |s| s.pins.as_slice());
         for pin in pins.iter().filter(|pin| pin.version.model == *model) {
-            permits.keep(catalog, stops, contract, customer, pin);
+            permits.add_pinned(catalog, stops, contract, customer, pin);
         }
         for version in rollout::open(catalog, stops, contract, model, unit) {
-            permits.offer(catalog, customer, &version);
+            permits.add_unpinned(catalog, customer, &version);
         }
-        permits.held.sort_unstable_by_key(|permit| permit.tier);
-        if permits.held.is_empty() {
+        permits.by_tier.sort_unstable_by_key(|permit| permit.tier);
+        if permits.by_tier.is_empty() {
             return Err(Refusal::NoVersion);
         }
         Ok(permits)
@@ -163,35 +163,36 @@
     /// Returns the permits, cheapest tier first. Never empty.
     #[must_use]
     pub fn as_slice(&self) -> &[Permit] {
-        &self.held
+        &self.by_tier
     }
 
     /// Returns the pins of the session that are no longer valid.
     #[must_use]
-    pub fn left(&self) -> &[Pin] {
-        &self.left
+    pub fn invalid_pins(&self) -> &[Pin] {
+        &self.invalid_pins
     }
 
-    fn keep(&mut self, catalog: &Catalog, stops: &Stops, contract: &Contract, customer: &Customer, pin: &Pin) {
-        let release = catalog.release(&pin.version).filter(|_| rollout::keeps(catalog, stops, contract, &pin.version));
+    fn add_pinned(&mut self, catalog: &Catalog, stops: &Stops, contract: &Contract, customer: &Customer, pin: &Pin) {
+        let release =
+            catalog.release(&pin.version).filter(|_| rollout::may_continue(catalog, stops, contract, &pin.version));
         let Some(release) = release else {
-            self.left.push(pin.clone());
+            self.invalid_pins.push(pin.clone());
             return;
         };
-        if !self.held.iter().any(|held| held.tier == release.tier) {
-            self.held.push(Permit::new(catalog, customer, &pin.version, release, true));
+        if !self.by_tier.iter().any(|existing| existing.tier == release.tier) {
+            self.by_tier.push(Permit::new(catalog, customer, &pin.version, release, true));
         }
     }
 
     /// Assigns the version to its tier, unless the tier has a pinned version, or one
     /// under roll-out and this one is not. Of two equal ones, the later release wins.
-    fn offer(&mut self, catalog: &Catalog, customer: &Customer, version: &Version) {
+    fn add_unpinned(&mut self, catalog: &Catalog, customer: &Customer, version: &Version) {
         let Some(release) = catalog.release(version) else { return };
         let permit = Permit::new(catalog, customer, version, release, false);
-        match self.held.iter_mut().find(|held| held.tier == release.tier) {
-            None => self.held.push(permit),
-            Some(held) if held.pinned || (held.predecessor.is_some() && permit.predecessor.is_none()) => {}
-            Some(held) => *held = permit,
+        match self.by_tier.iter_mut().find(|existing| existing.tier == release.tier) {
+            None => self.by_tier.push(permit),
+            Some(existing) if existing.pinned || (existing.predecessor.is_some() && permit.predecessor.is_none()) => {}
+            Some(existing) => *existing = permit,
         }
     }
 }
--- a/crates/route/src/quality.rs
+++ b/crates/route/src/quality.rs
@@ -13,7 +13,7 @@
 //! estimated rates are wrong.
 
 mod account;
-mod ledger;
+mod pending_answers;
 mod speed;
 
 use std::{
@@ -25,7 +25,7 @@
 use world::{Millis, Timestamp, contract::Customer, hash, model::Version, request::Class};
 
 pub use account::{Account, Pending};
-pub use ledger::{Answer, LAPSE_MS, Ledger};
+pub use pending_answers::{Answer, LAPSE_MS, Ledger};
 pub use speed::Speed;
 
 /// Hasher of keys that are already hashes: fast and deterministic.
@@ -37,16 +37,16 @@
 const MAX_CLASSES: usize = 64;
 /// Number of ratings at which the older ratings of a cell start to decay, so that
 /// a regression of a version shows within some hundreds of answers.
-const MEMORY: f64 = 1_000.0;
+const DECAY_RATINGS: f64 = 1_000.0;
 /// Maximum weight of a parent level in its child, in ratings.
-const PARENT_WEIGHT: f64 = 30.0;
-/// Number of ratings at which a parent has half of [`PARENT_WEIGHT`].
-const PARENT_HALF: f64 = 30.0;
+const MAX_PARENT_WEIGHT: f64 = 30.0;
+/// Number of ratings at which a parent has half of [`MAX_PARENT_WEIGHT`].
+const PARENT_HALF_WEIGHT_RATINGS: f64 = 30.0;
 /// Weight of the prior without ratings, in ratings.
-const BLANK_WEIGHT: f64 = 2.0;
+const PRIOR_WEIGHT: f64 = 2.0;
 /// Factor from the pass rate of first answers to that of escalated answers without
 /// ratings: requests whose first answer failed are harder than average.
-const HARDER: f64 = 0.7;
+const ESCALATED_RATE_FACTOR: f64 = 0.7;
 
 /// Position in the ladder at which an answer was given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -76,7 +76,7 @@
     }
 
     fn key(self) -> u64 {
-        mix(self.customer, self.class)
+        combine(self.customer, self.class)
     }
 }
 
@@ -92,7 +92,7 @@
 impl Estimate {
     /// Returns the rate `z` standard deviations below the mean, clamped to 0 to 1.
     #[must_use]
-    pub fn lower(&self, z: f64) -> f64 {
+    pub fn lower_bound(&self, z: f64) -> f64 {
         z.mul_add(-self.deviation, self.mean).clamp(0.0, 1.0)
     }
 }
@@ -110,11 +110,11 @@
 
 /// Prior of a version's pass rate while it has no ratings.
 #[derive(Debug, Clone, Copy)]
-pub struct Guess<'a> {
+pub struct Prior<'a> {
     /// Version that a roll-out replaces by this one; its pass rate is the prior.
     pub parent: Option<&'a Version>,
     /// Pass rate to assume if there are no ratings at all.
-    pub blank: f64,
+    pub fallback_rate: f64,
 }
 
 /// Learned quality and speed of versions, and the accounts of customers.
@@ -124,43 +124,43 @@
     accounts: HashMap<u64, Account, Hasher>,
     classes: HashMap<u64, Vec<u64>, Hasher>,
     speeds: HashMap<u64, Speed, Hasher>,
-    clock: u64,
+    updates: u64,
 }
 
 impl Book {
     /// Records a rating.
     pub fn rate(&mut self, cell: Cell, version: &Version, stage: Stage, pass: bool) {
-        let cell = self.known(cell);
-        let version = staged(version_key(version), stage);
-        for key in [version, mix(version, cell.class), mix(version, cell.key())] {
+        let cell = self.register_class(cell);
+        let version = stage_key(version_key(version), stage);
+        for key in [version, combine(version, cell.class), combine(version, cell.key())] {
             self.count(key, pass);
         }
     }
 
     /// Returns the estimated quality and speed of a version in a customer's class.
     ///
-    /// `guess` is the prior while there are no ratings.
+    /// `prior` applies while there are no ratings.
     #[must_use]
-    pub fn profile(&self, cell: Cell, version: &Version, guess: Guess<'_>, now: Timestamp) -> Profile {
-        let cell = self.lookup(cell);
-        let unknown = Belief { rate: guess.blank, weight: BLANK_WEIGHT };
+    pub fn profile(&self, cell: Cell, version: &Version, prior: Prior<'_>, now: Timestamp) -> Profile {
+        let cell = self.resolve(cell);
+        let default_prior = Belief { rate: prior.fallback_rate, weight: PRIOR_WEIGHT };
         let key = version_key(version);
-        let parent = guess.parent.map_or(unknown, |parent| {
-            let old = self.posterior(cell, staged(version_key(parent), Stage::First), unknown);
-            Belief { rate: old.rate, weight: BLANK_WEIGHT }
+        let parent = prior.parent.map_or(default_prior, |parent| {
+            let old = self.posterior(cell, stage_key(version_key(parent), Stage::First), default_prior);
+            Belief { rate: old.rate, weight: PRIOR_WEIGHT }
         });
-        let first = self.posterior(cell, staged(key, Stage::First), parent);
-        let harder = Belief { rate: first.rate * HARDER, weight: BLANK_WEIGHT };
-        let escalated = self.posterior(cell, staged(key, Stage::Escalated), harder);
-        let speed = self.speeds.get(&mix(key, cell.class)).or_else(|| self.speeds.get(&key));
-        let speed = speed.copied().unwrap_or_default().aged(now);
+        let first = self.posterior(cell, stage_key(key, Stage::First), parent);
+        let escalated_prior = Belief { rate: first.rate * ESCALATED_RATE_FACTOR, weight: PRIOR_WEIGHT };
+        let escalated = self.posterior(cell, stage_key(key, Stage::Escalated), escalated_prior);
+        let speed = self.speeds.get(&combine(key, cell.class)).or_else(|| self.speeds.get(&key));
+        let speed = speed.copied().unwrap_or_default().decayed(now);
         Profile { first: first.estimate(), escalated: escalated.estimate(), speed }
     }
 
     /// Returns the account of a customer's class, or an empty one.
     #[must_use]
     pub fn account(&self, cell: Cell) -> Account {
-        self.accounts.get(&self.lookup(cell).key()).copied().unwrap_or_default()
+        self.accounts.get(&self.resolve(cell).key()).copied().unwrap_or_default()
     }
 
     /// Adds a request that is about to run and is expected to pass at `rate`.
@@ -168,7 +168,7 @@
     /// It is added at the choice instead of at the answer, so that each of many
     /// concurrent requests takes into account what earlier ones may still cost.
     pub fn open(&mut self, cell: Cell, rate: f64, target: f64) -> Pending {
-        self.account_mut(cell).open(rate, target)
+        self.account_mut(cell).add_pending(rate, target)
     }
 
     /// Records that a request has escalated and is now expected to pass at `rate`.
@@ -177,12 +177,12 @@
     /// rate of the whole ladder, the unrated ones would count as better than they
     /// are, and the class would end below its target.
     pub fn escalated(&mut self, cell: Cell, pending: Pending, rate: f64) -> Pending {
-        self.account_mut(cell).reopen(pending, rate)
+        self.account_mut(cell).update_pending(pending, rate)
     }
 
     /// Records the rating of a request's final answer.
     pub fn close(&mut self, cell: Cell, pending: Pending, pass: bool) {
-        self.account_mut(cell).close(pending, pass);
+        self.account_mut(cell).record_rating(pending, pass);
     }
 
     /// Records that the rating of an answer is no longer expected.
@@ -192,11 +192,11 @@
 
     /// Removes a request that produced no answer.
     pub fn void(&mut self, cell: Cell, pending: Pending) {
-        self.account_mut(cell).void(pending);
+        self.account_mut(cell).remove_pending(pending);
     }
 
     fn account_mut(&mut self, cell: Cell) -> &mut Account {
-        let cell = self.known(cell);
+        let cell = self.register_class(cell);
         self.accounts.entry(cell.key()).or_default()
     }
 
@@ -205,15 +205,15 @@
     #[must_use]
     pub fn speed(&self, cell: Cell, version: &Version, now: Timestamp) -> Speed {
         let general = version_key(version);
-        let class = mix(general, self.lookup(cell).class);
-        let known = self.speeds.get(&class).or_else(|| self.speeds.get(&general));
-        known.copied().unwrap_or_default().aged(now)
+        let class = combine(general, self.resolve(cell).class);
+        let learned = self.speeds.get(&class).or_else(|| self.speeds.get(&general));
+        learned.copied().unwrap_or_default().decayed(now)
     }
 
     /// Records a finished run.
     pub fn ran(&mut self, cell: Cell, version: &Version, millis: Millis, output_tokens: u32, now: Timestamp) {
         let general = version_key(version);
-        let class = mix(general, self.known(cell).class);
+        let class = combine(general, self.register_class(cell).class);
         if self.speeds.len() >= MAX_CELLS {
             self.speeds.clear();
         }
@@ -222,26 +222,26 @@
         }
     }
 
-    fn posterior(&self, cell: Cell, version: u64, blank: Belief) -> Belief {
-        let general = blank.updated(self.counts.get(&version));
-        let class = general.as_parent().updated(self.counts.get(&mix(version, cell.class)));
-        class.as_parent().updated(self.counts.get(&mix(version, cell.key())))
+    fn posterior(&self, cell: Cell, version: u64, prior: Belief) -> Belief {
+        let general = prior.updated(self.counts.get(&version));
+        let class = general.as_child_prior().updated(self.counts.get(&combine(version, cell.class)));
+        class.as_child_prior().updated(self.counts.get(&combine(version, cell.key())))
     }
 
     fn count(&mut self, key: u64, pass: bool) {
-        self.clock += 1;
-        let clock = self.clock;
+        self.updates += 1;
+        let updates = self.updates;
         if self.counts.len() >= MAX_CELLS && !self.counts.contains_key(&key) {
-            self.forget();
+            self.evict();
         }
-        self.counts.entry(key).or_default().add(pass, clock);
+        self.counts.entry(key).or_default().add(pass, updates);
     }
 
     /// Evicts the cells that were not updated within the last [`MAX_CELLS`] updates,
     /// or all cells if none are that old. Takes linear time, but runs rarely.
-    fn forget(&mut self) {
-        let horizon = self.clock.saturating_sub(MAX_CELLS as u64);
-        self.counts.retain(|_, counts| counts.touched > horizon);
+    fn evict(&mut self) {
+        let horizon = self.updates.saturating_sub(MAX_CELLS as u64);
+        self.counts.retain(|_, counts| counts.last_update > horizon);
         if self.counts.len() >= MAX_CELLS {
             self.counts.clear();
         }
@@ -252,7 +252,7 @@
     /// Callers choose the names of classes. A caller that puts a number into the
     /// name would create a cell per rating, so beyond [`MAX_CLASSES`] all further
     /// classes of a customer are counted in one cell.
-    fn known(&mut self, cell: Cell) -> Cell {
+    fn register_class(&mut self, cell: Cell) -> Cell {
         let classes = self.classes.entry(cell.customer).or_default();
         if classes.contains(&cell.class) {
             return cell;
@@ -264,7 +264,7 @@
         Cell { class: 0, ..cell }
     }
 
-    fn lookup(&self, cell: Cell) -> Cell {
+    fn resolve(&self, cell: Cell) -> Cell {
         match self.classes.get(&cell.customer) {
             Some(classes) if classes.len() >= MAX_CLASSES && !classes.contains(&cell.class) => {
                 Cell { class: 0, ..cell }
@@ -279,14 +279,14 @@
 struct Counts {
     pass: f64,
     fail: f64,
-    touched: u64,
+    last_update: u64,
 }
 
 impl Counts {
-    fn add(&mut self, pass: bool, clock: u64) {
+    fn add(&mut self, pass: bool, updates: u64) {
         let total = self.pass + self.fail;
-        if total >= MEMORY {
-            let keep = (MEMORY - 1.0) / total;
+        if total >= DECAY_RATINGS {
+            let keep = (DECAY_RATINGS - 1.0) / total;
             self.pass *= keep;
             self.fail *= keep;
         }
@@ -295,7 +295,7 @@
         } else {
             self.fail += 1.0;
         }
-        self.touched = clock;
+        self.last_update = updates;
     }
 }
 
@@ -314,9 +314,12 @@
     }
 
     /// Returns the prior for the next lower level: the same rate with a bounded weight.
-    fn as_parent(self) -> Self {
-        let seen = (self.weight - BLANK_WEIGHT).max(0.0);
-        Self { rate: self.rate, weight: BLANK_WEIGHT + PARENT_WEIGHT * seen / (seen + PARENT_HALF) }
+    fn as_child_prior(self) -> Self {
+        let ratings = (self.weight - PRIOR_WEIGHT).max(0.0);
+        Self {
+            rate: self.rate,
+            weight: PRIOR_WEIGHT + MAX_PARENT_WEIGHT * ratings / (ratings + PARENT_HALF_WEIGHT_RATINGS),
+        }
     }
 
     fn estimate(self) -> Estimate {
@@ -330,12 +333,12 @@
     hash::rendezvous(number, version.model.as_str().as_bytes())
 }
 
-fn staged(version: u64, stage: Stage) -> u64 {
-    mix(version, stage as u64 + 1)
+fn stage_key(version: u64, stage: Stage) -> u64 {
+    combine(version, stage as u64 + 1)
 }
 
 /// Combines two hashes. A collision would merge the ratings of two cells; with 64
 /// bits its probability is negligible.
-fn mix(a: u64, b: u64) -> u64 {
+fn combine(a: u64, b: u64) -> u64 {
     hash::rendezvous(a, &b.to_le_bytes())
 }
--- a/crates/route/src/quality/account.rs
+++ b/crates/route/src/quality/account.rs
@@ -6,17 +6,17 @@
 /// Maximum number of passes that an account may be ahead. If even the cheapest
 /// version exceeds the target, an unbounded account would grow for months, and
 /// would then tolerate a version that has become bad for as long.
-const MAX_AHEAD: f64 = 60.0;
+const MAX_AHEAD_PASSES: f64 = 60.0;
 /// Maximum number of passes that an account may be behind. A bad day is compensated
 /// for, but not by paying for the best version all year.
-const MAX_BEHIND: f64 = 100.0;
+const MAX_BEHIND_PASSES: f64 = 100.0;
 /// Maximum variance of lapsed answers.
-const MAX_LAPSED: f64 = 25.0;
+const MAX_LAPSED_VARIANCE: f64 = 25.0;
 
 /// Standard deviations subtracted for answers whose rating is pending.
-const PENDING_CAUTION: f64 = 1.0;
+const PENDING_CAUTION_DEVIATIONS: f64 = 1.0;
 /// Standard deviations subtracted for answers whose rating has lapsed.
-const LAPSED_CAUTION: f64 = 3.0;
+const LAPSED_CAUTION_DEVIATIONS: f64 = 3.0;
 
 /// Passes ahead of (positive) or behind (negative) the target.
 ///
@@ -40,7 +40,7 @@
 
 impl Account {
     /// Adds an answer without a rating that is expected to pass at `rate`.
-    pub fn open(&mut self, rate: f64, target: f64) -> Pending {
+    pub fn add_pending(&mut self, rate: f64, target: f64) -> Pending {
         let pending = Pending { target, expected: rate - target, variance: rate * (1.0 - rate) };
         self.pending += pending.expected;
         self.pending_variance += pending.variance;
@@ -48,15 +48,15 @@
     }
 
     /// Changes the expected pass rate of an answer without a rating.
-    pub fn reopen(&mut self, pending: Pending, rate: f64) -> Pending {
-        self.void(pending);
-        self.open(rate, pending.target)
+    pub fn update_pending(&mut self, pending: Pending, rate: f64) -> Pending {
+        self.remove_pending(pending);
+        self.add_pending(rate, pending.target)
     }
 
     /// Replaces the expected rating of an answer by the actual one.
-    pub fn close(&mut self, pending: Pending, pass: bool) {
-        self.void(pending);
-        self.enter(f64::from(u8::from(pass)) - pending.target);
+    pub fn record_rating(&mut self, pending: Pending, pass: bool) {
+        self.remove_pending(pending);
+        self.add_passes(f64::from(u8::from(pass)) - pending.target);
     }
 
     /// Counts an answer permanently with its expected rating, since the actual one
@@ -64,13 +64,13 @@
     ///
     /// Its variance is kept, since the quality of the answer remains unknown.
     pub fn lapse(&mut self, pending: Pending) {
-        self.void(pending);
-        self.enter(pending.expected);
-        self.lapsed_variance = (self.lapsed_variance + pending.variance).min(MAX_LAPSED);
+        self.remove_pending(pending);
+        self.add_passes(pending.expected);
+        self.lapsed_variance = (self.lapsed_variance + pending.variance).min(MAX_LAPSED_VARIANCE);
     }
 
     /// Removes an answer that was never given.
-    pub fn void(&mut self, pending: Pending) {
+    pub fn remove_pending(&mut self, pending: Pending) {
         self.pending -= pending.expected;
         self.pending_variance = (self.pending_variance - pending.variance).max(0.0);
     }
@@ -81,11 +81,12 @@
     /// answer will not, so the margin for lapsed answers is larger.
     #[must_use]
     pub fn credit(&self) -> f64 {
-        let spread = PENDING_CAUTION.powi(2) * self.pending_variance + LAPSED_CAUTION.powi(2) * self.lapsed_variance;
-        self.rated + self.pending - spread.sqrt()
+        let variance = PENDING_CAUTION_DEVIATIONS.powi(2) * self.pending_variance
+            + LAPSED_CAUTION_DEVIATIONS.powi(2) * self.lapsed_variance;
+        self.rated + self.pending - variance.sqrt()
     }
 
-    fn enter(&mut self, passes: f64) {
-        self.rated = (self.rated + passes).clamp(-MAX_BEHIND, MAX_AHEAD);
+    fn add_passes(&mut self, passes: f64) {
+        self.rated = (self.rated + passes).clamp(-MAX_BEHIND_PASSES, MAX_AHEAD_PASSES);
     }
 }
--- a/crates/route/src/quality/ledger.rs
+++ b/crates/route/src/quality/pending_answers.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of answers with a pending rating at an instance; beyond it the
 /// oldest lapses.
-const MAX_WAITING: usize = 100_000;
+const MAX_PENDING_ANSWERS: usize = 100_000;
 /// Age difference to a rated answer, in milliseconds, above which an older answer
 /// lapses.
 pub const LAPSE_MS: Millis = 10 * 60 * 1_000;
@@ -34,12 +34,12 @@
 /// lapses, so that the account stays cautious during the outage.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    waiting: HashMap<u64, Waiting, Hasher>,
+    waiting: HashMap<u64, PendingAnswer, Hasher>,
     order: VecDeque<(Timestamp, u64)>,
 }
 
 #[derive(Debug, Clone)]
-struct Waiting {
+struct PendingAnswer {
     at: Timestamp,
     cell: Cell,
     version: Version,
@@ -50,11 +50,11 @@
 impl Ledger {
     /// Adds an answer given at `now`; `id` is the hash of its request.
     pub fn answered(&mut self, book: &mut Book, id: u64, answer: &Answer<'_>, now: Timestamp) {
-        if self.waiting.len() >= MAX_WAITING {
+        if self.waiting.len() >= MAX_PENDING_ANSWERS {
             self.lapse_oldest(book);
         }
         let Answer { cell, version, stage, pending } = *answer;
-        self.waiting.insert(id, Waiting { at: now, cell, version: version.clone(), stage, pending });
+        self.waiting.insert(id, PendingAnswer { at: now, cell, version: version.clone(), stage, pending });
         self.order.push_back((now, id));
     }
 
--- a/crates/route/src/quality/speed.rs
+++ b/crates/route/src/quality/speed.rs
@@ -4,17 +4,17 @@
 use world::{Millis, Timestamp};
 
 /// Weight of the latest run in the moving averages.
-const STEP: f64 = 0.05;
+const SMOOTHING_FACTOR: f64 = 0.05;
 /// Ratio of the mean to the deviation of a run's duration before the first run.
-const SPARE: f64 = 2.0;
+const PRIOR_MEAN_TO_DEVIATION: f64 = 2.0;
 /// Assumed time to the first token before the first run, in milliseconds.
-const BLANK_START_MS: f64 = 300.0;
+const PRIOR_START_MS: f64 = 300.0;
 /// Assumed time per generated token before the first run, in milliseconds.
-const BLANK_TOKEN_MS: f64 = 10.0;
+const PRIOR_TOKEN_MS: f64 = 10.0;
 /// Assumed number of tokens of an answer before the first run.
-const BLANK_OUTPUT: f64 = 100.0;
+const PRIOR_OUTPUT_TOKENS: f64 = 100.0;
 /// Time without a run after which the learned durations are halved.
-const STALE_MS: Millis = 30_000;
+const HALF_LIFE_MS: Millis = 30_000;
 /// Maximum number of halvings; after that many the durations are near zero.
 const MAX_HALVINGS: i32 = 20;
 
@@ -30,8 +30,14 @@
 
 impl Default for Speed {
     fn default() -> Self {
-        let millis = BLANK_TOKEN_MS.mul_add(BLANK_OUTPUT, BLANK_START_MS);
-        Self { millis, deviation: millis / SPARE, output: BLANK_OUTPUT, runs: 0, seen: Timestamp(0) }
+        let millis = PRIOR_TOKEN_MS.mul_add(PRIOR_OUTPUT_TOKENS, PRIOR_START_MS);
+        Self {
+            millis,
+            deviation: millis / PRIOR_MEAN_TO_DEVIATION,
+            output: PRIOR_OUTPUT_TOKENS,
+            runs: 0,
+            seen: Timestamp(0),
+        }
     }
 }
 
@@ -41,11 +47,11 @@
         self.runs += 1;
         self.seen = now;
         #[expect(clippy::cast_precision_loss, reason = "counts and milliseconds stay far below 2^52")]
-        let (step, millis) = (STEP.max(1.0 / self.runs as f64), millis as f64);
+        let (weight, millis) = (SMOOTHING_FACTOR.max(1.0 / self.runs as f64), millis as f64);
         let error = millis - self.millis;
-        self.millis += step * error;
-        self.deviation += step * (error.abs() - self.deviation);
-        self.output += step * (f64::from(output_tokens) - self.output);
+        self.millis += weight * error;
+        self.deviation += weight * (error.abs() - self.deviation);
+        self.output += weight * (f64::from(output_tokens) - self.output);
     }
 
     /// Returns the expected duration of a run, in milliseconds.
@@ -68,14 +74,14 @@
     }
 
     /// Returns the averages decayed to `now`: durations halve with every
-    /// `STALE_MS` without a run.
+    /// `HALF_LIFE_MS` without a run.
     ///
     /// After a slow period every request might be refused for lack of time. Without
     /// the decay no run would ever show that the period is over, and the refusals
     /// would continue.
     #[must_use]
-    pub fn aged(mut self, now: Timestamp) -> Self {
-        let halvings = i32::try_from(now.since(self.seen) / STALE_MS).unwrap_or(i32::MAX).min(MAX_HALVINGS);
+    pub fn decayed(mut self, now: Timestamp) -> Self {
+        let halvings = i32::try_from(now.since(self.seen) / HALF_LIFE_MS).unwrap_or(i32::MAX).min(MAX_HALVINGS);
         if self.runs > 0 {
             self.millis /= 2f64.powi(halvings);
             self.deviation /= 2f64.powi(halvings);
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -55,7 +55,7 @@
         self.tokens
     }
 
-    fn pay(&mut self) -> bool {
+    fn try_spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
@@ -142,11 +142,11 @@
     if request.tries >= policy.max_tries {
         return Decision::GiveUp(Reason::Tries);
     }
-    let after_ms = wait(policy, request.tries, failure, random);
+    let after_ms = backoff_ms(policy, request.tries, failure, random);
     if now.plus(after_ms).plus(request.expected_ms) > request.deadline {
         return Decision::GiveUp(Reason::Deadline);
     }
-    if !budget.pay() {
+    if !budget.try_spend() {
         return Decision::GiveUp(Reason::Budget);
     }
     Decision::Retry { after_ms }
@@ -154,12 +154,12 @@
 
 /// Returns an exponential backoff delay with full jitter, added to the delay that the
 /// endpoint asked for.
-fn wait(policy: &Policy, tries: u32, failure: Failure, random: &mut impl Rng) -> Millis {
+fn backoff_ms(policy: &Policy, tries: u32, failure: Failure, random: &mut impl Rng) -> Millis {
     let doublings = tries.saturating_sub(1).min(20);
     let bound = policy.base_ms.saturating_mul(1 << doublings).min(policy.cap_ms);
     let jitter = random.random_range(0..=bound);
     match failure {
-        Failure::NotRun { retry_after: Some(asked) } => asked.saturating_add(jitter),
+        Failure::NotRun { retry_after: Some(requested_ms) } => requested_ms.saturating_add(jitter),
         Failure::NotRun { retry_after: None } | Failure::MayHaveRun => jitter,
     }
 }
@@ -170,7 +170,7 @@
     /// Dispatch now; the first answer wins, the other dispatch is cancelled.
     Dispatch,
     /// Decide again at this time.
-    At(Timestamp),
+    DecideAt(Timestamp),
     /// Do not hedge this request.
     Never(Reason),
 }
@@ -183,26 +183,26 @@
     if request.repeat == Repeat::Never {
         return Hedge::Never(Reason::NotRepeatable);
     }
-    if request.tries >= policy.max_tries.min(MAX_PARALLEL) {
+    if request.tries >= policy.max_tries.min(MAX_PARALLEL_DISPATCHES) {
         return Hedge::Never(Reason::Tries);
     }
     let latest = Timestamp(request.deadline.0.saturating_sub(request.expected_ms));
-    let at = Timestamp(latest.0.saturating_sub(request.expected_ms / HEDGE_MARGIN));
+    let at = Timestamp(latest.0.saturating_sub(request.expected_ms / HEDGE_MARGIN_DIVISOR));
     if now < at {
-        return Hedge::At(at);
+        return Hedge::DecideAt(at);
     }
     if now > latest {
         return Hedge::Never(Reason::Deadline);
     }
-    if !budget.pay() {
+    if !budget.try_spend() {
         return Hedge::Never(Reason::Budget);
     }
     Hedge::Dispatch
 }
 
 /// Maximum number of dispatches of a request for it to be hedged.
-const MAX_PARALLEL: u32 = 2;
+const MAX_PARALLEL_DISPATCHES: u32 = 2;
 
 /// Divisor of the expected duration of a dispatch; the quotient is the margin before
 /// the latest possible time of a hedge.
-const HEDGE_MARGIN: Millis = 4;
+const HEDGE_MARGIN_DIVISOR: Millis = 4;
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -105,24 +105,24 @@
     let Some(spec) = catalog.model(model) else { return Vec::new() };
     let versions = spec.versions.iter().map(|r| Version { model: model.clone(), number: r.version.clone() });
     versions
-        .filter(|version| takes(catalog, stops, contract, version, unit))
-        .filter(|version| !replaced(catalog, stops, contract, version, unit))
+        .filter(|version| accepts_new_session(catalog, stops, contract, version, unit))
+        .filter(|version| !is_replaced(catalog, stops, contract, version, unit))
         .collect()
 }
 
 /// Returns whether a session pinned to a version may continue on it.
 #[must_use]
-pub fn keeps(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version) -> bool {
-    let gone = matches!(catalog.standing(version), Standing::Withdrawn | Standing::Unknown);
-    allowed(contract, version) && !gone && !stops.contains(version)
+pub fn may_continue(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version) -> bool {
+    let is_unavailable = matches!(catalog.standing(version), Standing::Withdrawn | Standing::Unknown);
+    is_allowed(contract, version) && !is_unavailable && !stops.contains(version)
 }
 
 /// Returns whether a new session is exposed to a version under roll-out.
 #[must_use]
-pub fn exposed(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version, unit: Unit) -> bool {
+pub fn is_exposed(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version, unit: Unit) -> bool {
     match catalog.standing(version) {
         Standing::Exposed { share, .. } => {
-            keeps(catalog, stops, contract, version) && unit.fraction(version) < limited(share, contract)
+            may_continue(catalog, stops, contract, version) && unit.fraction(version) < capped_share(share, contract)
         }
         Standing::Serving | Standing::Held { .. } | Standing::Withdrawn | Standing::Unknown => false,
     }
@@ -140,22 +140,22 @@
 }
 
 /// Maximum number of control sessions per exposed session.
-const CONTROL_RATIO: f64 = 30.0;
+const MAX_CONTROL_RATIO: f64 = 30.0;
 
 /// Returns the number of control sessions per exposed session at the share of a step.
 #[must_use]
 pub fn control_ratio(share: f64) -> f64 {
-    if share > 0.0 { ((1.0 - share) / share).min(CONTROL_RATIO) } else { CONTROL_RATIO }
+    if share > 0.0 { ((1.0 - share) / share).min(MAX_CONTROL_RATIO) } else { MAX_CONTROL_RATIO }
 }
 
 /// Returns whether the share of a step leaves too few control sessions for a comparison.
 #[must_use]
-pub fn thin(share: f64) -> bool {
-    control_ratio(share) < THIN_RATIO
+pub fn lacks_control(share: f64) -> bool {
+    control_ratio(share) < MIN_CONTROL_RATIO
 }
 
 /// Minimum number of control sessions per exposed session for a comparison.
-const THIN_RATIO: f64 = 0.25;
+const MIN_CONTROL_RATIO: f64 = 0.25;
 
 /// Returns the arm of a customer's session at the share of a step.
 ///
@@ -165,43 +165,43 @@
 /// version could look bad only because cautious customers are not exposed to it.
 #[must_use]
 pub fn arm(share: f64, contract: &Contract, version: &Version, unit: Unit) -> Arm {
-    let own = limited(share, contract);
+    let exposed_share = capped_share(share, contract);
     let ratio = control_ratio(share);
-    let place = unit.fraction(version);
-    if place < own {
+    let position = unit.fraction(version);
+    if position < exposed_share {
         return Arm::New;
     }
-    if place >= 1.0 - own * ratio { Arm::Control } else { Arm::Outside }
+    if position >= 1.0 - exposed_share * ratio { Arm::Control } else { Arm::Outside }
 }
 
 /// Returns the share of a step as limited by a contract.
-fn limited(share: f64, contract: &Contract) -> f64 {
+fn capped_share(share: f64, contract: &Contract) -> f64 {
     // Customers with the objective exposure are exposed late: the square of the
     // share is close to 0 at the first steps and 1 at the last.
     let share = if contract.objective == Objective::Exposure { share * share } else { share };
     share.min(contract.exposure.new_version_share)
 }
 
-fn allowed(contract: &Contract, version: &Version) -> bool {
+fn is_allowed(contract: &Contract, version: &Version) -> bool {
     let model = contract.models.iter().find(|a| a.model == version.model);
     model.is_some_and(|a| a.versions.contains(&version.number))
 }
 
 /// Returns whether a version accepts a new session, regardless of its successors.
-fn takes(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version, unit: Unit) -> bool {
+fn accepts_new_session(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version, unit: Unit) -> bool {
     match catalog.standing(version) {
-        Standing::Serving => keeps(catalog, stops, contract, version),
-        Standing::Exposed { .. } => exposed(catalog, stops, contract, version, unit),
+        Standing::Serving => may_continue(catalog, stops, contract, version),
+        Standing::Exposed { .. } => is_exposed(catalog, stops, contract, version, unit),
         Standing::Held { .. } | Standing::Withdrawn | Standing::Unknown => false,
     }
 }
 
 /// Returns whether a successor takes over the new sessions of a version.
-fn replaced(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version, unit: Unit) -> bool {
+fn is_replaced(catalog: &Catalog, stops: &Stops, contract: &Contract, version: &Version, unit: Unit) -> bool {
     catalog.rollouts().values().any(|rollout| {
         let successor = rollout.version.model == version.model && rollout.predecessor == version.number;
         let active = matches!(rollout.state, State::Exposing | State::Promoted);
-        successor && active && takes(catalog, stops, contract, &rollout.version, unit)
+        successor && active && accepts_new_session(catalog, stops, contract, &rollout.version, unit)
     })
 }
 
--- a/crates/route/tests/admission.rs
+++ b/crates/route/tests/admission.rs
@@ -39,23 +39,24 @@
     assert_eq!(shares(&mut queue, turns), expected);
 }
 
-macro_rules! shared {
+macro_rules! share_tests {
     ($($name:ident: $weights:expr, $turns:expr => $expected:expr;)*) => {
         $(#[test] fn $name() { check_shares(&$weights, $turns, &$expected); })*
     };
 }
 
-shared! {
-    equal_weights_take_turns: [("a", 1, 50), ("b", 1, 50)], 20 => [("a", 10), ("b", 10)];
-    weight_gives_the_share: [("a", 3, 50), ("b", 1, 50)], 20 => [("a", 15), ("b", 5)];
-    a_flood_does_not_starve_the_small: [("large", 1, 500), ("small", 1, 5)], 10 => [("large", 5), ("small", 5)];
-    what_one_leaves_the_other_takes: [("a", 1, 2), ("b", 1, 50)], 20 => [("a", 2), ("b", 18)];
+share_tests! {
+    equal_weights_get_equal_shares: [("a", 1, 50), ("b", 1, 50)], 20 => [("a", 10), ("b", 10)];
+    shares_are_proportional_to_weights: [("a", 3, 50), ("b", 1, 50)], 20 => [("a", 15), ("b", 5)];
+    a_flood_does_not_starve_a_small_customer: [("large", 1, 500), ("small", 1, 5)], 10 => [("large", 5), ("small", 5)];
+    unused_turns_go_to_other_customers: [("a", 1, 2), ("b", 1, 50)], 20 => [("a", 2), ("b", 18)];
 }
 
 #[test]
 fn earliest_deadline_first_within_a_customer() {
     let (mut queue, a) = (Queue::new(1), customer("a"));
-    let keys = [9_000, 3_000, 6_000].map(|due| queue.offer(&ticket(&a, 1, due), Timestamp(0)).expect("the deadline leaves enough time"));
+    let keys = [9_000, 3_000, 6_000]
+        .map(|due| queue.offer(&ticket(&a, 1, due), Timestamp(0)).expect("the deadline leaves enough time"));
     let mut turns = Vec::new();
     while let Some(admitted) = queue.next(Timestamp(0)) {
         queue.finished(Timestamp(0));
@@ -68,7 +69,7 @@
 /// queue must get a lower priority than one with a single request, otherwise its runs
 /// would delay the single one in the queue of the engine.
 #[test]
-fn who_is_over_its_share_goes_behind_in_the_engines() {
+fn customers_over_their_share_get_a_lower_engine_priority() {
     let (mut queue, large, small) = (Queue::new(100), customer("large"), customer("small"));
     let mut run = |customer: &Customer, now: u64| {
         queue.offer(&ticket(customer, 1, now + 1_000_000), Timestamp(now)).expect("the deadline leaves enough time");
@@ -86,7 +87,7 @@
 /// A customer returns with a burst after being idle. If it had accumulated its unused
 /// turns, the burst would lock out all other customers.
 #[test]
-fn idle_time_is_not_saved_up() {
+fn idle_time_does_not_accumulate_turns() {
     let (mut queue, a, b) = (Queue::new(1), customer("a"), customer("b"));
     for _ in 0..100 {
         queue.offer(&ticket(&a, 1, 1_000_000), Timestamp(0)).expect("the deadline leaves enough time");
@@ -105,7 +106,7 @@
 /// The next one must be refused on arrival with a retry time, instead of waiting in
 /// vain.
 #[test]
-fn what_cannot_be_done_in_time_is_refused_at_once() {
+fn requests_that_would_be_late_are_refused_on_arrival() {
     let (mut queue, a) = (Queue::new(1), customer("a"));
     for _ in 0..10 {
         queue.offer(&ticket(&a, 1, 400), Timestamp(0)).ok();
@@ -120,7 +121,7 @@
 /// A waiting request can no longer meet its deadline. It must be shed as soon as this
 /// is so, and must not be admitted late.
 #[test]
-fn overtaken_work_is_shed_and_never_run_late() {
+fn late_requests_are_shed_and_not_admitted() {
     let (mut queue, a) = (Queue::new(1), customer("a"));
     let slow = queue.offer(&ticket(&a, 1, 150), Timestamp(0)).expect("the deadline leaves enough time");
     let shed = queue.shed(Timestamp(60));
@@ -130,24 +131,24 @@
 
 /// An operation on the queue.
 #[derive(Debug, Clone)]
-enum Act {
+enum Action {
     Offer { customer: usize, weight: u32, within_ms: u64, run_ms: u64 },
     Next,
     Finish,
     Cancel(usize),
     Limit(u32),
-    Pass(u64),
+    Advance(u64),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
         4 => (0..4usize, 1..5u32, 0..3_000u64, 1..500u64)
-            .prop_map(|(customer, weight, within_ms, run_ms)| Act::Offer { customer, weight, within_ms, run_ms }),
-        3 => Just(Act::Next),
-        3 => Just(Act::Finish),
-        1 => (0..50usize).prop_map(Act::Cancel),
-        1 => (0..6u32).prop_map(Act::Limit),
-        2 => (0..400u64).prop_map(Act::Pass),
+            .prop_map(|(customer, weight, within_ms, run_ms)| Action::Offer { customer, weight, within_ms, run_ms }),
+        3 => Just(Action::Next),
+        3 => Just(Action::Finish),
+        1 => (0..50usize).prop_map(Action::Cancel),
+        1 => (0..6u32).prop_map(Action::Limit),
+        2 => (0..400u64).prop_map(Action::Advance),
     ]
 }
 
@@ -161,14 +162,14 @@
     /// Every accepted request gets exactly one outcome: admitted, shed or cancelled. The
     /// limit of running requests holds, and no request is admitted too late.
     #[test]
-    fn every_request_is_told_once(acts in proptest::collection::vec(act(), 1..200)) {
+    fn every_accepted_request_has_exactly_one_outcome(actions in proptest::collection::vec(action(), 1..200)) {
         let names: Vec<_> = ["a", "b", "c", "d"].map(customer).into();
         let mut queue = Queue::new(2);
         let (mut now, mut limit, mut running) = (Timestamp(0), 2, 0u32);
         let mut waiting: BTreeMap<Key, (Timestamp, u64)> = BTreeMap::new();
-        for act in acts {
-            match act {
-                Act::Offer { customer, weight, within_ms, run_ms } => {
+        for action in actions {
+            match action {
+                Action::Offer { customer, weight, within_ms, run_ms } => {
                     let deadline = now.plus(within_ms);
                     let ticket = Ticket { customer: &names[customer], weight, deadline, run_ms, draw: within_ms };
                     match queue.offer(&ticket, now) {
@@ -176,27 +177,27 @@
                         Err(refusal) => prop_assert!(refusal.retry_after_ms > 0),
                     }
                 }
-                Act::Next => if let Some(admitted) = queue.next(now) {
+                Action::Next => if let Some(admitted) = queue.next(now) {
                     let (deadline, run_ms) = waiting.remove(&admitted.key).expect("the request has no outcome yet");
                     prop_assert!(now.plus(run_ms) <= deadline);
                     prop_assert!(running < limit);
                     prop_assert!(admitted.priority <= 9);
                     running += 1;
                 },
-                Act::Finish if running > 0 => {
+                Action::Finish if running > 0 => {
                     queue.finished(now);
                     running -= 1;
                 }
-                Act::Finish => {}
-                Act::Cancel(nth) => if let Some(key) = waiting.keys().nth(nth).copied() {
+                Action::Finish => {}
+                Action::Cancel(nth) => if let Some(key) = waiting.keys().nth(nth).copied() {
                     waiting.remove(&key);
                     prop_assert!(queue.cancel(key));
                 },
-                Act::Limit(to) => {
+                Action::Limit(to) => {
                     limit = to.max(1);
                     queue.set_limit(to);
                 }
-                Act::Pass(millis) => {
+                Action::Advance(millis) => {
                     now = now.plus(millis);
                     for (key, _) in queue.shed(now) {
                         prop_assert!(waiting.remove(&key).is_some());
--- a/crates/route/tests/properties.rs
+++ b/crates/route/tests/properties.rs
@@ -49,12 +49,12 @@
     share: f64,
     objective: usize,
     unit: u64,
-    never: bool,
+    must_not_repeat: bool,
     rater_down: bool,
     left_ms: u64,
     ceiling: u64,
     max_tokens: Option<u32>,
-    owner: bool,
+    owns_session: bool,
 }
 
 fn release() -> impl Strategy<Value = Release> {
@@ -79,10 +79,27 @@
 fn case() -> impl Strategy<Value = Case> {
     let request = (any::<u64>(), any::<bool>(), any::<bool>(), 0..60_000u64, 0..400_000_000u64);
     let contract = (0.0..=1.0f64, 0.0..=1.0f64, 0..OBJECTIVES.len());
-    let more = (proptest::option::of(1..4_000u32), prop::bool::weighted(0.9));
-    (proptest::collection::vec(release(), 1..8), contract, request, more).prop_map(
-        |(releases, (target, share, objective), (unit, never, rater_down, left_ms, ceiling), (max_tokens, owner))| {
-            Case { releases, target, share, objective, unit, never, rater_down, left_ms, ceiling, max_tokens, owner }
+    let more_inputs = (proptest::option::of(1..4_000u32), prop::bool::weighted(0.9));
+    (proptest::collection::vec(release(), 1..8), contract, request, more_inputs).prop_map(
+        |(
+            releases,
+            (target, share, objective),
+            (unit, must_not_repeat, rater_down, left_ms, ceiling),
+            (max_tokens, owns_session),
+        )| {
+            Case {
+                releases,
+                target,
+                share,
+                objective,
+                unit,
+                must_not_repeat,
+                rater_down,
+                left_ms,
+                ceiling,
+                max_tokens,
+                owns_session,
+            }
         },
     )
 }
@@ -133,7 +150,7 @@
             version: version(i),
             left: None,
         });
-        let customer = if self.owner { "c" } else { "another" };
+        let customer = if self.owns_session { "c" } else { "another" };
         Session { customer: Customer::parse(customer).expect("valid name"), pins: pins.collect() }
     }
 
@@ -182,13 +199,14 @@
     session: &Session,
     at: &Version,
 ) -> bool {
-    let pinned = case.owner && session.pins.iter().any(|pin| pin.version == *at);
+    let pinned = case.owns_session && session.pins.iter().any(|pin| pin.version == *at);
     let standing = match catalog.standing(at) {
         Standing::Serving => true,
         Standing::Exposed { share, .. } => {
-            let least_contact = OBJECTIVES[case.objective] == "exposure";
-            let most = (if least_contact { share * share } else { share }).min(contract.exposure.new_version_share);
-            pinned || (most > 0.0 && rollout::exposed(catalog, stops, contract, at, Unit(case.unit)))
+            let exposure_objective = OBJECTIVES[case.objective] == "exposure";
+            let most =
+                (if exposure_objective { share * share } else { share }).min(contract.exposure.new_version_share);
+            pinned || (most > 0.0 && rollout::is_exposed(catalog, stops, contract, at, Unit(case.unit)))
         }
         Standing::Held { .. } => pinned,
         Standing::Withdrawn | Standing::Unknown => false,
@@ -220,7 +238,7 @@
             session: Some(&session),
             unit: Unit(case.unit),
             stops: &stops,
-            repeat: if case.never { Repeat::Never } else { Repeat::Idempotent },
+            repeat: if case.must_not_repeat { Repeat::Never } else { Repeat::Idempotent },
             prompt_tokens: PROMPT,
             max_tokens: case.max_tokens,
             now: NOW,
@@ -260,11 +278,11 @@
         prop_assert!(steps.iter().all(|step| open.contains(step)), "{steps:?} of {open:?}");
         prop_assert!(choice.steps().iter().all(|step| step.renew(&catalog, &stops).is_some()));
         prop_assert!(choice.steps().is_sorted_by(|a, b| a.tier() < b.tier()));
-        if case.never || case.rater_down {
+        if case.must_not_repeat || case.rater_down {
             prop_assert_eq!(steps.len(), 1);
         }
 
-        let kept = |pin: &&Pin| case.owner && rollout::keeps(&catalog, &stops, contract, &pin.version);
+        let kept = |pin: &&Pin| case.owns_session && rollout::may_continue(&catalog, &stops, contract, &pin.version);
         for pin in session.pins.iter().filter(kept) {
             let step = choice.steps().iter().find(|step| step.tier() == pin.tier);
             prop_assert!(step.is_none_or(|step| *step.version() == pin.version), "moved away from its pin {}", pin.version);
--- a/crates/route/tests/retry.rs
+++ b/crates/route/tests/retry.rs
@@ -12,7 +12,7 @@
     Request { repeat, tries, deadline: Timestamp(10_000), expected_ms: 500 }
 }
 
-fn check(request: &Request, failure: Failure, now: u64, wanted: Result<(), Reason>) {
+fn check_decision(request: &Request, failure: Failure, now: u64, expected: Result<(), Reason>) {
     let policy = Policy::default();
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let decision = retry::decide(&policy, &mut Budget::new(&policy), request, failure, Timestamp(now), &mut random);
@@ -20,34 +20,34 @@
         Decision::Retry { .. } => Ok(()),
         Decision::GiveUp(reason) => Err(reason),
     };
-    assert_eq!(outcome, wanted);
+    assert_eq!(outcome, expected);
 }
 
 macro_rules! cases {
-    ($($name:ident: $request:expr, $failure:expr, at $now:literal => $wanted:expr;)*) => {
+    ($($name:ident: $request:expr, $failure:expr, at $now:literal => $expected:expr;)*) => {
         $(#[test]
         fn $name() {
-            check(&$request, $failure, $now, $wanted);
+            check_decision(&$request, $failure, $now, $expected);
         })*
     };
 }
 
 cases! {
-    idempotent_may_run_twice: request(Repeat::Idempotent, 1), Failure::MayHaveRun, at 0 => Ok(());
-    never_after_a_possible_run: request(Repeat::Never, 1), Failure::MayHaveRun, at 0 => Err(Reason::NotRepeatable);
-    certain_not_run_goes_again: request(Repeat::Never, 1), NOT_RUN, at 0 => Ok(());
-    not_past_the_deadline: request(Repeat::Idempotent, 1), NOT_RUN, at 9_600 => Err(Reason::Deadline);
-    asked_wait_past_the_deadline: request(Repeat::Idempotent, 1),
+    idempotent_request_is_retried_after_a_possible_run: request(Repeat::Idempotent, 1), Failure::MayHaveRun, at 0 => Ok(());
+    non_idempotent_request_is_not_retried_after_a_possible_run: request(Repeat::Never, 1), Failure::MayHaveRun, at 0 => Err(Reason::NotRepeatable);
+    non_idempotent_request_is_retried_if_it_did_not_run: request(Repeat::Never, 1), NOT_RUN, at 0 => Ok(());
+    no_retry_past_the_deadline: request(Repeat::Idempotent, 1), NOT_RUN, at 9_600 => Err(Reason::Deadline);
+    no_retry_if_the_requested_delay_passes_the_deadline: request(Repeat::Idempotent, 1),
         Failure::NotRun { retry_after: Some(9_900) }, at 0 => Err(Reason::Deadline);
-    most_tries: request(Repeat::Idempotent, 4), NOT_RUN, at 0 => Err(Reason::Tries);
+    no_retry_after_the_maximum_number_of_dispatches: request(Repeat::Idempotent, 4), NOT_RUN, at 0 => Err(Reason::Tries);
 }
 
 #[test]
-fn hedges_only_late_and_only_where_harmless() {
+fn hedges_only_late_and_only_idempotent_requests() {
     let policy = Policy::default();
     let hedge = |request: &Request, now| retry::hedge(&policy, &mut Budget::new(&policy), request, Timestamp(now));
     let idempotent = request(Repeat::Idempotent, 1);
-    assert_eq!(hedge(&idempotent, 0), Hedge::At(Timestamp(9_375)));
+    assert_eq!(hedge(&idempotent, 0), Hedge::DecideAt(Timestamp(9_375)));
     assert_eq!(hedge(&idempotent, 9_400), Hedge::Dispatch);
     assert_eq!(hedge(&idempotent, 9_501), Hedge::Never(Reason::Deadline));
     assert_eq!(hedge(&request(Repeat::Never, 1), 9_400), Hedge::Never(Reason::NotRepeatable));
@@ -57,7 +57,7 @@
 /// Every attempt fails. Dispatches must stay below `1 + share` times the first attempts
 /// plus the burst, so that retries cannot sustain an overload.
 #[test]
-fn overload_is_not_multiplied() {
+fn budget_bounds_dispatches_when_every_attempt_fails() {
     let unbounded = dispatches(&Policy { share: 3.0, burst: 1e9, ..Policy::default() });
     let bounded = dispatches(&Policy::default());
     println!("10,000 requests, every attempt fails: {bounded} dispatches, {unbounded} without a budget");
@@ -90,7 +90,7 @@
     /// For any sequence of failures: a request that may have run and must not run twice
     /// is not retried, no retry would end after the deadline, and no budget is overdrawn.
     #[test]
-    fn no_decision_breaks_a_rule(
+    fn retries_respect_idempotency_deadline_and_budget(
         seed: u64,
         steps in prop::collection::vec((any::<bool>(), 0u8..3, 0u64..2_000, 0u32..6, 0u64..12_000, 1u64..4_000), 1..60),
     ) {
--- a/crates/route/tests/rollout.rs
+++ b/crates/route/tests/rollout.rs
@@ -41,7 +41,7 @@
     Catalog::build(1, objects).unwrap()
 }
 
-fn rolling(name: &str, version: &str, predecessor: &str, state: &str, share: f64) -> String {
+fn rollout_object(name: &str, version: &str, predecessor: &str, state: &str, share: f64) -> String {
     format!(
         "---\nkind: rollout\nname: {name}\nspec: {{ version: m@{version}, predecessor: \"{predecessor}\", steps: [{share}], state: {state} }}\n"
     )
@@ -55,7 +55,7 @@
     Version::parse(&format!("m@{number}")).unwrap()
 }
 
-fn stopped(number: &str, name: &str) -> Stops {
+fn stops_with(number: &str, name: &str) -> Stops {
     let mut stops = Stops::default();
     let rollout = world::rollout::Id::parse(name).unwrap();
     stops.insert(Stop { version: version(number), rollout, reason: "bad".into() });
@@ -64,22 +64,22 @@
 
 /// Checks the shares of 10,000 new sessions that may start on versions 1, 2 and 3,
 /// in percent.
-fn check(rollouts: &str, stops: &Stops, customer: &str, wanted: [u64; 3]) {
+fn check_shares(rollouts: &str, stops: &Stops, customer: &str, wanted: [u64; 3]) {
     let catalog = catalog(rollouts);
     let contract = contract(&catalog, customer);
-    let mut met = [0u64; 3];
+    let mut counts = [0u64; 3];
     for unit in 0..10_000u64 {
         let open = rollout::open(&catalog, stops, contract, &Id::parse("m").unwrap(), Unit(unit * 0x9E37_79B9));
         assert!(open.contains(&version("9")), "other tiers stay available");
-        for (place, number) in ["1", "2", "3"].into_iter().enumerate() {
-            met[place] += u64::from(open.contains(&version(number)));
+        for (index, number) in ["1", "2", "3"].into_iter().enumerate() {
+            counts[index] += u64::from(open.contains(&version(number)));
         }
         assert!(open.len() <= 2, "one version per tier: {open:?}");
     }
-    for (met, wanted) in met.into_iter().zip(wanted.map(|percent| percent * 100)) {
+    for (count, wanted) in counts.into_iter().zip(wanted.map(|percent| percent * 100)) {
         // Shares of 0 and 100 percent must be exact.
-        let near = if wanted % 10_000 == 0 { met == wanted } else { met.abs_diff(wanted) <= 150 };
-        assert!(near, "{met} sessions, {wanted} expected");
+        let matches_share = if wanted % 10_000 == 0 { count == wanted } else { count.abs_diff(wanted) <= 150 };
+        assert!(matches_share, "{count} sessions, {wanted} expected");
     }
 }
 
@@ -89,42 +89,42 @@
         fn $name() {
             let mut rollouts = String::new();
             $(rollouts.push_str(&$rollout);)*
-            check(&rollouts, &$stops, $customer, $wanted);
+            check_shares(&rollouts, &$stops, $customer, $wanted);
         })*
     };
 }
 
 cases! {
-    loading_meets_nobody: [rolling("r", "2", "1", "loading", 0.2), rolling("s", "3", "2", "loading", 0.1)],
+    loading_version_exposes_no_session: [rollout_object("r", "2", "1", "loading", 0.2), rollout_object("s", "3", "2", "loading", 0.1)],
         Stops::default(), "all" => [100, 0, 0];
-    exposing_meets_its_share: [rolling("r", "2", "1", "exposing", 0.2), rolling("s", "3", "2", "loading", 0.1)],
+    exposing_version_receives_its_share: [rollout_object("r", "2", "1", "exposing", 0.2), rollout_object("s", "3", "2", "loading", 0.1)],
         Stops::default(), "all" => [80, 20, 0];
-    paused_takes_no_new_sessions: [rolling("r", "2", "1", "paused", 0.2), rolling("s", "3", "2", "loading", 0.1)],
+    paused_rollout_accepts_no_new_sessions: [rollout_object("r", "2", "1", "paused", 0.2), rollout_object("s", "3", "2", "loading", 0.1)],
         Stops::default(), "all" => [100, 0, 0];
-    promoted_takes_all: [rolling("r", "2", "1", "promoted", 1.0), rolling("s", "3", "2", "loading", 0.1)],
+    promoted_version_receives_all_sessions: [rollout_object("r", "2", "1", "promoted", 1.0), rollout_object("s", "3", "2", "loading", 0.1)],
         Stops::default(), "all" => [0, 100, 0];
-    withdrawn_meets_nobody: [rolling("r", "2", "1", "withdrawn", 1.0), rolling("s", "3", "1", "loading", 0.1)],
+    withdrawn_version_receives_no_session: [rollout_object("r", "2", "1", "withdrawn", 1.0), rollout_object("s", "3", "1", "loading", 0.1)],
         Stops::default(), "all" => [100, 0, 0];
-    next_after_promotion: [rolling("r", "2", "1", "promoted", 1.0), rolling("s", "3", "2", "exposing", 0.5)],
+    next_rollout_takes_its_share_from_the_promoted_version: [rollout_object("r", "2", "1", "promoted", 1.0), rollout_object("s", "3", "2", "exposing", 0.5)],
         Stops::default(), "all" => [0, 50, 50];
-    stop_signal_beats_the_catalog: [rolling("r", "2", "1", "exposing", 0.2), rolling("s", "3", "2", "loading", 0.1)],
-        stopped("2", "r"), "all" => [100, 0, 0];
-    stop_of_a_promoted_version_gives_back: [rolling("r", "2", "1", "promoted", 1.0), rolling("s", "3", "2", "loading", 0.1)],
-        stopped("2", "r"), "all" => [100, 0, 0];
-    contract_caps_the_share: [rolling("r", "2", "1", "exposing", 0.2), rolling("s", "3", "2", "loading", 0.1)],
+    stop_overrides_the_exposing_state_of_the_catalog: [rollout_object("r", "2", "1", "exposing", 0.2), rollout_object("s", "3", "2", "loading", 0.1)],
+        stops_with("2", "r"), "all" => [100, 0, 0];
+    stop_of_a_promoted_version_restores_its_predecessor: [rollout_object("r", "2", "1", "promoted", 1.0), rollout_object("s", "3", "2", "loading", 0.1)],
+        stops_with("2", "r"), "all" => [100, 0, 0];
+    contract_caps_the_share: [rollout_object("r", "2", "1", "exposing", 0.2), rollout_object("s", "3", "2", "loading", 0.1)],
         Stops::default(), "careful" => [98, 2, 0];
-    contract_without_the_version: [rolling("r", "2", "1", "promoted", 1.0), rolling("s", "3", "2", "loading", 0.1)],
+    contract_without_the_new_version_keeps_its_predecessor: [rollout_object("r", "2", "1", "promoted", 1.0), rollout_object("s", "3", "2", "loading", 0.1)],
         Stops::default(), "old" => [100, 0, 0];
 }
 
 /// A stop must last until the catalog withdraws the version; otherwise the version
 /// would receive sessions again in between.
 #[test]
-fn stops_settle_into_the_catalog() {
-    let mut stops = stopped("2", "r");
-    stops.settle(&catalog(&rolling("r", "2", "1", "exposing", 0.2)));
+fn stop_is_dropped_once_the_catalog_withdraws_the_version() {
+    let mut stops = stops_with("2", "r");
+    stops.settle(&catalog(&rollout_object("r", "2", "1", "exposing", 0.2)));
     assert!(stops.contains(&version("2")));
-    stops.settle(&catalog(&rolling("r", "2", "1", "withdrawn", 0.2)));
+    stops.settle(&catalog(&rollout_object("r", "2", "1", "withdrawn", 0.2)));
     assert!(!stops.contains(&version("2")));
 }
 
@@ -132,8 +132,8 @@
 /// exposed sessions as others; otherwise the arms would contain different mixes of
 /// customers.
 #[test]
-fn arms_keep_the_mix_of_customers() {
-    let catalog = catalog(&rolling("r", "2", "1", "exposing", 0.2));
+fn control_ratio_is_the_same_for_all_customers() {
+    let catalog = catalog(&rollout_object("r", "2", "1", "exposing", 0.2));
     for customer in ["all", "careful"] {
         let contract = contract(&catalog, customer);
         let arms = (0..200_000u64).map(|unit| rollout::arm(0.2, contract, &version("2"), Unit(unit * 0x9E37_79B9)));
@@ -145,9 +145,9 @@
 }
 
 #[test]
-fn plans_by_state() {
+fn plan_depends_on_rollout_state() {
     let base = |state: &str| {
-        let catalog = catalog(&rolling("r", "2", "1", state, 0.2));
+        let catalog = catalog(&rollout_object("r", "2", "1", state, 0.2));
         catalog.rollouts().values().next().unwrap().clone()
     };
     let plan = |state: &str, verdict: Verdict, at_step_ms, loaded| {
@@ -168,13 +168,13 @@
 
     /// A session that is exposed at one share is exposed at every larger share.
     #[test]
-    fn exposure_only_grows(unit: u64, small in 0.0f64..1.0, more in 0.0f64..1.0) {
-        let meets = |share: f64| {
-            let catalog = catalog(&rolling("r", "2", "1", "exposing", share));
-            rollout::exposed(&catalog, &Stops::default(), contract(&catalog, "all"), &version("2"), Unit(unit))
+    fn exposure_is_monotonic_in_the_share(unit: u64, small in 0.0f64..1.0, more in 0.0f64..1.0) {
+        let is_exposed_at = |share: f64| {
+            let catalog = catalog(&rollout_object("r", "2", "1", "exposing", share));
+            rollout::is_exposed(&catalog, &Stops::default(), contract(&catalog, "all"), &version("2"), Unit(unit))
         };
         let large = (small + more).min(1.0);
-        prop_assert!(!meets(small) || meets(large));
-        prop_assert!(meets(1.0) && !meets(0.0));
+        prop_assert!(!is_exposed_at(small) || is_exposed_at(large));
+        prop_assert!(is_exposed_at(1.0) && !is_exposed_at(0.0));
     }
 }
