--- a/crates/route/src/admission/rate.rs
+++ b/crates/route/src/admission/rate.rs
@@ -1,26 +1,27 @@
-//! How fast runs end while others wait.
+//! Measures the rate at which runs finish under backlog.
 
 use world::{Millis, Timestamp};
 
-/// Share of the newest interval in the mean.
-const STEP: f64 = 0.02;
-/// Ends before the mean is believed.
-const LEAST: u32 = 20;
-/// Time after which what was measured is too old.
+/// Weight of the latest interval in the moving average.
+const SMOOTHING_FACTOR: f64 = 0.02;
+/// Minimum number of intervals before the average is used.
+const MIN_INTERVALS: u32 = 20;
+/// Time without a finished run after which the average is discarded.
 const STALE_MS: Millis = 10_000;
 
-/// Mean time between the ends of runs, measured under backlog only: else it
-/// would tell how often requests come, not how fast they are done.
+/// Moving average of the time between the ends of runs, under backlog only.
+/// Without backlog it would reflect the arrival rate of requests instead of the
+/// rate at which they finish.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Rate {
+pub(super) struct CompletionRate {
     interval_ms: f64,
-    ends: u32,
+    intervals: u32,
     last: Option<Timestamp>,
 }
 
-impl Rate {
-    /// Takes in the end of a run.
-    pub fn finished(&mut self, backlog: bool, now: Timestamp) {
+impl CompletionRate {
+    /// Records the end of a run.
+    pub fn record_finish(&mut self, backlog: bool, now: Timestamp) {
         let last = self.last.replace(now);
         if !backlog {
             self.last = None;
@@ -31,15 +32,15 @@
             *self = Self { last: Some(now), ..Self::default() };
             return;
         }
-        self.ends = self.ends.saturating_add(1);
+        self.intervals = self.intervals.saturating_add(1);
         #[expect(clippy::cast_precision_loss, reason = "an interval is far below 2^52 milliseconds")]
         let interval = now.since(last) as f64;
-        self.interval_ms += STEP.max(1.0 / f64::from(self.ends)) * (interval - self.interval_ms);
+        self.interval_ms += SMOOTHING_FACTOR.max(1.0 / f64::from(self.intervals)) * (interval - self.interval_ms);
     }
 
-    /// Time in which so many runs end; nothing while that is not known.
-    pub fn time(&self, runs: u64) -> Option<Millis> {
-        if self.ends < LEAST || self.last.is_none() {
+    /// Returns the time in which `runs` runs finish, or `None` if the rate is unknown.
+    pub fn time_for(&self, runs: u64) -> Option<Millis> {
+        if self.intervals < MIN_INTERVALS || self.last.is_none() {
             return None;
         }
         #[expect(
--- a/crates/route/src/model/permit.rs
+++ b/crates/route/src/model/permit.rs
@@ -1,4 +1,4 @@
-//! Leave to run a request on a version: made only from a catalog, a contract
+//! Permits to run a request on a version, issued only from a catalog, a contract
 //! and a session.
 
 use world::{
@@ -13,12 +13,12 @@
 use super::reason::Refusal;
 use crate::rollout::{self, Stops, Unit};
 
-/// Leave to run a customer's request on one version.
+/// A permit to run a customer's request on one version.
 ///
-/// Its fields are private and nothing but [`Permits::resolve`] and
-/// [`Permit::renew`] makes one, so holding it means that the contract allows
-/// the version, that it was not withdrawn in [`Permit::generation`], and that
-/// the session's pin was honoured.
+/// Its fields are private and only [`Permits::resolve`] and [`Permit::renew`]
+/// create one. A permit therefore proves that the contract allows the version,
+/// that the version was not withdrawn in [`Permit::generation`], and that the
+/// session's pin was honoured.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Permit {
     customer: Customer,
@@ -31,73 +31,74 @@
     pinned: bool,
 }
 
-/// The permits of one request: at most one per tier, cheapest tier first.
+/// Permits of one request: at most one per tier, cheapest tier first.
 #[derive(Debug, Clone)]
 pub struct Permits {
-    held: Vec<Permit>,
-    left: Vec<Pin>,
+    by_tier: Vec<Permit>,
+    invalid_pins: Vec<Pin>,
 }
 
 impl Permit {
-    /// Whose request.
+    /// Returns the customer that sent the request.
     #[must_use]
     pub fn customer(&self) -> &Customer {
         &self.customer
     }
 
-    /// The version.
+    /// Returns the permitted version.
     #[must_use]
     pub fn version(&self) -> &Version {
         &self.version
     }
 
-    /// Its step in the cascade.
+    /// Returns the tier of the version; escalation goes from lower to higher tiers.
     #[must_use]
     pub fn tier(&self) -> u8 {
         self.tier
     }
 
-    /// What its tokens cost.
+    /// Returns the token prices of the version.
     #[must_use]
     pub fn price(&self) -> Price {
         self.price
     }
 
-    /// Most tokens one answer may have.
+    /// Returns the maximum number of tokens of one answer.
     #[must_use]
     pub fn max_output(&self) -> u32 {
         self.max_output
     }
 
-    /// The configuration that allowed it.
+    /// Returns the configuration generation that the permit was issued under.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The version it replaces, while it is under roll-out.
+    /// Returns the version that this one replaces, if it is under roll-out.
     #[must_use]
     pub fn predecessor(&self) -> Option<&Version> {
         self.predecessor.as_ref()
     }
 
-    /// Whether the session was on it already.
+    /// Returns whether the session was already pinned to the version.
     #[must_use]
     pub fn pinned(&self) -> bool {
         self.pinned
     }
 
-    /// The same permit under a later catalog; nothing when it no longer holds.
+    /// Reissues the permit under a later catalog, or returns `None` if it is no
+    /// longer valid.
     ///
-    /// Asked before every dispatch: between the choice and a later step of the
+    /// Called before every dispatch: between the choice and a later step of the
     /// ladder, or after a wait in a queue, the version may have been withdrawn
-    /// and would otherwise still get this one run. A paused roll-out takes no
-    /// session it does not have.
+    /// and would otherwise still receive this one run. A paused roll-out accepts
+    /// no new sessions.
     #[must_use]
     pub fn renew(&self, catalog: &Catalog, stops: &Stops) -> Option<Self> {
         let contract = catalog.contract(&self.customer)?;
         let release = catalog.release(&self.version)?;
-        if !rollout::keeps(catalog, stops, contract, &self.version) {
+        if !rollout::may_continue(catalog, stops, contract, &self.version) {
             return None;
         }
         if !self.pinned && matches!(catalog.standing(&self.version), Standing::Held { .. }) {
@@ -121,14 +122,14 @@
 }
 
 impl Permits {
-    /// Every version that a request may run on, one per tier.
+    /// Determines the versions that a request may run on, one per tier.
     ///
-    /// A pinned version has its tier; a tier without a pin goes to the version
-    /// that the roll-outs give new sessions.
+    /// A version that the session is pinned to takes its tier. A tier without a
+    /// pin goes to the version that the roll-outs assign to new sessions.
     ///
     /// # Errors
     ///
-    /// [`Refusal::NoContract`], [`Refusal::ModelNotAllowed`] or
+    /// Returns [`Refusal::NoContract`], [`Refusal::ModelNotAllowed`] or
     /// [`Refusal::NoVersion`].
     pub fn resolve(
         catalog: &Catalog,
@@ -142,59 +143,61 @@
         if !contract.models.iter().any(|allowed| allowed.model == *model) {
             return Err(Refusal::ModelNotAllowed);
         }
-        let mut permits = Self { held: Vec::with_capacity(4), left: Vec::new() };
-        // A session of another customer would carry pins past this contract's
-        // exposure limit; it counts as none.
+        let mut permits = Self { by_tier: Vec::with_capacity(4), invalid_pins: Vec::new() };
+        // The pins of another customer's session would bypass the exposure limit
+        // of this contract, so such a session is ignored.
         let pins = session.filter(|s| s.customer == *customer).map_or(&[][..], |s| s.pins.as_slice());
         for pin in pins.iter().filter(|pin| pin.version.model == *model) {
-            permits.keep(catalog, stops, contract, customer, pin);
+            permits.add_pinned(catalog, stops, contract, customer, pin);
         }
         for version in rollout::open(catalog, stops, contract, model, unit) {
-            permits.offer(catalog, customer, &version);
+            permits.add_unpinned(catalog, customer, &version);
         }
-        permits.held.sort_unstable_by_key(|permit| permit.tier);
-        if permits.held.is_empty() {
+        permits.by_tier.sort_unstable_by_key(|permit| permit.tier);
+        if permits.by_tier.is_empty() {
             return Err(Refusal::NoVersion);
         }
         Ok(permits)
     }
 
-    /// The permits, cheapest tier first; never empty.
+    /// Returns the permits, cheapest tier first. Never empty.
     #[must_use]
     pub fn as_slice(&self) -> &[Permit] {
-        &self.held
+        &self.by_tier
     }
 
-    /// The session's pins that no longer hold.
+    /// Returns the pins of the session that are no longer valid.
     #[must_use]
-    pub fn left(&self) -> &[Pin] {
-        &self.left
+    pub fn invalid_pins(&self) -> &[Pin] {
+        &self.invalid_pins
     }
 
-    fn keep(&mut self, catalog: &Catalog, stops: &Stops, contract: &Contract, customer: &Customer, pin: &Pin) {
-        let release = catalog.release(&pin.version).filter(|_| rollout::keeps(catalog, stops, contract, &pin.version));
+    fn add_pinned(&mut self, catalog: &Catalog, stops: &Stops, contract: &Contract, customer: &Customer, pin: &Pin) {
+        let release =
+            catalog.release(&pin.version).filter(|_| rollout::may_continue(catalog, stops, contract, &pin.version));
         let Some(release) = release else {
-            self.left.push(pin.clone());
+            self.invalid_pins.push(pin.clone());
             return;
         };
-        if !self.held.iter().any(|held| held.tier == release.tier) {
-            self.held.push(Permit::new(catalog, customer, &pin.version, release, true));
+        if !self.by_tier.iter().any(|existing| existing.tier == release.tier) {
+            self.by_tier.push(Permit::new(catalog, customer, &pin.version, release, true));
         }
     }
 
-    /// Gives a tier to a version; of two alike, the later release has it.
-    fn offer(&mut self, catalog: &Catalog, customer: &Customer, version: &Version) {
+    /// Assigns the version to its tier, unless the tier has a pinned version, or one
+    /// under roll-out and this one is not. Of two equal ones, the later release wins.
+    fn add_unpinned(&mut self, catalog: &Catalog, customer: &Customer, version: &Version) {
         let Some(release) = catalog.release(version) else { return };
         let permit = Permit::new(catalog, customer, version, release, false);
-        match self.held.iter_mut().find(|held| held.tier == release.tier) {
-            None => self.held.push(permit),
-            Some(held) if held.pinned || (held.predecessor.is_some() && permit.predecessor.is_none()) => {}
-            Some(held) => *held = permit,
+        match self.by_tier.iter_mut().find(|existing| existing.tier == release.tier) {
+            None => self.by_tier.push(permit),
+            Some(existing) if existing.pinned || (existing.predecessor.is_some() && permit.predecessor.is_none()) => {}
+            Some(existing) => *existing = permit,
         }
     }
 }
 
-/// The version that a roll-out under way replaces by `version`.
+/// Returns the version that an unfinished roll-out replaces by `version`.
 fn predecessor(catalog: &Catalog, version: &Version) -> Option<Version> {
     let rollout = match catalog.standing(version) {
         Standing::Exposed { rollout, .. } | Standing::Held { rollout } => rollout,
--- a/crates/route/src/quality.rs
+++ b/crates/route/src/quality.rs
@@ -1,19 +1,19 @@
-//! Learned pass rates: how often a version's answers pass their rating, per
-//! customer and request class.
+//! Learns how often and how fast versions give answers that pass their rating,
+//! per customer and request class.
 //!
-//! Ratings come late, are missing, or stop for an hour, so every figure comes
-//! with its uncertainty. Three levels shrink towards each other: a version in
-//! general, a version in a class, and a version in a class for one customer.
-//! A new class therefore starts from what other customers saw, and a class
-//! that nobody has seen starts with a wide spread, which the choice reads as
-//! "not safe yet".
+//! Ratings arrive late, are missing, or stop for an hour, so every pass rate
+//! comes with its uncertainty. The model is hierarchical, with shrinkage from each
+//! level to the next: a version in general, a version in a class, and a version in
+//! a class for one customer. A class that is new to a customer therefore starts
+//! from the ratings of other customers. A class without any ratings starts with a
+//! wide deviation, which makes the choice cautious.
 //!
-//! Beside the rates stands one [`Account`] per customer and class: passes
-//! ahead of or behind the target. It is what makes the target hold for the
-//! answers really given, not only for the rates believed.
+//! One [`Account`] per customer and class counts the passes ahead of or behind the
+//! target. It makes the target hold for the answers actually given, even where the
+//! estimated rates are wrong.
 
 mod account;
-mod ledger;
+mod pending_answers;
 mod speed;
 
 use std::{
@@ -25,40 +25,40 @@
 use world::{Millis, Timestamp, contract::Customer, hash, model::Version, request::Class};
 
 pub use account::{Account, Pending};
-pub use ledger::{Answer, LAPSE_MS, Ledger};
+pub use pending_answers::{Answer, LAPSE_MS, Ledger};
 pub use speed::Speed;
 
-/// Keys are hashes already; this one only has to be quick and the same always.
+/// Hasher of keys that are already hashes: fast and deterministic.
 type Hasher = BuildHasherDefault<DefaultHasher>;
 
-/// Cells kept at each level; the one longest unused goes first.
+/// Maximum number of cells; those updated least recently are evicted first.
 const MAX_CELLS: usize = 65_536;
-/// Classes learned per customer; further ones share one cell.
+/// Maximum number of classes learned per customer; further classes share one cell.
 const MAX_CLASSES: usize = 64;
-/// Ratings a cell remembers; older ones fade, so that a version that turns
-/// bad shows within some hundreds of answers.
-const MEMORY: f64 = 1_000.0;
-/// Most ratings a parent level counts for in its child.
-const PARENT_WEIGHT: f64 = 30.0;
-/// Ratings at which a parent counts for half of that.
-const PARENT_HALF: f64 = 30.0;
-/// Ratings the blank prior counts for.
-const BLANK_WEIGHT: f64 = 2.0;
-/// Factor on the first-stage rate where an earlier step has failed and no
-/// rating tells better: what fails once is harder than the rest.
-const HARDER: f64 = 0.7;
-
-/// Where in a cascade an answer was given.
+/// Number of ratings at which the older ratings of a cell start to decay, so that
+/// a regression of a version shows within some hundreds of answers.
+const DECAY_RATINGS: f64 = 1_000.0;
+/// Maximum weight of a parent level in its child, in ratings.
+const MAX_PARENT_WEIGHT: f64 = 30.0;
+/// Number of ratings at which a parent has half of [`MAX_PARENT_WEIGHT`].
+const PARENT_HALF_WEIGHT_RATINGS: f64 = 30.0;
+/// Weight of the prior without ratings, in ratings.
+const PRIOR_WEIGHT: f64 = 2.0;
+/// Factor from the pass rate of first answers to that of escalated answers without
+/// ratings: requests whose first answer failed are harder than average.
+const ESCALATED_RATE_FACTOR: f64 = 0.7;
+
+/// Position in the ladder at which an answer was given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// First answer to its request.
+    /// First answer to the request.
     First,
-    /// After an earlier step's answer had failed its rating.
+    /// Answer after that of an earlier step failed its rating.
     Escalated,
 }
 
-/// Whose answers: one customer's in one class.
+/// One request class of one customer; the finest level at which ratings are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Cell {
     customer: u64,
@@ -66,153 +66,154 @@
 }
 
 impl Cell {
-    /// Nobody's: what holds in general.
+    /// No particular customer and class: selects the figures of a version in general.
     pub const ANY: Self = Self { customer: 0, class: 0 };
 
-    /// The cell of a customer's class.
+    /// Returns the cell of a customer's class.
     #[must_use]
     pub fn new(customer: &Customer, class: &Class) -> Self {
         Self { customer: hash::stable(customer.as_str().as_bytes()), class: hash::stable(class.as_str().as_bytes()) }
     }
 
     fn key(self) -> u64 {
-        mix(self.customer, self.class)
+        combine(self.customer, self.class)
     }
 }
 
-/// A pass rate and how sure it is.
+/// Estimate of a pass rate.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Estimate {
-    /// Expected share that passes, 0 to 1.
+    /// Expected share of answers that pass, from 0 to 1.
     pub mean: f64,
-    /// Standard deviation of that share.
+    /// Standard deviation of the share.
     pub deviation: f64,
 }
 
 impl Estimate {
-    /// The rate that holds with `z` standard deviations to spare.
+    /// Returns the rate `z` standard deviations below the mean, clamped to 0 to 1.
     #[must_use]
-    pub fn lower(&self, z: f64) -> f64 {
+    pub fn lower_bound(&self, z: f64) -> f64 {
         z.mul_add(-self.deviation, self.mean).clamp(0.0, 1.0)
     }
 }
 
-/// What is known of a version in a customer's class.
+/// Estimated quality and speed of a version in a customer's class.
 #[derive(Debug, Clone, Copy)]
 pub struct Profile {
-    /// Pass rate as the first answer.
+    /// Pass rate of first answers.
     pub first: Estimate,
-    /// Pass rate after another answer has failed.
+    /// Pass rate of answers after another version's answer failed.
     pub escalated: Estimate,
-    /// How long its runs take.
+    /// Duration of its runs.
     pub speed: Speed,
 }
 
-/// What a version's rate is taken for while it has no ratings.
+/// Prior of a version's pass rate while it has no ratings.
 #[derive(Debug, Clone, Copy)]
-pub struct Guess<'a> {
-    /// The version that a roll-out replaces by it.
+pub struct Prior<'a> {
+    /// Version that a roll-out replaces by this one; its pass rate is the prior.
     pub parent: Option<&'a Version>,
-    /// The rate where nothing at all is known.
-    pub blank: f64,
+    /// Pass rate to assume if there are no ratings at all.
+    pub fallback_rate: f64,
 }
 
-/// Everything learned about quality and speed.
+/// Learned quality and speed of versions, and the accounts of customers.
 #[derive(Debug, Clone, Default)]
 pub struct Book {
     counts: HashMap<u64, Counts, Hasher>,
     accounts: HashMap<u64, Account, Hasher>,
     classes: HashMap<u64, Vec<u64>, Hasher>,
     speeds: HashMap<u64, Speed, Hasher>,
-    clock: u64,
+    updates: u64,
 }
 
 impl Book {
-    /// Takes in one rating.
+    /// Records a rating.
     pub fn rate(&mut self, cell: Cell, version: &Version, stage: Stage, pass: bool) {
-        let cell = self.known(cell);
-        let version = staged(version_key(version), stage);
-        for key in [version, mix(version, cell.class), mix(version, cell.key())] {
+        let cell = self.register_class(cell);
+        let version = stage_key(version_key(version), stage);
+        for key in [version, combine(version, cell.class), combine(version, cell.key())] {
             self.count(key, pass);
         }
     }
 
-    /// What is known of a version in a customer's class.
+    /// Returns the estimated quality and speed of a version in a customer's class.
     ///
-    /// `guess` stands in for ratings while there are none.
+    /// `prior` applies while there are no ratings.
     #[must_use]
-    pub fn profile(&self, cell: Cell, version: &Version, guess: Guess<'_>, now: Timestamp) -> Profile {
-        let cell = self.lookup(cell);
-        let unknown = Belief { rate: guess.blank, weight: BLANK_WEIGHT };
+    pub fn profile(&self, cell: Cell, version: &Version, prior: Prior<'_>, now: Timestamp) -> Profile {
+        let cell = self.resolve(cell);
+        let default_prior = Belief { rate: prior.fallback_rate, weight: PRIOR_WEIGHT };
         let key = version_key(version);
-        let parent = guess.parent.map_or(unknown, |parent| {
-            let old = self.posterior(cell, staged(version_key(parent), Stage::First), unknown);
-            Belief { rate: old.rate, weight: BLANK_WEIGHT }
+        let parent = prior.parent.map_or(default_prior, |parent| {
+            let old = self.posterior(cell, stage_key(version_key(parent), Stage::First), default_prior);
+            Belief { rate: old.rate, weight: PRIOR_WEIGHT }
         });
-        let first = self.posterior(cell, staged(key, Stage::First), parent);
-        let harder = Belief { rate: first.rate * HARDER, weight: BLANK_WEIGHT };
-        let escalated = self.posterior(cell, staged(key, Stage::Escalated), harder);
-        let speed = self.speeds.get(&mix(key, cell.class)).or_else(|| self.speeds.get(&key));
-        let speed = speed.copied().unwrap_or_default().aged(now);
+        let first = self.posterior(cell, stage_key(key, Stage::First), parent);
+        let escalated_prior = Belief { rate: first.rate * ESCALATED_RATE_FACTOR, weight: PRIOR_WEIGHT };
+        let escalated = self.posterior(cell, stage_key(key, Stage::Escalated), escalated_prior);
+        let speed = self.speeds.get(&combine(key, cell.class)).or_else(|| self.speeds.get(&key));
+        let speed = speed.copied().unwrap_or_default().decayed(now);
         Profile { first: first.estimate(), escalated: escalated.estimate(), speed }
     }
 
-    /// The account of a customer's class; empty when nothing is known.
+    /// Returns the account of a customer's class, or an empty one.
     #[must_use]
     pub fn account(&self, cell: Cell) -> Account {
-        self.accounts.get(&self.lookup(cell).key()).copied().unwrap_or_default()
+        self.accounts.get(&self.resolve(cell).key()).copied().unwrap_or_default()
     }
 
-    /// Enters a request that is about to run, expected to pass at `rate`.
+    /// Adds a request that is about to run and is expected to pass at `rate`.
     ///
-    /// Entered at the choice and not at the answer: of many requests at a time
-    /// each must see what the ones before it may still cost the account.
+    /// It is added at the choice instead of at the answer, so that each of many
+    /// concurrent requests takes into account what earlier ones may still cost.
     pub fn open(&mut self, cell: Cell, rate: f64, target: f64) -> Pending {
-        self.account_mut(cell).open(rate, target)
+        self.account_mut(cell).add_pending(rate, target)
     }
 
-    /// Enters that a request has escalated and is now expected to pass at `rate`.
+    /// Records that a request has escalated and is now expected to pass at `rate`.
     ///
-    /// Those that reach a later step are the harder ones. Left at the whole
-    /// ladder's rate, the unrated among them would count as better than they
+    /// Requests that reach a later step are harder than average. If they kept the
+    /// rate of the whole ladder, the unrated ones would count as better than they
     /// are, and the class would end below its target.
     pub fn escalated(&mut self, cell: Cell, pending: Pending, rate: f64) -> Pending {
-        self.account_mut(cell).reopen(pending, rate)
+        self.account_mut(cell).update_pending(pending, rate)
     }
 
-    /// Enters the rating of a request's final answer.
+    /// Records the rating of a request's final answer.
     pub fn close(&mut self, cell: Cell, pending: Pending, pass: bool) {
-        self.account_mut(cell).close(pending, pass);
+        self.account_mut(cell).record_rating(pending, pass);
     }
 
-    /// Enters that an answer's rating will not come.
+    /// Records that the rating of an answer is no longer expected.
     pub fn lapse(&mut self, cell: Cell, pending: Pending) {
         self.account_mut(cell).lapse(pending);
     }
 
-    /// Takes out a request that has given no answer.
+    /// Removes a request that produced no answer.
     pub fn void(&mut self, cell: Cell, pending: Pending) {
-        self.account_mut(cell).void(pending);
+        self.account_mut(cell).remove_pending(pending);
     }
 
     fn account_mut(&mut self, cell: Cell) -> &mut Account {
-        let cell = self.known(cell);
+        let cell = self.register_class(cell);
         self.accounts.entry(cell.key()).or_default()
     }
 
-    /// How long a version's runs take in a class, or else in general.
+    /// Returns the duration of a version's runs in a class, or in general if the
+    /// class has none.
     #[must_use]
     pub fn speed(&self, cell: Cell, version: &Version, now: Timestamp) -> Speed {
         let general = version_key(version);
-        let class = mix(general, self.lookup(cell).class);
-        let known = self.speeds.get(&class).or_else(|| self.speeds.get(&general));
-        known.copied().unwrap_or_default().aged(now)
+        let class = combine(general, self.resolve(cell).class);
+        let learned = self.speeds.get(&class).or_else(|| self.speeds.get(&general));
+        learned.copied().unwrap_or_default().decayed(now)
     }
 
-    /// Takes in one finished run.
+    /// Records a finished run.
     pub fn ran(&mut self, cell: Cell, version: &Version, millis: Millis, output_tokens: u32, now: Timestamp) {
         let general = version_key(version);
-        let class = mix(general, self.known(cell).class);
+        let class = combine(general, self.register_class(cell).class);
         if self.speeds.len() >= MAX_CELLS {
             self.speeds.clear();
         }
@@ -221,36 +222,37 @@
         }
     }
 
-    fn posterior(&self, cell: Cell, version: u64, blank: Belief) -> Belief {
-        let general = blank.updated(self.counts.get(&version));
-        let class = general.as_parent().updated(self.counts.get(&mix(version, cell.class)));
-        class.as_parent().updated(self.counts.get(&mix(version, cell.key())))
+    fn posterior(&self, cell: Cell, version: u64, prior: Belief) -> Belief {
+        let general = prior.updated(self.counts.get(&version));
+        let class = general.as_child_prior().updated(self.counts.get(&combine(version, cell.class)));
+        class.as_child_prior().updated(self.counts.get(&combine(version, cell.key())))
     }
 
     fn count(&mut self, key: u64, pass: bool) {
-        self.clock += 1;
-        let clock = self.clock;
+        self.updates += 1;
+        let updates = self.updates;
         if self.counts.len() >= MAX_CELLS && !self.counts.contains_key(&key) {
-            self.forget();
+            self.evict();
         }
-        self.counts.entry(key).or_default().add(pass, clock);
+        self.counts.entry(key).or_default().add(pass, updates);
     }
 
-    /// Drops the older half of the cells: rare, and linear only then.
-    fn forget(&mut self) {
-        let horizon = self.clock.saturating_sub(MAX_CELLS as u64);
-        self.counts.retain(|_, counts| counts.touched > horizon);
+    /// Evicts the cells that were not updated within the last [`MAX_CELLS`] updates,
+    /// or all cells if none are that old. Takes linear time, but runs rarely.
+    fn evict(&mut self) {
+        let horizon = self.updates.saturating_sub(MAX_CELLS as u64);
+        self.counts.retain(|_, counts| counts.last_update > horizon);
         if self.counts.len() >= MAX_CELLS {
             self.counts.clear();
         }
     }
 
-    /// The cell that is learned for `cell`.
+    /// Returns the cell that `cell` is counted in, and registers its class.
     ///
-    /// Callers name classes freely. One that put a number into the name would
-    /// fill the book with cells of one rating each; past the limit a customer's
-    /// further classes are learned as one.
-    fn known(&mut self, cell: Cell) -> Cell {
+    /// Callers choose the names of classes. A caller that puts a number into the
+    /// name would create a cell per rating, so beyond [`MAX_CLASSES`] all further
+    /// classes of a customer are counted in one cell.
+    fn register_class(&mut self, cell: Cell) -> Cell {
         let classes = self.classes.entry(cell.customer).or_default();
         if classes.contains(&cell.class) {
             return cell;
@@ -262,7 +264,7 @@
         Cell { class: 0, ..cell }
     }
 
-    fn lookup(&self, cell: Cell) -> Cell {
+    fn resolve(&self, cell: Cell) -> Cell {
         match self.classes.get(&cell.customer) {
             Some(classes) if classes.len() >= MAX_CLASSES && !classes.contains(&cell.class) => {
                 Cell { class: 0, ..cell }
@@ -272,19 +274,19 @@
     }
 }
 
-/// Ratings of one cell at one level.
+/// Ratings counted under one key.
 #[derive(Debug, Clone, Copy, Default)]
 struct Counts {
     pass: f64,
     fail: f64,
-    touched: u64,
+    last_update: u64,
 }
 
 impl Counts {
-    fn add(&mut self, pass: bool, clock: u64) {
+    fn add(&mut self, pass: bool, updates: u64) {
         let total = self.pass + self.fail;
-        if total >= MEMORY {
-            let keep = (MEMORY - 1.0) / total;
+        if total >= DECAY_RATINGS {
+            let keep = (DECAY_RATINGS - 1.0) / total;
             self.pass *= keep;
             self.fail *= keep;
         }
@@ -293,11 +295,11 @@
         } else {
             self.fail += 1.0;
         }
-        self.touched = clock;
+        self.last_update = updates;
     }
 }
 
-/// A rate worth `weight` ratings.
+/// A pass rate that counts as much as `weight` ratings.
 #[derive(Debug, Clone, Copy)]
 struct Belief {
     rate: f64,
@@ -311,10 +313,13 @@
         Self { rate: self.rate.mul_add(self.weight, counts.pass) / weight, weight }
     }
 
-    /// What the next level down takes over: the rate, at a bounded weight.
-    fn as_parent(self) -> Self {
-        let seen = (self.weight - BLANK_WEIGHT).max(0.0);
-        Self { rate: self.rate, weight: BLANK_WEIGHT + PARENT_WEIGHT * seen / (seen + PARENT_HALF) }
+    /// Returns the prior for the next lower level: the same rate with a bounded weight.
+    fn as_child_prior(self) -> Self {
+        let ratings = (self.weight - PRIOR_WEIGHT).max(0.0);
+        Self {
+            rate: self.rate,
+            weight: PRIOR_WEIGHT + MAX_PARENT_WEIGHT * ratings / (ratings + PARENT_HALF_WEIGHT_RATINGS),
+        }
     }
 
     fn estimate(self) -> Estimate {
@@ -328,12 +333,12 @@
     hash::rendezvous(number, version.model.as_str().as_bytes())
 }
 
-fn staged(version: u64, stage: Stage) -> u64 {
-    mix(version, stage as u64 + 1)
+fn stage_key(version: u64, stage: Stage) -> u64 {
+    combine(version, stage as u64 + 1)
 }
 
-/// One hash of two; a collision would mix two cells' ratings and is as
-/// unlikely as any of 64 bits.
-fn mix(a: u64, b: u64) -> u64 {
+/// Combines two hashes. A collision would merge the ratings of two cells; with 64
+/// bits its probability is negligible.
+fn combine(a: u64, b: u64) -> u64 {
     hash::rendezvous(a, &b.to_le_bytes())
 }
--- a/crates/route/tests/model.rs
+++ b/crates/route/tests/model.rs
@@ -1,5 +1,5 @@
-//! Choices stay inside contract, configuration and session, and are made for
-//! least cost at the target.
+//! Choices respect contract, configuration and session, and minimize cost at the
+//! quality target.
 
 use std::collections::BTreeSet;
 
@@ -41,15 +41,16 @@
     stops: Stops,
 }
 
-fn text(value: &str) -> Version {
+fn parse_version(value: &str) -> Version {
     Version::parse(value).expect("a version")
 }
 
-fn case(contract: &str, more: &str) -> Case {
+fn case(contract: &str, more_objects: &str) -> Case {
     let contract = format!(
         "kind: contract\nname: c\nspec: {{ keys: [], budget: {{ amount: \"9\", currency: EUR, period: day }}, {contract} }}"
     );
-    let objects = Object::parse_file(&format!("{MODEL}---\n{contract}\n{more}")).expect("objects are well formed");
+    let objects =
+        Object::parse_file(&format!("{MODEL}---\n{contract}\n{more_objects}")).expect("objects are well formed");
     Case {
         catalog: Catalog::build(7, objects).expect("objects fit each other"),
         session: None,
@@ -64,19 +65,20 @@
 }
 
 fn cell() -> Cell {
-    Cell::new(&Customer::parse("c").expect("a name"), &Class::parse("k").expect("a name"))
+    Cell::new(&Customer::parse("c").expect("valid name"), &Class::parse("k").expect("valid name"))
 }
 
 impl Case {
     fn pinned(mut self, versions: &[(u8, &str)]) -> Self {
-        let pins = versions.iter().map(|(tier, v)| Pin { tier: *tier, version: text(v), left: None }).collect();
-        self.session = Some(Session { customer: Customer::parse("c").expect("a name"), pins });
+        let pins =
+            versions.iter().map(|(tier, v)| Pin { tier: *tier, version: parse_version(v), left: None }).collect();
+        self.session = Some(Session { customer: Customer::parse("c").expect("valid name"), pins });
         self
     }
 
     fn rated(mut self, version: &str, stage: Stage, passes: u32, fails: u32) -> Self {
         for n in 0..passes + fails {
-            self.book.rate(cell(), &text(version), stage, n < passes);
+            self.book.rate(cell(), &parse_version(version), stage, n < passes);
         }
         self
     }
@@ -84,9 +86,9 @@
     fn choose(&self) -> Result<Choice, Refusal> {
         model::choose(&Inputs {
             catalog: &self.catalog,
-            customer: &Customer::parse("c").expect("a name"),
-            model: &Id::parse("m").expect("a name"),
-            class: &Class::parse("k").expect("a name"),
+            customer: &Customer::parse("c").expect("valid name"),
+            model: &Id::parse("m").expect("valid name"),
+            class: &Class::parse("k").expect("valid name"),
             session: self.session.as_ref(),
             unit: self.unit,
             stops: &self.stops,
@@ -106,29 +108,29 @@
     choice.steps().iter().map(|step| step.version().to_string()).collect()
 }
 
-fn check(case: &Case, expected: Result<&[&str], Refusal>) {
+fn check_choice(case: &Case, expected: Result<&[&str], Refusal>) {
     let chosen = case.choose().map(|choice| steps(&choice));
     let expected = expected.map(|steps| steps.iter().map(ToString::to_string).collect::<Vec<_>>());
     assert_eq!(chosen, expected);
 }
 
-macro_rules! chooses {
+macro_rules! choice_tests {
     ($($name:ident: $case:expr => $expected:expr;)*) => {
-        $(#[test] fn $name() { check(&$case, $expected); })*
+        $(#[test] fn $name() { check_choice(&$case, $expected); })*
     };
 }
 
 const ALL: &str = "models: [{ model: m, versions: [\"1\", \"2\", \"9\"] }]";
-const DEAR: &str = "models: [{ model: m, versions: [\"9\"] }]";
+const EXPENSIVE_ONLY: &str = "models: [{ model: m, versions: [\"9\"] }]";
 const HELD: &str = "---\nkind: rollout\nname: r\nspec: { version: m@2, predecessor: \"1\", state: paused }";
 const WITHDRAWN: &str = "---\nkind: rollout\nname: r\nspec: { version: m@2, predecessor: \"1\", state: withdrawn }";
 const PROMOTED: &str = "---\nkind: rollout\nname: r\nspec: { version: m@2, predecessor: \"1\", state: promoted }";
 
-fn proven() -> Case {
+fn cheap_version_meets_target() -> Case {
     case(ALL, "").rated("m@2", Stage::First, 97, 3).rated("m@9", Stage::First, 99, 1)
 }
 
-fn middling() -> Case {
+fn cheap_version_misses_target() -> Case {
     case(ALL, "").rated("m@2", Stage::First, 700, 300).rated("m@9", Stage::First, 970, 30).rated(
         "m@9",
         Stage::Escalated,
@@ -137,69 +139,70 @@
     )
 }
 
-chooses! {
-    cheap_alone_where_it_meets_the_target: proven() => Ok(&["m@2"]);
-    cascade_where_cheap_alone_does_not: middling() => Ok(&["m@2", "m@9"]);
-    no_cascade_for_a_request_that_must_not_repeat: Case { repeat: Repeat::Never, ..middling() } => Ok(&["m@9"]);
-    no_cascade_without_ratings: Case { rater: Rater::Down, ..middling() } => Ok(&["m@9"]);
-    only_what_the_contract_allows: case(DEAR, "") => Ok(&["m@9"]);
+choice_tests! {
+    cheapest_version_alone_if_it_meets_the_target: cheap_version_meets_target() => Ok(&["m@2"]);
+    escalation_if_the_cheapest_version_alone_misses_the_target: cheap_version_misses_target() => Ok(&["m@2", "m@9"]);
+    no_escalation_for_a_request_that_must_not_run_twice: Case { repeat: Repeat::Never, ..cheap_version_misses_target() } => Ok(&["m@9"]);
+    no_escalation_while_the_rating_service_is_down: Case { rater: Rater::Down, ..cheap_version_misses_target() } => Ok(&["m@9"]);
+    only_versions_that_the_contract_allows: case(EXPENSIVE_ONLY, "") => Ok(&["m@9"]);
     no_new_session_on_a_held_version: case(ALL, HELD).rated("m@1", Stage::First, 99, 1) => Ok(&["m@1"]);
     a_held_version_keeps_its_sessions: case(ALL, HELD).pinned(&[(0, "m@2")]).rated("m@2", Stage::First, 99, 1) => Ok(&["m@2"]);
     a_session_keeps_a_replaced_version: case(ALL, PROMOTED).pinned(&[(0, "m@1")]).rated("m@1", Stage::First, 99, 1) => Ok(&["m@1"]);
     a_promoted_version_takes_new_sessions: case(ALL, PROMOTED).rated("m@2", Stage::First, 99, 1) => Ok(&["m@2"]);
-    withdrawal_beats_a_pin: case(ALL, WITHDRAWN).pinned(&[(0, "m@2")]).rated("m@1", Stage::First, 99, 1) => Ok(&["m@1"]);
-    a_pin_past_the_contract_is_dropped: case(DEAR, "").pinned(&[(0, "m@1")]) => Ok(&["m@9"]);
-    nothing_allowed_serves: case("models: [{ model: m, versions: [\"2\"] }]", WITHDRAWN) => Err(Refusal::NoVersion);
-    model_not_in_the_contract: case("models: []", "") => Err(Refusal::ModelNotAllowed);
-    nothing_fits_the_ceiling: Case { ceiling: Amount(1), ..proven() } => Err(Refusal::Budget { needed: Amount(2_000_000), left: Amount(1) });
-    the_ceiling_forbids_the_cascade: Case { ceiling: Amount(20_000_000), ..middling() } => Ok(&["m@9"]);
-    the_deadline_forbids_the_cascade: Case { left_ms: 1_500, ..middling() } => Ok(&["m@9"]);
+    withdrawal_overrides_a_pin: case(ALL, WITHDRAWN).pinned(&[(0, "m@2")]).rated("m@1", Stage::First, 99, 1) => Ok(&["m@1"]);
+    a_pin_outside_the_contract_is_dropped: case(EXPENSIVE_ONLY, "").pinned(&[(0, "m@1")]) => Ok(&["m@9"]);
+    refused_if_every_allowed_version_is_withdrawn: case("models: [{ model: m, versions: [\"2\"] }]", WITHDRAWN) => Err(Refusal::NoVersion);
+    refused_if_the_contract_lacks_the_model: case("models: []", "") => Err(Refusal::ModelNotAllowed);
+    refused_if_no_version_fits_the_price_ceiling: Case { ceiling: Amount(1), ..cheap_version_meets_target() } => Err(Refusal::Budget { needed: Amount(2_000_000), left: Amount(1) });
+    price_ceiling_prevents_escalation: Case { ceiling: Amount(20_000_000), ..cheap_version_misses_target() } => Ok(&["m@9"]);
+    deadline_prevents_escalation: Case { left_ms: 1_500, ..cheap_version_misses_target() } => Ok(&["m@9"]);
 }
 
-/// A peer's strong evidence stops a version before any configuration says so.
-/// A session that was on it is moved, and the answer can say that it was.
+/// Evidence from a peer stops a version before the configuration withdraws it. A
+/// session pinned to the version is moved at once, and the reason names the version
+/// that it left.
 #[test]
-fn a_stop_heard_from_a_peer_counts_at_once() {
+fn a_stop_takes_effect_before_the_catalog_changes() {
     let mut case = case(ALL, "").pinned(&[(0, "m@2")]).rated("m@1", Stage::First, 99, 1);
-    let before = case.choose().expect("something runs");
-    let rollout = world::rollout::Id::parse("r").expect("a name");
-    case.stops.insert(Stop { version: text("m@2"), rollout, reason: "errors".into() });
+    let before = case.choose().expect("some version may run");
+    let rollout = world::rollout::Id::parse("r").expect("valid name");
+    case.stops.insert(Stop { version: parse_version("m@2"), rollout, reason: "errors".into() });
 
-    let after = case.choose().expect("something runs");
+    let after = case.choose().expect("some version may run");
     assert_eq!(steps(&after), ["m@1"]);
-    assert_eq!(after.reason().moved, [text("m@2")]);
+    assert_eq!(after.reason().moved, [parse_version("m@2")]);
     assert!(
         before
             .steps()
             .iter()
-            .all(|step| step.version() != &text("m@2") || step.renew(&case.catalog, &case.stops).is_none())
+            .all(|step| step.version() != &parse_version("m@2") || step.renew(&case.catalog, &case.stops).is_none())
     );
 }
 
-/// Both versions that a session is on are stopped at once. The answer may come
-/// from either tier, so the choice names both; of a tier that it does without,
-/// nothing has been left yet.
+/// Both versions that a session is pinned to are stopped at once. The answer may come
+/// from either tier, so the reason must name the version left in each tier that the
+/// ladder uses, and none of other tiers.
 #[test]
-fn every_version_that_a_session_leaves_is_named() {
-    let mut case = middling().pinned(&[(0, "m@1"), (1, "m@9")]);
-    let cascade = steps(&case.choose().expect("something runs"));
-    assert_eq!(cascade, ["m@1", "m@9"]);
-    let rollout = world::rollout::Id::parse("r").expect("a name");
+fn reason_names_every_version_that_a_session_leaves() {
+    let mut case = cheap_version_misses_target().pinned(&[(0, "m@1"), (1, "m@9")]);
+    let steps_before = steps(&case.choose().expect("some version may run"));
+    assert_eq!(steps_before, ["m@1", "m@9"]);
+    let rollout = world::rollout::Id::parse("r").expect("valid name");
     for version in ["m@1", "m@9"] {
-        case.stops.insert(Stop { version: text(version), rollout: rollout.clone(), reason: "errors".into() });
+        case.stops.insert(Stop { version: parse_version(version), rollout: rollout.clone(), reason: "errors".into() });
     }
-    let after = case.choose().expect("something runs");
+    let after = case.choose().expect("some version may run");
     let tiers: Vec<u8> = after.steps().iter().map(route::model::Permit::tier).collect();
     let expected: Vec<_> = [(0, "m@1"), (1, "m@9")].iter().filter(|(tier, _)| tiers.contains(tier)).collect();
-    let expected: Vec<_> = expected.into_iter().map(|(_, version)| text(version)).collect();
+    let expected: Vec<_> = expected.into_iter().map(|(_, version)| parse_version(version)).collect();
     assert_eq!(after.reason().moved, expected, "{:?}", steps(&after));
 }
 
-/// The choice is made under one generation; before the second step runs, its
-/// version is withdrawn by the next. The permit must not outlive it.
+/// A version is withdrawn between the choice and the dispatch of its step. The
+/// permit must not be renewed, otherwise the withdrawn version would run once more.
 #[test]
-fn a_permit_does_not_outlive_a_withdrawal() {
-    let before = middling().choose().expect("something runs");
+fn a_permit_is_not_renewed_after_a_withdrawal() {
+    let before = cheap_version_misses_target().choose().expect("some version may run");
     let later = case(ALL, WITHDRAWN);
     let renewed: Vec<_> =
         before.steps().iter().map(|step| step.renew(&later.catalog, &later.stops).is_some()).collect();
@@ -208,9 +211,9 @@
 }
 
 #[test]
-fn pins_keep_the_other_tiers_of_a_session() {
-    let case = middling().pinned(&[(0, "m@1"), (1, "m@9")]).rated("m@1", Stage::First, 990, 10);
-    let choice = case.choose().expect("something runs");
+fn pins_of_unused_tiers_are_kept() {
+    let case = cheap_version_misses_target().pinned(&[(0, "m@1"), (1, "m@9")]).rated("m@1", Stage::First, 990, 10);
+    let choice = case.choose().expect("some version may run");
     let pins: BTreeSet<_> = choice.pins(case.session.as_ref()).into_iter().map(|pin| pin.version.to_string()).collect();
     assert_eq!(steps(&choice), ["m@1"]);
     assert_eq!(pins, BTreeSet::from(["m@1".into(), "m@9".into()]));
--- a/crates/route/tests/properties.rs
+++ b/crates/route/tests/properties.rs
@@ -1,5 +1,5 @@
-//! No choice breaks a contract, withdrawal, session, budget or deadline rule,
-//! over generated contracts, configurations, ratings and loads.
+//! Property test: no choice breaks a rule of contract, withdrawal, session, budget or
+//! deadline, with generated contracts, configurations, ratings and run times.
 
 use std::{collections::BTreeSet, fmt::Write as _};
 
@@ -26,7 +26,7 @@
 const OBJECTIVES: [&str; 3] = ["cost", "latency", "exposure"];
 
 #[derive(Debug, Clone)]
-#[expect(clippy::struct_excessive_bools, reason = "every combination is to be generated")]
+#[expect(clippy::struct_excessive_bools, reason = "every combination must be generated")]
 struct Release {
     tier: u8,
     price: u32,
@@ -34,7 +34,8 @@
     allowed: bool,
     stopped: bool,
     pinned: bool,
-    /// Its roll-out's state, with the release before it as predecessor.
+    /// Index of the state of its roll-out in [`STATES`], if it has one. The predecessor is
+    /// the previous release of the same tier.
     rollout: Option<usize>,
     passes: u32,
     fails: u32,
@@ -48,12 +49,12 @@
     share: f64,
     objective: usize,
     unit: u64,
-    never: bool,
+    must_not_repeat: bool,
     rater_down: bool,
     left_ms: u64,
     ceiling: u64,
     max_tokens: Option<u32>,
-    owner: bool,
+    owns_session: bool,
 }
 
 fn release() -> impl Strategy<Value = Release> {
@@ -78,10 +79,27 @@
 fn case() -> impl Strategy<Value = Case> {
     let request = (any::<u64>(), any::<bool>(), any::<bool>(), 0..60_000u64, 0..400_000_000u64);
     let contract = (0.0..=1.0f64, 0.0..=1.0f64, 0..OBJECTIVES.len());
-    let more = (proptest::option::of(1..4_000u32), prop::bool::weighted(0.9));
-    (proptest::collection::vec(release(), 1..8), contract, request, more).prop_map(
-        |(releases, (target, share, objective), (unit, never, rater_down, left_ms, ceiling), (max_tokens, owner))| {
-            Case { releases, target, share, objective, unit, never, rater_down, left_ms, ceiling, max_tokens, owner }
+    let more_inputs = (proptest::option::of(1..4_000u32), prop::bool::weighted(0.9));
+    (proptest::collection::vec(release(), 1..8), contract, request, more_inputs).prop_map(
+        |(
+            releases,
+            (target, share, objective),
+            (unit, must_not_repeat, rater_down, left_ms, ceiling),
+            (max_tokens, owns_session),
+        )| {
+            Case {
+                releases,
+                target,
+                share,
+                objective,
+                unit,
+                must_not_repeat,
+                rater_down,
+                left_ms,
+                ceiling,
+                max_tokens,
+                owns_session,
+            }
         },
     )
 }
@@ -132,14 +150,14 @@
             version: version(i),
             left: None,
         });
-        let customer = if self.owner { "c" } else { "another" };
-        Session { customer: Customer::parse(customer).expect("a name"), pins: pins.collect() }
+        let customer = if self.owns_session { "c" } else { "another" };
+        Session { customer: Customer::parse(customer).expect("valid name"), pins: pins.collect() }
     }
 
     fn stops(&self) -> Stops {
         let mut stops = Stops::default();
         for (index, _) in self.releases.iter().enumerate().filter(|(_, release)| release.stopped) {
-            let rollout = world::rollout::Id::parse("r").expect("a name");
+            let rollout = world::rollout::Id::parse("r").expect("valid name");
             stops.insert(Stop { version: version(index), rollout, reason: "errors".into() });
         }
         stops
@@ -160,7 +178,7 @@
     }
 
     fn most_cost(&self, catalog: &Catalog, version: &Version) -> Amount {
-        let release = catalog.release(version).expect("the catalog has it");
+        let release = catalog.release(version).expect("the catalog contains the version");
         let tokens = self.max_tokens.unwrap_or(u32::MAX).min(release.max_output);
         release.price.cost(PROMPT.into(), tokens.into())
     }
@@ -170,8 +188,9 @@
     contract.models.iter().any(|a| a.model == version.model && a.versions.contains(&version.number))
 }
 
-/// Versions that the request may start on, by the rules and not by the code
-/// under test: allowed, not stopped, serving, or new and met, or pinned.
+/// Returns whether the request may run on a version: it is allowed, not stopped, and
+/// either serving, exposed to the request, or pinned. Implements the rules
+/// independently of [`model::choose`].
 fn may_run(
     case: &Case,
     catalog: &Catalog,
@@ -180,13 +199,14 @@
     session: &Session,
     at: &Version,
 ) -> bool {
-    let pinned = case.owner && session.pins.iter().any(|pin| pin.version == *at);
+    let pinned = case.owns_session && session.pins.iter().any(|pin| pin.version == *at);
     let standing = match catalog.standing(at) {
         Standing::Serving => true,
         Standing::Exposed { share, .. } => {
-            let least_contact = OBJECTIVES[case.objective] == "exposure";
-            let most = (if least_contact { share * share } else { share }).min(contract.exposure.new_version_share);
-            pinned || (most > 0.0 && rollout::exposed(catalog, stops, contract, at, Unit(case.unit)))
+            let exposure_objective = OBJECTIVES[case.objective] == "exposure";
+            let most =
+                (if exposure_objective { share * share } else { share }).min(contract.exposure.new_version_share);
+            pinned || (most > 0.0 && rollout::is_exposed(catalog, stops, contract, at, Unit(case.unit)))
         }
         Standing::Held { .. } => pinned,
         Standing::Withdrawn | Standing::Unknown => false,
@@ -204,21 +224,21 @@
 
     #[test]
     fn no_choice_breaks_a_rule(case in case()) {
-        let customer = Customer::parse("c").expect("a name");
-        let class = Class::parse("k").expect("a name");
+        let customer = Customer::parse("c").expect("valid name");
+        let class = Class::parse("k").expect("valid name");
         let (catalog, stops, session) = (case.catalog(), case.stops(), case.session());
-        let contract = catalog.contract(&customer).expect("it was built in");
+        let contract = catalog.contract(&customer).expect("the catalog contains the contract");
         let cell = Cell::new(&customer, &class);
         let book = case.book(cell);
         let chosen = model::choose(&Inputs {
             catalog: &catalog,
             customer: &customer,
-            model: &Id::parse("m").expect("a name"),
+            model: &Id::parse("m").expect("valid name"),
             class: &class,
             session: Some(&session),
             unit: Unit(case.unit),
             stops: &stops,
-            repeat: if case.never { Repeat::Never } else { Repeat::Idempotent },
+            repeat: if case.must_not_repeat { Repeat::Never } else { Repeat::Idempotent },
             prompt_tokens: PROMPT,
             max_tokens: case.max_tokens,
             now: NOW,
@@ -239,7 +259,7 @@
                 return Ok(());
             }
             Err(Refusal::NoVersion) => {
-                prop_assert!(open.is_empty(), "{open:?} might have run");
+                prop_assert!(open.is_empty(), "{open:?} may run");
                 return Ok(());
             }
             Err(Refusal::Budget { needed, left }) => {
@@ -258,27 +278,27 @@
         prop_assert!(steps.iter().all(|step| open.contains(step)), "{steps:?} of {open:?}");
         prop_assert!(choice.steps().iter().all(|step| step.renew(&catalog, &stops).is_some()));
         prop_assert!(choice.steps().is_sorted_by(|a, b| a.tier() < b.tier()));
-        if case.never || case.rater_down {
+        if case.must_not_repeat || case.rater_down {
             prop_assert_eq!(steps.len(), 1);
         }
 
-        let kept = |pin: &&Pin| case.owner && rollout::keeps(&catalog, &stops, contract, &pin.version);
+        let kept = |pin: &&Pin| case.owns_session && rollout::may_continue(&catalog, &stops, contract, &pin.version);
         for pin in session.pins.iter().filter(kept) {
             let step = choice.steps().iter().find(|step| step.tier() == pin.tier);
-            prop_assert!(step.is_none_or(|step| *step.version() == pin.version), "left its pin {}", pin.version);
+            prop_assert!(step.is_none_or(|step| *step.version() == pin.version), "moved away from its pin {}", pin.version);
         }
 
         let most = steps.iter().fold(Amount::ZERO, |sum, step| sum.saturating_add(case.most_cost(&catalog, step)));
         prop_assert_eq!(choice.ceiling(), most);
         prop_assert!(most <= Amount(case.ceiling));
         let least: f64 = steps.iter().map(|step| book.speed(cell, step, NOW).least_ms()).sum();
-        prop_assert!(least <= f64::from(u32::try_from(case.left_ms).expect("under a minute")));
+        prop_assert!(least <= f64::from(u32::try_from(case.left_ms).expect("less than a minute")));
 
         let reason = choice.reason();
         prop_assert!((0.0..=1.0).contains(&reason.quality.mean) && reason.quality.deviation.is_finite());
         prop_assert!(reason.to_string().starts_with(&steps[0].to_string()));
-        let text = serde_json::to_string(reason).expect("a reason serialises");
-        let back: Reason = serde_json::from_str(&text).expect("and comes back");
+        let text = serde_json::to_string(reason).expect("the reason serializes");
+        let back: Reason = serde_json::from_str(&text).expect("the reason deserializes");
         prop_assert_eq!(back.to_string(), reason.to_string());
     }
 }
