--- a/crates/relay/src/desk.rs
+++ b/crates/relay/src/desk.rs
@@ -1,12 +1,14 @@
-//! What an instance believes, in one place.
+//! Shared in-memory state of an instance.
 //!
-//! One thread runs everything, and the lock is never held across an await, so
-//! it is never waited for; it only lets tasks share the state without
-//! reference cycles. Every belief has a source and an age: the catalog and
-//! access keys ([`Desk::fresh`], [`Desk::catalog_holds`]), endpoints and their loads ([`fleet`]), other
-//! instances ([`peers`]), roll-outs ([`trials`]), requests under which endpoints
-//! crash (`crashes`); [`track`] keeps them in step
-//! through other instances.
+//! It covers the catalog and access keys ([`Desk::fresh`], [`Desk::catalog_holds`]),
+//! endpoints and their loads ([`fleet`]), other instances ([`peers`]), roll-outs
+//! ([`trials`]) and requests that crash endpoints (`crashes`). Every piece of
+//! state has a source and an age; [`track`] synchronizes the state with the
+//! store through other instances.
+//!
+//! One thread runs all tasks and the lock is never held across an await, so
+//! locking never blocks; the lock only lets tasks share the state without
+//! reference cycles.
 
 mod crashes;
 pub mod fleet;
@@ -41,52 +43,57 @@
     source::{Kind, Progress},
 };
 
-/// Part of the grace in which callers may not have heard of the leave.
+/// Share of the grace period in which callers may not know yet that the instance leaves.
 const UNHEARD: f64 = 0.3;
 
-/// Part of the grace within which requests end; the rest is for the process.
+/// Share of the grace period by which requests must have ended; the rest is for the process to exit.
 const SERVED: f64 = 0.9;
 
-/// Time from its start in which an instance reads what it needs to serve: some
-/// 50 ms while the store is well, 250 on a processor that others use too. A
-/// request that comes meanwhile waits and is not refused, unless a call to the
-/// store has failed. When all instances are back at once, callers come within
-/// milliseconds: 413 requests in one such second were sent away before.
+/// Longest time after the start for which requests wait until the instance can
+/// serve them, unless a call to the store has failed.
+///
+/// Reading the initial state takes some 50 ms with a healthy store, 250 ms on a
+/// busy processor. After a restart of all instances callers come back within
+/// milliseconds; without this wait 413 requests were refused in one second.
 const STARTING: Duration = Duration::from_millis(500);
 
-/// Time from its start in which an instance expects to hear of a seed: machines that
-/// start together do so within 300 ms.
+/// Time after the start in which an instance waits for the first message of a seed.
+/// Machines that start together are up within 300 ms of each other.
 const FIRST_WORD: Duration = Duration::from_millis(700);
 
-/// What an instance believes.
+/// Shared state of an instance, and the notifications between its tasks.
 #[derive(Debug)]
 pub struct Desk {
-    /// What it was told at its start.
+    /// Settings of this instance.
     pub settings: Settings,
-    /// Names of the wire.
+    /// Names of headers and paths on the wire.
     pub dialect: Dialect,
+    /// When this value was created, which is the start of the instance.
     opened: Duration,
-    /// Something that a request at the start waits for is known.
+    /// Signals progress of the start-up, which early requests wait for.
     learned: Notify,
+    /// Signals that news must be sent without waiting for the next round.
     urgent: Notify,
-    /// There are notices to send.
+    /// Signals that notices of long prompts are ready to send.
     noticed: Notify,
-    /// There are findings about requests to tell.
+    /// Signals that findings about requests are ready to send.
     found: Notify,
-    /// There are refused requests to write or to take back.
+    /// Signals that quarantine changes are ready to be written to the store.
     unwritten: Notify,
-    /// There is word of endpoints' limits to tell.
+    /// Signals that updates of endpoints' rate limits are ready to send.
     limited: Notify,
-    /// An instance was heard for the first time, or again.
+    /// Signals that an instance has become alive, for the first time or again.
     greeting: Notify,
+    /// Signals that the catalog must be read again.
     catalog_wanted: Notify,
+    /// Signals that the endpoints must be read again.
     endpoints_wanted: Notify,
-    /// What the store last answered about the catalog.
+    /// Time of the store's last answer about the catalog, partial ones included.
     catalog_progress: Arc<Progress>,
     state: Mutex<State>,
 }
 
-/// Everything that changes.
+/// The mutable part of the state.
 #[derive(Debug)]
 struct State {
     catalog: Option<Arc<Catalog>>,
@@ -95,40 +102,44 @@
     fleet: fleet::Fleet,
     notices: fleet::Notices,
     quarantine: Quarantine,
-    /// Findings that were not sent yet.
+    /// Findings that were not sent to other instances yet.
     findings: Vec<Finding>,
-    /// What the store was not told yet.
+    /// Quarantine changes that were not written to the store yet.
     unwritten: VecDeque<quarantine::Change>,
     peers: peers::Peers,
     trials: trials::Trials,
     track: track::Track,
+    /// Progress of the start-up.
     known: Known,
+    /// Whether this instance's last call to the store succeeded.
     in_touch: bool,
-    /// Whether the catalog takes too long to come in to be read after each watch.
+    /// Whether this instance's link is too slow to read the catalog after each watch.
     is_narrow: bool,
     /// Whether a call to the store has ever failed.
     lost_once: bool,
     /// When this instance began to leave.
     draining: Option<Duration>,
+    /// Number of requests without a complete answer.
     in_flight: usize,
-    /// How long after a request its session goes on.
+    /// Time for which a session lasts after its latest request.
     session: Duration,
+    /// Memory that request bodies occupy, in bytes.
     held: usize,
 }
 
-/// What an instance has learned of endpoints since its start.
+/// What an instance has learned about endpoints since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Known {
     /// Nothing yet.
     Nothing,
-    /// Which there are, and all roll-outs.
+    /// The registered endpoints and all roll-outs.
     Endpoints,
-    /// What engines keep as well, as far as they have said.
+    /// The contents of the engines' caches too, of all engines that answered in time.
     Caches,
 }
 
 impl Desk {
-    /// Beliefs of an instance that has heard nothing yet.
+    /// Creates the state of an instance that has just started.
     #[must_use]
     pub fn new(settings: Settings, dialect: Dialect) -> Arc<Self> {
         let state = State {
@@ -170,14 +181,15 @@
         })
     }
 
-    /// The catalog in force; nothing before the first was read.
+    /// Returns the catalog in force, or `None` before the first one was read.
     #[must_use]
     pub fn catalog(&self) -> Option<Arc<Catalog>> {
         self.lock().catalog.clone()
     }
 
-    /// Takes a catalog in unless it is older than the one in force: stale
-    /// answers must not bring back what an operator has taken away.
+    /// Installs a catalog if it is newer than the one in force, and returns whether it did.
+    ///
+    /// A stale answer must not restore what an operator has removed.
     pub fn install(&self, catalog: Catalog) -> bool {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|current| current.version >= catalog.version) {
@@ -194,7 +206,7 @@
         true
     }
 
-    /// Waits until another instance has said that a kind must be read anew.
+    /// Waits until a message of another instance requires that objects of `kind` are read again.
     pub async fn wanted(&self, kind: Kind) {
         match kind {
             Kind::Catalog => self.catalog_wanted.notified().await,
@@ -203,18 +215,18 @@
         }
     }
 
-    /// Where calls about the catalog note what comes of their answers.
+    /// Returns the record in which calls for the catalog note the progress of their answers.
     #[must_use]
     pub fn catalog_progress(&self) -> Arc<Progress> {
         Arc::clone(&self.catalog_progress)
     }
 
-    /// Renews the lease on access keys.
+    /// Renews the lease on access keys by a proof that was requested at `asked`.
     pub fn renew(&self, asked: Duration, proof: Proof) {
         self.lock().freshness.renew(asked, proof);
     }
 
-    /// Whether access keys may be believed, and the rest of the catalog.
+    /// Whether access keys and the rest of the catalog are fresh enough to serve requests.
     #[must_use]
     pub fn fresh(&self) -> bool {
         let now = clock::now();
@@ -222,14 +234,15 @@
         state.freshness.holds(now) && state.track.succession.holds(now)
     }
 
-    /// Whether requests may be served by the catalog in force: not for long after
-    /// another instance has told of a newer one.
+    /// Whether requests may be served by the catalog in force.
+    ///
+    /// This ends a limited time after another instance has announced a newer catalog.
     #[must_use]
     pub fn catalog_holds(&self) -> bool {
         self.lock().track.succession.holds(clock::now())
     }
 
-    /// Notes whether this instance's own calls to the store succeed.
+    /// Records the outcome of this instance's own latest call to the store.
     pub fn note_touch(&self, succeeded: bool) {
         let mut state = self.lock();
         state.in_touch = succeeded;
@@ -245,33 +258,33 @@
         self.lock().in_touch
     }
 
-    /// Whether the catalog takes long to come in here.
+    /// Whether this instance's link is slow, so that reading the catalog takes long.
     #[must_use]
     pub fn is_narrow(&self) -> bool {
         self.lock().is_narrow
     }
 
-    /// Whether this instance's own calls to the store succeed, or it has had
-    /// no reason to make any.
+    /// Whether this instance's last call to the store succeeded and its lease on
+    /// access keys holds, through its own calls or other instances' proofs.
     #[must_use]
     pub fn in_touch(&self) -> bool {
         let state = self.lock();
         state.in_touch && state.freshness.holds(clock::now())
     }
 
-    /// Instances believed to live, this one included.
+    /// Returns the number of instances that are alive, this one included.
     #[must_use]
     pub fn members(&self) -> usize {
         self.lock().settle_peers(clock::now()) + 1
     }
 
-    /// Age of what is known of access keys.
+    /// Returns the age of the latest proof that the access keys are current.
     #[must_use]
     pub fn keys_age(&self) -> Option<Duration> {
         self.lock().freshness.age(clock::now())
     }
 
-    /// Notes that endpoints and roll-outs have been listed once.
+    /// Records that endpoints and roll-outs have been listed once.
     pub fn mark_listed(&self) {
         let mut state = self.lock();
         state.known = state.known.max(Known::Endpoints);
@@ -279,16 +292,16 @@
         self.learned.notify_waiters();
     }
 
-    /// Waits until a request can be served for the first time, or until the
-    /// start has taken too long to wait for it.
+    /// Waits until the instance can serve its first request, a call to the store
+    /// has failed, or the time to wait for the start is over.
     pub async fn started(&self) {
         let is_decided =
             |state: &State| state.lost_once || (state.catalog.is_some() && state.known >= Known::Endpoints);
         self.learn(is_decided).await;
     }
 
-    /// Whether a seed may yet be heard for the first time, so that the others need
-    /// not be looked for in the store.
+    /// Whether a first message of a seed may still come, so that other instances
+    /// need not be looked up in the store.
     #[must_use]
     pub fn awaits_seeds(&self) -> bool {
         let me = self.settings.listeners.news;
@@ -296,22 +309,21 @@
         has_seeds && clock::now() < self.opened + FIRST_WORD
     }
 
-    /// Notes that engines have said what they keep, or did not in time.
+    /// Records that all engines have listed their caches or missed the time for it.
     pub fn mark_caches_known(&self) {
         self.lock().known = Known::Caches;
         self.learned.notify_waiters();
     }
 
-    /// Waits until engines have said what they keep, or until the start has taken
-    /// too long to wait for it.
+    /// Waits until the engines' caches are known or the time to wait for the start is over.
     pub async fn caches_known(&self) {
         self.learn(|state| state.known == Known::Caches).await;
     }
 
-    /// Waits until enough is known, or until the start has taken too long.
+    /// Waits until `is_enough` is true or the time to wait for the start is over.
     async fn learn(&self, is_enough: impl Fn(&State) -> bool) {
         loop {
-            // Before the look, or a change right after it would be missed.
+            // Registered before the check, or a change right after it would be missed.
             let learned = self.learned.notified();
             let is_known = is_enough(&self.lock());
             let left = (self.opened + STARTING).saturating_sub(clock::now());
@@ -321,14 +333,14 @@
         }
     }
 
-    /// Whether callers should come here.
+    /// Whether this instance can serve callers and is not leaving.
     #[must_use]
     pub fn ready(&self) -> bool {
         let state = self.lock();
         state.catalog.is_some() && state.known >= Known::Endpoints && state.draining.is_none()
     }
 
-    /// Where this instance stands between its start and its end.
+    /// Returns this instance's phase of life.
     #[must_use]
     pub fn phase(&self) -> Phase {
         if self.draining() {
@@ -349,10 +361,10 @@
     /// Whether this instance is leaving and may be gone before a request that
     /// takes `time` could end.
     ///
-    /// A run that is cut off at the end helps nobody, while another instance
-    /// would serve it at once. In the first part of the grace requests are
-    /// taken all the same: most take far less than their longest time, and
-    /// callers cannot have heard of the leave yet.
+    /// A run that is cut off at the end is wasted, while another instance would
+    /// serve it at once. In the first part of the grace period requests are
+    /// accepted regardless: most take far less than their maximum time, and
+    /// callers cannot know yet that the instance leaves.
     #[must_use]
     pub fn leaves_within(&self, time: Duration) -> bool {
         let Some(since) = self.lock().draining else { return false };
@@ -361,28 +373,28 @@
         passed > grace.mul_f64(UNHEARD) && passed + time > grace.mul_f64(SERVED)
     }
 
-    /// Starts leaving: no longer ready, connections end with their answers.
+    /// Starts leaving: the instance is no longer ready, and connections close after their answers.
     pub fn drain(&self) {
         self.lock().draining.get_or_insert_with(clock::now);
         self.urgent.notify_one();
     }
 
-    /// Waits until there is news that should not wait.
+    /// Waits until there is news that must be sent without waiting for the next round.
     pub async fn hurry(&self) {
         self.urgent.notified().await;
     }
 
-    /// Counts a request's first dispatch to a service.
+    /// Credits the service's allowance for a request's first dispatch.
     pub fn earn(&self, service: &str) {
         self.with_allowance(service, |allowance, _| allowance.earn(clock::now()));
     }
 
-    /// Counts an extra dispatch to a service if the allowance has room.
+    /// Takes an extra dispatch from the service's allowance, and returns whether there was room.
     pub fn spend(&self, service: &str, purpose: Purpose) -> bool {
         self.with_allowance(service, |allowance, members| allowance.spend(clock::now(), members, purpose))
     }
 
-    /// Whether the allowance has room for an extra dispatch.
+    /// Whether the service's allowance has room for an extra dispatch.
     pub fn affords(&self, service: &str, purpose: Purpose) -> bool {
         self.with_allowance(service, |allowance, members| allowance.left(clock::now(), members, purpose) >= 1.0)
     }
@@ -393,13 +405,13 @@
         if !state.allowances.contains_key(service) {
             state.allowances.insert(service.to_owned(), Allowance::new(self.settings.allowance));
         }
-        let allowance = state.allowances.get_mut(service).expect("it was inserted if it was missing");
+        let allowance = state.allowances.get_mut(service).expect("inserted above if missing");
         apply(allowance, members)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A panic while the lock was held ends one request; what it had
-        // changed are counts, and going on with them beats ending the process.
+        // A panic while the lock was held ends one request. At worst it leaves
+        // wrong counts, which is better than ending the process.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/relay/src/desk/crashes.rs
+++ b/crates/relay/src/desk/crashes.rs
@@ -1,4 +1,5 @@
-//! Endpoints that crash, and the requests that were there.
+//! Detects requests that crash endpoints, and exchanges findings about them with
+//! other instances and the store.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -10,22 +11,24 @@
 use super::{Desk, State, fleet::Key};
 use crate::{clock, quarantine::Change, source::Refused};
 
-/// Time for which an unfinished run counts as running at its endpoint: an answer that was
-/// dropped, a caller that has gone. An endpoint takes a moment to notice, and to crash.
+/// Time for which an abandoned run still counts as running at its endpoint. After an
+/// answer was dropped or a caller disconnected, the endpoint takes a moment to notice
+/// and may crash meanwhile.
 const LINGERS: Duration = Duration::from_secs(2);
 
-/// Unfinished runs kept for an endpoint; what crashes it right away is among the latest.
+/// Maximum number of unfinished runs kept for an endpoint. A run that crashes it at once
+/// is among the latest.
 const MOST_UNFINISHED: usize = 64;
 
-/// Findings kept until they are sent; they are sent within a turn of the scheduler, so
-/// more only come while the socket does not take them.
+/// Maximum number of findings kept for sending. They are sent within a turn of the
+/// scheduler, so they pile up only while the socket does not accept them.
 const MOST_UNSENT: usize = 4_096;
 
-/// Changes kept until the store has taken them.
+/// Maximum number of changes kept until they are written to the store.
 const MOST_UNWRITTEN: usize = 64;
 
-/// Runs at an endpoint that this instance has left without an answer, by their
-/// requests.
+/// Runs at an endpoint that this instance has abandoned without an answer, at most
+/// one for each request content.
 #[derive(Debug, Default)]
 pub(super) struct Unfinished(Vec<UnfinishedRun>);
 
@@ -37,7 +40,7 @@
 }
 
 impl Unfinished {
-    /// Adds a run that was sent at a time and is left now.
+    /// Adds a run that was sent at `sent` and is abandoned at `now`.
     pub(super) fn add(&mut self, now: Duration, content: Content, sent: Duration) {
         self.0.retain(|run| run.content != content && now < run.left + LINGERS);
         if self.0.len() == MOST_UNFINISHED {
@@ -46,6 +49,7 @@
         self.0.push(UnfinishedRun { content, sent, left: now });
     }
 
+    /// Removes all runs and returns those that may still run at `now`.
     fn take(&mut self, now: Duration) -> Vec<UnfinishedRun> {
         let mut runs = std::mem::take(&mut self.0);
         runs.retain(|run| now < run.left + LINGERS);
@@ -54,7 +58,7 @@
 }
 
 impl State {
-    /// Notes that an endpoint's process has ended, and what it ran for this instance.
+    /// Records a finding for each unfinished run of this instance at an endpoint that crashed.
     pub(super) fn note_crash(&mut self, key: Key, now: Duration) {
         let Some(server) = self.fleet.server(key) else { return };
         let (start, endpoint) = (server.hash(), server.endpoint());
@@ -71,16 +75,16 @@
         }
     }
 
-    /// Notes that a request ended well.
+    /// Records that a request was answered successfully.
     pub(super) fn note_good_end(&mut self, content: Content, now: Duration) {
         self.find(Finding::EndedWell { content }, now);
     }
 
-    /// Takes a finding of this instance in, and has it told and written.
+    /// Applies a finding of this instance, and queues it for the other instances and the store.
     fn find(&mut self, finding: Finding, now: Duration) {
         let effect = self.take_finding(finding, now);
         if effect != Effect::None {
-            tracing::info!(content = %finding.content(), ?finding, ?effect, "found of a request");
+            tracing::info!(content = %finding.content(), ?finding, ?effect, "finding about a request");
         }
         if effect != Effect::None && self.findings.len() < MOST_UNSENT {
             self.findings.push(finding);
@@ -88,7 +92,7 @@
         self.write(finding, effect);
     }
 
-    /// Has what a finding changed written to the store.
+    /// Queues the change that a finding made for the store.
     fn write(&mut self, finding: Finding, effect: Effect) {
         let refused = Refused { content: finding.content(), since: unix_ms() };
         let change = match effect {
@@ -101,23 +105,25 @@
 
     fn queue(&mut self, change: Change) {
         if self.unwritten.len() == MOST_UNWRITTEN {
-            tracing::warn!(?change, "too many refused requests to write; this one is only told");
+            tracing::warn!(?change, "quarantine change not written to the store, too many are pending");
             return;
         }
         self.unwritten.push_back(change);
     }
 
+    /// Applies a finding to the quarantine and returns its effect.
     fn take_finding(&mut self, finding: Finding, now: Duration) -> Effect {
         let effect = self.quarantine.take(now, finding);
         let content = finding.content();
         match effect {
             Effect::Held => {
-                tracing::warn!(%content, ?finding, "request refused from now on: endpoints crash under it");
+                tracing::warn!(%content, ?finding, "request quarantined, endpoints crash while running it");
                 metrics::counter!("relay_quarantined_total").increment(1);
             }
-            Effect::Released => tracing::info!(%content, "request refused no more: it ended well"),
-            // Each instance hears of every run that a mass crash broke off.
-            Effect::Counted | Effect::Cleared => tracing::debug!(%content, ?finding, "heard of a request"),
+            Effect::Released => tracing::info!(%content, "request released from quarantine, it was answered successfully"),
+            // At debug level: each instance receives a finding for every run that a mass
+            // crash interrupts.
+            Effect::Counted | Effect::Cleared => tracing::debug!(%content, ?finding, "finding about a request received"),
             Effect::None | Effect::Disproved => {}
         }
         effect
@@ -125,27 +131,28 @@
 }
 
 impl Desk {
-    /// How much longer a request is refused, because endpoints crash under it; nothing
-    /// if it is not.
+    /// Returns how much longer a request is refused because it crashes endpoints, or
+    /// `None` if it is not quarantined.
     #[must_use]
     pub fn quarantined(&self, content: Content) -> Option<Duration> {
         self.lock().quarantine.refuses(clock::now(), content)
     }
 
-    /// Whether an endpoint has crashed under a request and it has not ended well since.
+    /// Whether an endpoint has crashed while running a request that was not answered
+    /// successfully since.
     #[must_use]
     pub fn suspects(&self, content: Content) -> bool {
         self.lock().quarantine.suspects(clock::now(), content)
     }
 
-    /// Notes that nobody listens at an endpoint any more.
+    /// Records the crash of an endpoint whose address refuses connections.
     pub fn note_crash(&self, key: Key) {
         let mut state = self.lock();
         state.note_crash(key, clock::now());
         self.hurry_findings(&state);
     }
 
-    /// Takes another instance's findings in.
+    /// Applies findings of another instance.
     pub fn take_findings(&self, findings: impl IntoIterator<Item = Finding>) {
         let now = clock::now();
         let leads = self.leads();
@@ -155,12 +162,12 @@
             if effect == Effect::Disproved && state.findings.len() < MOST_UNSENT {
                 state.findings.push(Finding::EndedWell { content: finding.content() });
             }
-            // Whoever told of the last crash may not have heard of the ones before, and
-            // not know that it was the last.
+            // The instance that found the last crash may lack the findings before it, and
+            // so not know that the request is quarantined now.
             if leads && effect == Effect::Held && matches!(finding, Finding::Crash { .. }) {
                 state.write(finding, effect);
             }
-            // This instance's unfinished runs were there as well.
+            // This instance's own unfinished runs may have caused the crash as well.
             if let Finding::Crash { start, .. } = finding
                 && let Some(key) = state.fleet.key_of(start)
             {
@@ -170,7 +177,7 @@
         self.hurry_findings(&state);
     }
 
-    /// Has findings told and written, if there are any.
+    /// Wakes the tasks that send findings and write quarantine changes, if there are any.
     pub(super) fn hurry_findings(&self, state: &State) {
         if !state.findings.is_empty() {
             self.found.notify_one();
@@ -180,7 +187,7 @@
         }
     }
 
-    /// Takes in what was refused before this instance's start.
+    /// Restores the quarantine that the store holds from before this instance's start.
     pub fn restore_refused(&self, refused: impl IntoIterator<Item = Refused>) {
         let (now, unix_now) = (clock::now(), unix_ms());
         let members = u32::try_from(self.members()).unwrap_or(u32::MAX);
@@ -190,14 +197,14 @@
             if age < LASTS {
                 state.take_finding(Finding::Held { content: refused.content, age }, now);
             } else if rand::random_ratio(1, members) {
-                // One of those that start takes it back, which one is drawn.
+                // Expired: on average one of the starting instances removes it from the store.
                 state.queue(Change::Allow(refused));
             }
         }
         self.hurry_findings(&state);
     }
 
-    /// Waits until the store has to be told of a refused request.
+    /// Waits for a quarantine change to write to the store, and takes it.
     pub async fn quarantine_change(&self) -> Change {
         loop {
             if let Some(change) = self.lock().unwritten.pop_front() {
@@ -207,7 +214,7 @@
         }
     }
 
-    /// Whether a change that could not be written still holds.
+    /// Whether a change that could not be written is still current.
     #[must_use]
     pub fn is_due(&self, change: Change) -> bool {
         match change {
@@ -216,7 +223,7 @@
         }
     }
 
-    /// Waits until there are findings to tell, and takes them.
+    /// Waits until there are findings to send, and takes them.
     pub async fn findings(&self) -> Vec<Finding> {
         loop {
             let findings = std::mem::take(&mut self.lock().findings);
@@ -227,14 +234,16 @@
         }
     }
 
-    /// Requests that are refused, the latest first, for instances that have not heard.
+    /// Returns up to `most` quarantined requests, the latest first, for instances that
+    /// missed the findings.
     #[must_use]
     pub fn refused_requests(&self, most: usize) -> Vec<Finding> {
         self.lock().quarantine.held(clock::now(), most)
     }
 }
 
-/// Wall time; it only has to tell ages of minutes, over starts and machines.
+/// Returns the wall-clock time. It only has to compare ages of minutes, across restarts
+/// and machines.
 fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
--- a/crates/relay/src/desk/fleet.rs
+++ b/crates/relay/src/desk/fleet.rs
@@ -1,10 +1,10 @@
-//! Endpoints, their loads and how they have been doing.
+//! Endpoints, their loads, and how fast and reliable they are.
 //!
-//! Loads are this instance's own runs, exact, plus what other instances last
-//! said of theirs. How long a run should take to its first byte is learned
-//! for each model; an endpoint is slow if it takes longer than its peers for
-//! the same. A slow or failing endpoint gets less, which keeps its record from
-//! mending, so records fade with time.
+//! The load of an endpoint is the exact load of this instance's own runs plus
+//! the loads that other instances last reported. The expected time to the first
+//! byte is learned for each service and model; an endpoint is slow if it takes
+//! longer than its peers for the same work. A slow or failing endpoint gets fewer
+//! runs and so fewer chances to improve its statistics, so these decay with time.
 
 mod caches;
 mod limits;
@@ -42,112 +42,127 @@
 use crate::{clock, source::Endpoint};
 
 slotmap::new_key_type! {
-    /// A known endpoint.
+    /// Identifies a known endpoint; an endpoint that restarts gets a new key.
     pub struct Key;
 }
 
-/// Runs added to the load of an endpoint that was full.
+/// Minimum number of runs added to the load of an endpoint that was full a moment ago.
 const FULL_RUNS: f64 = 2.0;
 
-/// First guess of a prompt token's reading time in the largest model, in
+/// Initial estimate of the time to read a prompt token in the largest model, in
 /// milliseconds.
 const TOKEN_MS: f64 = 0.03;
 
-/// First guess of the time to a first byte besides reading, in milliseconds.
+/// Initial estimate of the time to the first byte without reading, in milliseconds.
 const BASE_MS: f64 = 15.0;
 
-/// First guess of a plain call's time, in milliseconds.
+/// Initial estimate of the time to the first byte of a call without a model, in milliseconds.
 const CALL_MS: f64 = 50.0;
 
-/// Part of an endpoint's record, times the endpoints' mean, that is noise.
+/// Multiple of the endpoints' mean up to which an endpoint's slowness or failure rate counts
+/// as noise.
 const NOISE: f64 = 1.6;
 
-/// Endpoints and what was learned of them.
+/// Known endpoints, and statistics about them.
 #[derive(Debug, Default)]
 pub struct Fleet {
     servers: SlotMap<Key, Server>,
     by_name: HashMap<String, Key>,
-    /// By the hash that news and notices name them by.
+    /// Keys by the hash that identifies an endpoint's start in messages of instances.
     by_hash: HashMap<u32, Key>,
-    /// Counts endpoints that have come or gone.
+    /// Number of changes to the registered endpoints so far.
     revision: u64,
+    /// Pools of endpoints by service.
     pools: HashMap<String, pool::Pool>,
     paces: HashMap<Work, Pace>,
+    /// Mean ratio of actual to expected time to the first byte, by service.
     usual: HashMap<String, f64>,
+    /// Endpoints whose prompt caches hold a part.
     holders: Holders,
     limited: limits::Limited,
 }
 
-/// What a pace was learned of: a service and a model.
+/// Service and model whose pace is learned.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Work {
     service: String,
     model: Option<usize>,
 }
 
+/// A known endpoint with its load and statistics.
 #[derive(Debug)]
 pub(super) struct Server {
     endpoint: Arc<Endpoint>,
+    /// Hash that identifies the endpoint's start in messages of instances.
     hash: u32,
+    /// Number of this instance's runs there.
     runs: u32,
+    /// Prompt reading that is pending for this instance's runs, in milliseconds.
     backlog_ms: f64,
-    /// Part of it that the other instances were told of at once.
+    /// Part of `backlog_ms` that was announced to the other instances by notices.
     told_ms: f64,
+    /// Load that the other instances last reported.
     others: Load,
-    /// What notices of other instances amount to.
+    /// Prompt reading that notices of other instances announced.
     noticed: Backlog,
+    /// Ratio of actual to expected time to the first byte, relative to the service's mean.
     slowness: Record,
+    /// Share of runs that failed.
     failing: Record,
+    /// Failed connections in a row.
     misses: u32,
+    /// End of the backoff after failed connections.
     rests_until: Duration,
+    /// Time until which the endpoint counts as full.
     full_until: Duration,
+    /// When a run of this instance last received bytes from the endpoint.
     heard: Duration,
-    /// When a registration of it last came.
+    /// When its registration was last received.
     registered: Duration,
-    /// Runs that were left there without an answer.
+    /// Runs that this instance abandoned without an answer.
     unfinished: Unfinished,
-    /// What may be sent there, if it names a limit.
+    /// Rate at which this instance may send requests, if the endpoint announces a limit.
     throttle: Throttle,
 }
 
-/// Runs under way at an endpoint.
+/// Load of the runs at an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Their number.
+    /// Number of runs.
     pub runs: f64,
-    /// Prompt reading still owed, in milliseconds.
+    /// Prompt reading that is still pending, in milliseconds.
     pub backlog_ms: f64,
 }
 
-/// What is to be run, for choosing an endpoint.
+/// Properties of a request by which an endpoint is chosen for it.
 #[derive(Debug, Clone, Copy)]
 pub struct Job<'a> {
-    /// The service's name.
+    /// Name of the service.
     pub service: &'a str,
-    /// Index of the model in its ladder.
+    /// Index of the model in its ladder; `None` for a call without a model.
     pub model: Option<usize>,
-    /// That model's cost over the largest one's.
+    /// Cost of the model as a fraction of the largest model's.
     pub size: f64,
-    /// Hash of the longest shared part and the model.
+    /// Hash of the model and the longest part of the prompt that is shared with other requests.
     pub affinity: Option<u64>,
-    /// The same of the whole prompt.
+    /// Hash of the model and the whole prompt.
     pub whole: Option<u64>,
-    /// Tokens up to the end of that part.
+    /// Number of tokens up to the end of the shared part.
     pub shared_tokens: u32,
-    /// Further tokens of the prompt.
+    /// Number of tokens after the shared part.
     pub own_tokens: u32,
-    /// What dealing to versions goes by.
+    /// Key by which requests are assigned to versions: the session's, or the request's own.
     pub session: u64,
-    /// Whether that is a caller's session, not just this request.
+    /// Whether `session` stands for a caller's session and not only for this request.
     pub in_session: bool,
-    /// Endpoints tried already.
+    /// Endpoints that were tried already.
     pub tried: &'a [Key],
-    /// Version to stay on, if any endpoint has it.
+    /// Version to stay on, if an endpoint of it is available.
     pub version: Option<&'a str>,
 }
 
 impl Desk {
-    /// Chooses an endpoint and counts the run there; nothing when none takes it.
+    /// Chooses an endpoint and counts a run there. Returns `None` if no endpoint accepts the job.
     #[must_use]
     pub fn place(self: &Arc<Self>, job: &Job<'_>) -> Option<Run> {
         let now = clock::now();
@@ -190,8 +205,8 @@
         })
     }
 
-    /// Time that a run would take to its first byte if it were placed now, in
-    /// milliseconds; nothing when no endpoint takes it.
+    /// Returns the expected time to the first byte if the job were placed now, in
+    /// milliseconds, or `None` if no endpoint accepts it.
     #[must_use]
     pub fn expect(&self, job: &Job<'_>) -> Option<f64> {
         let now = clock::now();
@@ -201,14 +216,14 @@
         Some(state.weigh(job, now, self.settings.exposure)?.expected_ms())
     }
 
-    /// Time that a run takes an idle endpoint to its first byte, in milliseconds.
+    /// Returns the expected time to the first byte at an idle endpoint, in milliseconds.
     #[must_use]
     pub fn expect_idle(&self, job: &Job<'_>) -> f64 {
         self.lock().fleet.pace(job).job_ms(job_units(job))
     }
 
-    /// Loads this instance puts on endpoints, by the hash of their names, but
-    /// for the reading that the others were told of at once.
+    /// Returns this instance's load on each endpoint, by the hash of the endpoint's start,
+    /// without the reading that notices have already announced.
     #[must_use]
     pub fn own_loads(&self) -> Vec<(u32, Load)> {
         let state = self.lock();
@@ -240,21 +255,22 @@
         }
     }
 
-    /// Hash of its name and start.
+    /// Returns the hash of the endpoint's name and start.
     pub(super) fn hash(&self) -> u32 {
         self.hash
     }
 
-    /// As it has registered.
+    /// Returns the endpoint's registration.
     pub(super) fn endpoint(&self) -> Arc<Endpoint> {
         Arc::clone(&self.endpoint)
     }
 
-    /// Runs that were left there without an answer.
+    /// Returns the runs that this instance abandoned there without an answer.
     pub(super) fn unfinished(&mut self) -> &mut Unfinished {
         &mut self.unfinished
     }
 
+    /// Describes the endpoint for placement, given the service's mean slowness and failure rate.
     fn candidate(&self, domain: &str, slow: f64, failing: f64, now: Duration) -> Candidate<'_> {
         let full = if self.full_until > now { f64::from(self.endpoint.slots).max(FULL_RUNS) } else { 0.0 };
         let slowness = self.slowness.now(1.0, now) / slow;
@@ -273,12 +289,14 @@
     }
 }
 
+/// Returns the pace that is assumed before any run was observed.
 fn first_guess(model: Option<usize>) -> Pace {
     if model.is_some() { Pace::new(BASE_MS, TOKEN_MS) } else { Pace::new(CALL_MS, 0.0) }
 }
 
-/// How an endpoint travels in news: each of its starts by another number, so that
-/// what others say of an earlier one is not taken for this one's.
+/// Returns the hash that identifies an endpoint in messages of instances. It differs for
+/// each start of the endpoint, so that reports about an earlier start are not attributed to
+/// the current one.
 #[must_use]
 pub fn start_hash(endpoint: &Endpoint) -> u32 {
     match endpoint.born {
@@ -287,7 +305,7 @@
     }
 }
 
-/// How a name travels in news.
+/// Returns the short hash that stands for a name in messages of instances.
 #[must_use]
 pub fn short_hash(name: &str) -> u32 {
     u32::try_from(hash::stable(name.as_bytes()) & u64::from(u32::MAX)).unwrap_or_default()
--- a/crates/relay/src/desk/fleet/caches.rs
+++ b/crates/relay/src/desk/fleet/caches.rs
@@ -1,9 +1,9 @@
-//! What engines keep in their prompt caches, as they list it themselves.
+//! Contents of the engines' prompt caches, as the engines list them.
 //!
-//! The load pattern: all instances are lost at once, and with them who keeps
-//! which part of a prompt. When they are back, some hundred callers resume their
-//! streams within milliseconds, and each prompt was read again, by whichever
-//! engine, behind all others.
+//! If all instances restart at once, they lose the record of which engine caches which
+//! part of a prompt. Some hundred callers then resume their streams within milliseconds,
+//! and without the engines' own listings each prompt would be read again by an arbitrary
+//! engine, queued behind all others.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 use super::{Fleet, start_hash};
 use crate::{catalog::Catalog, clock, desk::Desk, dialect::Cached, source::Endpoint};
 
-/// Hash of a part of a prompt in a model's cache: a model's parts are of no use
-/// to another one.
+/// Returns the hash of a prompt part combined with its model. A part cached for one
+/// model is of no use to another.
 #[must_use]
 pub fn affinity(part: u64, model: Option<usize>) -> u64 {
     let salt = model.map_or(0, |index| u64::try_from(index).unwrap_or(0) + 1);
     hash::rendezvous(part, &salt.to_le_bytes())
 }
 
-/// How a part is named in notices and among holders.
+/// Returns the short hash that identifies a part in notices and among holders.
 pub(super) fn part_of(affinity: u64) -> u32 {
     u32::try_from(affinity >> 32).unwrap_or_default()
 }
 
 impl Desk {
-    /// Engines of the catalog's services, for asking what they keep.
+    /// Returns the known endpoints of services with prompt caches, to ask for their contents.
     #[must_use]
     pub fn engines(&self) -> Vec<Endpoint> {
         let Some(catalog) = self.catalog() else { return Vec::new() };
@@ -36,7 +36,7 @@
         self.known_endpoints().iter().filter(|endpoint| is_engine(endpoint)).map(|e| Endpoint::clone(e)).collect()
     }
 
-    /// Takes in what an engine lists of its cache.
+    /// Records the cache contents that an engine listed.
     pub fn note_cache(&self, engine: &Endpoint, cached: &[Cached]) {
         let Some(catalog) = self.catalog() else { return };
         let now = clock::now();
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The largest of so many models that some engine has read a whole prompt
-    /// with, by the prompt's hash for each.
+    /// Returns the largest of the first `models` models for which an engine caches a whole
+    /// prompt. `whole` returns the prompt's hash for a model.
     #[must_use]
     pub fn model_that_read(&self, whole: impl Fn(usize) -> Option<u64>, models: usize) -> Option<usize> {
         let now = clock::now();
@@ -60,13 +60,13 @@
 }
 
 impl Fleet {
-    /// Hashes of the endpoints that are believed to keep a part.
+    /// Returns the hashes of the endpoints that probably cache a part.
     pub(super) fn holders_of(&self, affinity: Option<u64>, now: Duration) -> Vec<u32> {
         affinity.map(|affinity| self.holders.of(part_of(affinity), now).collect()).unwrap_or_default()
     }
 }
 
-/// A model's place in the ladder of the first route that has it.
+/// Returns a model's index in the ladder of the first route that contains it.
 fn model_index(catalog: &Catalog, name: &str) -> Option<usize> {
     let mut routes = catalog.hosts.values().flatten();
     routes.find_map(|route| route.models.iter().position(|model| model.name == name))
--- a/crates/relay/src/desk/fleet/limits.rs
+++ b/crates/relay/src/desk/fleet/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that endpoints name: heard, told, and shared out.
+//! Rate limits that endpoints announce: recorded, exchanged between instances, and divided
+//! among them.
 
 use std::time::Duration;
 
@@ -11,49 +12,50 @@
     desk::{Desk, State},
 };
 
-/// Time for which this instance's part of a limit is believed while others come and go.
+/// Time between updates of this instance's share of each limit, which changes as other
+/// instances join and leave.
 const SHARE_LASTS: Duration = Duration::from_millis(250);
 
-/// Age up to which a word goes out with the news, for those that missed it.
+/// Age up to which an update of a limit is repeated in the news, for instances that missed it.
 const NEW: Duration = Duration::from_secs(5);
 
-/// Words kept until they are sent.
+/// Maximum number of updates kept for sending.
 const MOST_UNSENT: usize = 1_024;
 
-/// What an endpoint says of how many requests it takes.
+/// What an answer of an endpoint says about its rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Said {
-    /// Nothing.
+    /// The answer does not apply to the limit.
     Nothing,
-    /// So many a second, from all instances together.
+    /// The answer states a limit, in requests a second from all instances together.
     Limit(f64),
-    /// An answer names no limit.
+    /// The answer states no limit.
     NoLimit,
 }
 
-/// Word of an endpoint's limit for other instances.
+/// Update of an endpoint's limit for other instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
     /// Hash of the endpoint's name and start.
     pub start: u32,
-    /// Requests a second that it takes; nothing if it names no limit any more.
+    /// Requests a second that it accepts; `None` if it no longer announces a limit.
     pub per_s: Option<f64>,
-    /// Time since it said so.
+    /// Time since the endpoint announced it.
     pub age: Duration,
 }
 
-/// Endpoints that have named a limit.
+/// Endpoints that announce a limit.
 #[derive(Debug, Default)]
 pub(super) struct Limited {
     keys: Vec<Key>,
-    /// When this instance's parts were last reckoned.
+    /// When this instance's shares were last computed.
     shared: Duration,
-    /// Words that were not told yet.
+    /// Updates that were not sent yet.
     unsent: Vec<Limit>,
 }
 
 impl Run {
-    /// Notes what the endpoint said of its limit.
+    /// Records what the endpoint said about its limit, and queues a change for the other instances.
     pub fn said(&self, said: Said) {
         let now = clock::now();
         let word = match said {
@@ -75,14 +77,14 @@
 }
 
 impl State {
-    /// Takes a word of an endpoint in; whether it changes what holds.
+    /// Applies an endpoint's announcement, and returns whether it changed the limit.
     fn hear_limit(&mut self, key: Key, word: Word, now: Duration) -> bool {
         let Some(server) = self.fleet.servers.get_mut(key) else { return false };
         let before = server.throttle.limit(now);
         if !server.throttle.hear(now, word) {
             return false;
         }
-        tracing::info!(endpoint = server.endpoint.id, per_s = word.per_s, before, "endpoint names a limit");
+        tracing::info!(endpoint = server.endpoint.id, per_s = word.per_s, before, "rate limit of endpoint changed");
         if !self.fleet.limited.keys.contains(&key) {
             self.fleet.limited.keys.push(key);
         }
@@ -91,7 +93,7 @@
         true
     }
 
-    /// Reckons this instance's parts of all limits anew, if that was a while ago.
+    /// Recomputes this instance's shares of all limits if they are out of date.
     pub(super) fn share_limits(&mut self, now: Duration) {
         let Fleet { servers, limited, .. } = &mut self.fleet;
         if limited.keys.is_empty() || now < limited.shared + SHARE_LASTS {
@@ -112,7 +114,7 @@
 }
 
 impl Desk {
-    /// Waits until there is word of limits to tell, and takes it.
+    /// Waits until there are updates of limits to send, and takes them.
     pub async fn limits_to_tell(&self) -> Vec<Limit> {
         loop {
             let unsent = std::mem::take(&mut self.lock().fleet.limited.unsent);
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Takes another instance's word of limits in.
+    /// Applies updates of limits from another instance.
     pub fn take_limits(&self, limits: impl IntoIterator<Item = Limit>) {
         let now = clock::now();
         let mut state = self.lock();
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Some of the limits that endpoints named lately, for instances that have not heard.
+    /// Returns up to `most` recent updates of limits, drawn at random, for instances that missed them.
     #[must_use]
     pub fn limits(&self, most: usize) -> Vec<Limit> {
         let now = clock::now();
@@ -149,8 +151,9 @@
         lately.choose_multiple(&mut rand::rng(), most)
     }
 
-    /// Time until an endpoint of a service takes a request, if each of those that are
-    /// up takes no more now because of its limit.
+    /// Returns the time until an endpoint of a service accepts a request, if the limits of
+    /// all available ones are used up now; `None` if one accepts a request at once or none
+    /// is available.
     #[must_use]
     pub fn throttled(&self, service: &str) -> Option<Duration> {
         let now = clock::now();
@@ -171,7 +174,7 @@
 }
 
 impl Server {
-    /// Whether it names a limit, or has ended one a moment ago.
+    /// Whether the endpoint announces a limit or has ended one recently.
     fn is_limited(&self, now: Duration) -> bool {
         self.throttle.limit(now).is_some() || self.throttle.word().is_some_and(|word| now < word.at + NEW)
     }
--- a/crates/relay/src/desk/fleet/notices.rs
+++ b/crates/relay/src/desk/fleet/notices.rs
@@ -1,4 +1,4 @@
-//! Notices of long prompts: this instance's, until they are sent, and others'.
+//! Notices that announce long prompts to other instances: queued for sending, and received.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
     desk::{Desk, State},
 };
 
-/// Notices kept until they are sent; they are sent within a turn of the
-/// scheduler, so more only come while the socket does not take them.
+/// Maximum number of notices kept for sending. They are sent within a turn of the
+/// scheduler, so they pile up only while the socket does not accept them.
 const MOST_KEPT: usize = 32;
 
-/// Least tokens of a shared part that others are told of: reading fewer again
-/// costs less than the word.
+/// Minimum length of a shared part that notices announce, in tokens. Reading a shorter
+/// part again costs less than the notice.
 pub(super) const WORTH_KEEPING: u32 = 1_000;
 
-/// Word of a long prompt that was sent to an endpoint.
+/// Announces to other instances that a long prompt was sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Notice {
-    /// Hash of the endpoint's name.
+    /// Hash of the endpoint's name and start.
     pub endpoint: u32,
-    /// Time that it takes to read, in milliseconds.
+    /// Time that the prompt takes to read, in milliseconds.
     pub reading_ms: f64,
-    /// Its shared part, if it has one worth keeping.
+    /// Hash of the prompt's shared part, if that is long enough.
     pub part: Option<u32>,
 }
 
-/// Notices that were not sent yet, and what may be spent on them.
+/// Notices that were not sent yet, and the budget for sending them.
 #[derive(Debug)]
 pub struct Notices {
     budget: Budget,
@@ -37,7 +37,7 @@
 }
 
 impl Notices {
-    /// Nothing to tell yet.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(now: Duration) -> Self {
         Self { budget: Budget::new(now), unsent: Vec::new() }
@@ -45,7 +45,8 @@
 }
 
 impl State {
-    /// Has a prompt told to the other instances if it is long enough.
+    /// Queues a notice of a prompt if it is long enough and the budget allows, and returns
+    /// whether it did.
     pub(super) fn tell(&mut self, key: Key, job: &Job<'_>, reading_ms: f64, now: Duration) -> bool {
         self.settle_peers(now);
         let fanout = self.peers.fanout();
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Takes another instance's notice in.
+    /// Applies a notice of another instance.
     pub fn take_notice(&self, notice: Notice) {
         let now = clock::now();
         let mut state = self.lock();
--- a/crates/relay/src/desk/fleet/pool.rs
+++ b/crates/relay/src/desk/fleet/pool.rs
@@ -1,9 +1,9 @@
-//! A service's endpoints, for decisions that do not look at all of them.
+//! Pools of a service's endpoints, for placement decisions that examine only some of them.
 //!
-//! The load pattern: thousands of endpoints, and several decisions for each request.
-//! Looking at all of them took a millisecond a decision at ten thousand. Decisions
-//! compare a few drawn at random anyway, and whoever is known to keep what a request
-//! needs; what they take of all endpoints, means, may be a moment old.
+//! With ten thousand endpoints, examining all of them took a millisecond for each decision,
+//! and a request needs several decisions. A decision compares only a few endpoints drawn
+//! at random and those that cache the request's prompt. All endpoints matter only for
+//! means, which may be slightly out of date.
 
 use std::time::Duration;
 
@@ -13,31 +13,34 @@
 use super::{Fleet, Job, Key, Server};
 use crate::desk::trials::Deal;
 
-/// Endpoints up to which a decision looks at all of them.
+/// Number of endpoints up to which a decision examines all of them.
 const SMALL: usize = 64;
 
-/// Endpoints drawn of those nearby and of all: a few times as many as are compared.
+/// Number of endpoints drawn from the same failure domain and again from all: a few times as
+/// many as placement compares.
 const DRAWN: usize = 20;
 
-/// Age up to which a pool is believed while no endpoint comes or goes.
+/// Maximum age of a pool while no registration changes.
 const LASTS: Duration = Duration::from_millis(100);
 
-/// Endpoints of a service that take requests, as of a moment.
+/// Available endpoints of a service at some moment.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
+    /// When the pool was built.
     taken: Duration,
-    /// The registry's state that it was made of.
+    /// Revision of the registered endpoints from which the pool was built.
     revision: u64,
     all: Vec<Key>,
+    /// Endpoints in this instance's failure domain.
     near: Vec<Key>,
     /// Mean slowness.
     pub slow: f64,
-    /// Mean share of failures.
+    /// Mean share of runs that failed.
     pub failing: f64,
 }
 
 impl Fleet {
-    /// Brings a service's pool up to date for the decisions of a moment.
+    /// Rebuilds a service's pool if it is out of date.
     pub(super) fn refresh(&mut self, service: &str, domain: &str, now: Duration) {
         let is_current = |pool: &Pool| pool.revision == self.revision && now.saturating_sub(pool.taken) < LASTS;
         if self.pools.get(service).is_some_and(is_current) {
@@ -56,9 +59,10 @@
         self.pools.insert(service.to_owned(), pool);
     }
 
-    /// Some endpoints that may take a job, with the pool they are of: drawn at random,
-    /// and those that are known to keep its prompt or that its hash names. Nothing if
-    /// all have to be looked at, since they are few or none of the drawn may take it.
+    /// Returns some endpoints that may run a job, and their pool: a random sample, and the
+    /// endpoints that cache its prompt or, if none does, those that its hash selects. Returns
+    /// `None` if all endpoints must be examined, because they are few or no sampled one may
+    /// run the job.
     pub(super) fn sample(&self, job: &Job<'_>, deal: &Deal, now: Duration) -> Option<(&Pool, Vec<(Key, &Server)>)> {
         let pool = self.pools.get(job.service).filter(|pool| pool.all.len() > SMALL)?;
         let takes = |key: Key| {
@@ -94,6 +98,7 @@
         Some((pool, keys.into_iter().filter_map(takes).collect()))
     }
 
+    /// Returns the keys of the known endpoints among `hashes`.
     fn keys_of(&self, hashes: &[u32]) -> Vec<Key> {
         hashes.iter().filter_map(|hash| self.by_hash.get(hash)).copied().collect()
     }
--- a/crates/relay/src/desk/fleet/registry.rs
+++ b/crates/relay/src/desk/fleet/registry.rs
@@ -1,22 +1,22 @@
-//! Which endpoints there are, as their registrations tell.
+//! The registered endpoints.
 
 use std::{sync::Arc, time::Duration};
 
 use super::{Fleet, Key, Load, Server, start_hash};
 use crate::{clock, desk::Desk, source::Endpoint};
 
-/// What a registration is to what is known under its name.
+/// How a registration compares to the known one of the same name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Standing {
-    /// Nothing was known.
+    /// The name was not known.
     New,
-    /// It was known just so.
+    /// The registration is identical.
     Same,
-    /// The start that was known has changed its registration.
+    /// The same start of the endpoint has changed its registration.
     Changed,
-    /// It has started again.
+    /// The endpoint has restarted.
     Restarted,
-    /// It was written before what is known.
+    /// The registration is older than the known one.
     Old,
 }
 
@@ -30,28 +30,27 @@
         } else if told.born == known.born {
             Self::Changed
         } else {
-            // By the revision, not by which start is younger: the clock of a
-            // server's machine may have stepped back in between.
+            // The revision decides which is newer, not the start time: the clock of the
+            // endpoint's machine may have stepped back in between.
             Self::Restarted
         }
     }
 }
 
 impl Desk {
-    /// Takes an endpoint's registration in.
+    /// Adds or updates an endpoint by its registration.
     ///
-    /// One that started again under its name is another endpoint: it has none of
-    /// the runs, the prompts to read, the shared parts and the record that are
-    /// known of the name. Kept, they would keep requests away from an empty
-    /// server, or send prompts to where their parts no longer are. A word of the
-    /// earlier start that comes late changes nothing: it would make a living
-    /// endpoint leave, or forget all that was learned of it twice.
+    /// An endpoint that restarted under its name counts as a new one, without the
+    /// runs, backlog, cached parts and statistics of its earlier start. Kept, they would
+    /// keep requests away from an idle server, or send prompts to a server that no
+    /// longer caches their parts. A late registration of an earlier start is ignored:
+    /// it would remove a live endpoint, or discard twice what was learned about it.
     pub fn enlist(&self, endpoint: Endpoint) {
         let mut state = self.lock();
         let now = clock::now();
         let standing = Standing::of(state.fleet.known(&endpoint.id), &endpoint);
         if standing == Standing::Old {
-            tracing::debug!(endpoint = endpoint.id, revision = endpoint.revision, "old registration passed over");
+            tracing::debug!(endpoint = endpoint.id, revision = endpoint.revision, "outdated registration ignored");
             return;
         }
         if standing != Standing::Same {
@@ -72,21 +71,21 @@
         state.fleet.register(endpoint, standing, others, now);
     }
 
-    /// Forgets an endpoint whose registration is gone.
+    /// Removes an endpoint whose registration is gone.
     pub fn delist(&self, id: &str) {
         let fleet = &mut self.lock().fleet;
         if let Some(key) = fleet.by_name.remove(id) {
             fleet.remove(key);
-            tracing::info!(endpoint = id, "endpoint gone");
+            tracing::info!(endpoint = id, "endpoint removed");
         }
     }
 
-    /// Forgets an endpoint that has not registered since a moment; whether it
-    /// did.
+    /// Removes an endpoint whose registration was not received after `since`, and
+    /// returns whether it did.
     ///
-    /// After an outage its registration may come by way of another instance,
-    /// while this one still waits for it at the store: to give it up then would
-    /// take a living endpoint out of use until it changes once more.
+    /// After an outage its registration may arrive through another instance while
+    /// this one still waits for it at the store. Removing it then would take a live
+    /// endpoint out of use until its registration changes again.
     pub fn delist_lapsed(&self, id: &str, since: Duration) -> bool {
         let is_back = {
             let fleet = &self.lock().fleet;
@@ -99,13 +98,13 @@
         !is_back
     }
 
-    /// Names of all known endpoints.
+    /// Returns the names of all known endpoints.
     #[must_use]
     pub fn enlisted(&self) -> Vec<String> {
         self.lock().fleet.by_name.keys().cloned().collect()
     }
 
-    /// All known endpoints.
+    /// Returns all known endpoints.
     #[must_use]
     pub fn known_endpoints(&self) -> Vec<Arc<Endpoint>> {
         self.lock().fleet.servers.values().map(|server| Arc::clone(&server.endpoint)).collect()
@@ -113,11 +112,13 @@
 }
 
 impl Fleet {
+    /// Returns the known registration of a name.
     fn known(&self, id: &str) -> Option<&Endpoint> {
         let server = self.servers.get(*self.by_name.get(id)?)?;
         Some(&server.endpoint)
     }
 
+    /// Stores a registration. `others` is the load that other instances report for the endpoint.
     fn register(&mut self, endpoint: Endpoint, standing: Standing, others: Load, now: Duration) {
         let known = self.by_name.get(&endpoint.id).copied();
         if standing == Standing::Restarted
@@ -150,22 +151,22 @@
         }
     }
 
-    /// An endpoint that is known.
+    /// Returns a known endpoint.
     pub(in crate::desk) fn server(&mut self, key: Key) -> Option<&mut Server> {
         self.servers.get_mut(key)
     }
 
-    /// The key of the endpoint whose start has a hash.
+    /// Returns the key of the endpoint whose start has the hash.
     pub(in crate::desk) fn key_of(&self, hash: u32) -> Option<Key> {
         self.by_hash.get(&hash).copied()
     }
 
-    /// The endpoint whose start has a hash.
+    /// Returns the endpoint whose start has the hash.
     pub(super) fn by_hash(&mut self, hash: u32) -> Option<&mut Server> {
         self.servers.get_mut(*self.by_hash.get(&hash)?)
     }
 
-    /// Notes what other instances put on an endpoint, if it is known.
+    /// Sets the load of other instances on an endpoint, if it is known.
     pub(in crate::desk) fn bear(&mut self, endpoint: u32, load: Load) {
         if let Some(server) = self.by_hash(endpoint) {
             server.others = load;
--- a/crates/relay/src/desk/fleet/run.rs
+++ b/crates/relay/src/desk/fleet/run.rs
@@ -1,4 +1,4 @@
-//! A run under way, and what its end says of its endpoint.
+//! Runs in progress, and the effect of their outcomes on the statistics of endpoints.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,70 +15,77 @@
     source::Endpoint,
 };
 
-/// First wait after a failed connection; doubles with each further one.
+/// Backoff after a failed connection; it doubles with each further failure in a row.
 const REST: Duration = Duration::from_millis(400);
 
-/// Longest wait after failed connections.
+/// Maximum backoff after failed connections.
 const LONGEST_REST: Duration = Duration::from_secs(5);
 
-/// How long an endpoint that was full counts as full.
+/// Time for which an endpoint counts as full after it refused a run.
 const FULL: Duration = Duration::from_millis(150);
 
-/// Weight of an observation in a service's usual lateness; some fifty count.
+/// Weight of an observation in a service's usual lateness, which thus covers some fifty
+/// observations.
 const USUAL: f64 = 0.02;
 
-/// A run under way; dropping it takes its load off the endpoint.
+/// A run in progress; dropping it removes its load from the endpoint.
 #[derive(Debug)]
 pub struct Run {
     pub(super) desk: Arc<Desk>,
-    /// The endpoint.
+    /// Key of the endpoint.
     pub key: Key,
-    /// Who runs it.
+    /// Registration of the endpoint when the run was placed.
     pub endpoint: Arc<Endpoint>,
-    /// Whom it copies its shared part from.
+    /// Address of the endpoint from which the shared part is copied.
     pub source: Option<SocketAddr>,
-    /// Which version's record it counts for.
+    /// Version of a roll-out for which the run counts as evidence.
     pub arm: Arm,
-    /// Why it went there.
+    /// The placement decision.
     pub choice: Choice,
+    /// Prompt reading that the run adds to the endpoint's backlog, in milliseconds.
     pub(super) backlog_ms: f64,
+    /// Part of `backlog_ms` that was announced to the other instances by a notice.
     pub(super) told_ms: f64,
+    /// Expected time to the first byte if no endpoint were late, in milliseconds.
     pub(super) alone_ms: f64,
+    /// Expected time to the first byte, in milliseconds.
     pub(super) expected_ms: f64,
     pub(super) work: Work,
+    /// Units of reading in the prompt.
     pub(super) units: f64,
     pub(super) lateness: Lateness,
+    /// When the run was placed.
     pub(super) started: Duration,
-    /// The request, from when it was sent until it is known how the run ended.
+    /// Content of the request, from when it is sent until the run's outcome is known.
     pub(super) content: Option<Content>,
 }
 
-/// How a try ended, for the endpoint's record.
+/// Outcome of a run, for the endpoint's statistics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
     /// A good answer.
     Good,
-    /// An answer that is a failure of the server's own.
+    /// An answer that reports a failure of the server.
     Failed,
-    /// Broken, spoiled or silent.
+    /// The answer broke off, was malformed, or did not come in time.
     Broken,
-    /// Turned away, not run.
+    /// The endpoint refused the run without starting it, as full endpoints do.
     Full,
-    /// No connection.
+    /// The connection failed.
     Unreachable,
-    /// No connection, since nobody listens there any more.
+    /// The connection was refused, since no process listens at the address any more.
     Down,
-    /// Turned away by another server that stands at its address.
+    /// Another server at the endpoint's address refused the run.
     Replaced,
 }
 
 impl Run {
-    /// Notes that the request is sent.
+    /// Records that the request is sent.
     pub fn sent(&mut self, content: Content) {
         self.content = Some(content);
     }
 
-    /// The first byte has come: the prompt has been read.
+    /// Records that the first byte was received, so that the prompt has been read.
     pub fn first_byte(&mut self) {
         let now = clock::now();
         let took = clock::millis(now.saturating_sub(self.started));
@@ -88,8 +95,8 @@
         let fleet = &mut state.fleet;
         if let Some(server) = fleet.servers.get_mut(self.key) {
             let ratio = (took / self.alone_ms.max(1.0)).clamp(0.1, 20.0);
-            // Against what is usual for the service: a bias of the expectation
-            // would make every endpoint that is new look slow or quick.
+            // Relative to the service's usual ratio: a bias of the expected time would
+            // make every new endpoint look slow or fast.
             let usual = fleet.usual.entry(self.work.service.clone()).or_insert(1.0);
             *usual += USUAL * (ratio - *usual);
             self.lateness = Lateness::of(ratio);
@@ -101,7 +108,7 @@
         fleet.paces.entry(self.work.clone()).or_insert(guess).learn(self.units, took);
     }
 
-    /// More of the answer has come.
+    /// Records that more bytes of the answer were received.
     pub fn more_bytes(&self) {
         let now = clock::now();
         if let Some(server) = self.desk.lock().fleet.servers.get_mut(self.key) {
@@ -109,20 +116,20 @@
         }
     }
 
-    /// Time since anything was heard of the endpoint, by this instance's runs.
+    /// Returns the time since a run of this instance last received bytes from the endpoint.
     #[must_use]
     pub fn silence(&self) -> Duration {
         let now = clock::now();
         self.desk.lock().fleet.servers.get(self.key).map_or(Duration::MAX, |s| now.saturating_sub(s.heard))
     }
 
-    /// Time expected from the dispatch until the first byte, in milliseconds.
+    /// Returns the expected time from the dispatch to the first byte, in milliseconds.
     #[must_use]
     pub fn expected_ms(&self) -> f64 {
         self.expected_ms
     }
 
-    /// Notes how the run ended.
+    /// Records the outcome of the run.
     pub fn ended(&mut self, how: Ended) {
         let now = clock::now();
         let desk = Arc::clone(&self.desk);
@@ -143,32 +150,34 @@
             }
             Ended::Failed | Ended::Broken => server.failing.seen(1.0, 0.0, now),
             Ended::Full => server.full_until = now + FULL,
-            // A caller that names a model which does not exist is turned away
-            // alike, so once may be the caller's fault; any answer in between
-            // shows that the endpoint lives.
+            // A request for a model that does not exist is refused in the same way, so a
+            // single refusal may be the caller's fault. A first byte or a good answer
+            // in between shows that the endpoint is alive.
             Ended::Replaced if server.misses == 0 => server.misses = 1,
             Ended::Unreachable | Ended::Down | Ended::Replaced => {
                 let rest = REST * 2_u32.saturating_pow(server.misses.min(6));
                 server.misses += 1;
                 server.rests_until = now + rest.min(LONGEST_REST);
-                tracing::warn!(endpoint = server.endpoint.id, ?how, misses = server.misses, "endpoint rests");
+                tracing::warn!(endpoint = server.endpoint.id, ?how, misses = server.misses, "endpoint backing off after failed connection");
             }
         }
     }
 
-    /// Counts the run for or against its version.
+    /// Counts the run as a good or bad one of its version.
     pub fn judge(&self, bad: bool) {
         let tally = Tally { runs: 1, bad: u32::from(bad), lateness: self.lateness };
         self.desk.lock().trials.count(&self.endpoint.service, self.arm, tally);
     }
 
-    /// Notes that this instance has left the run without an answer; it may go on.
+    /// Records that this instance abandoned the run without an answer; the endpoint may
+    /// continue it.
     fn note_unfinished(&self, state: &mut State, content: Content, now: Duration) {
         if let Some(server) = state.fleet.server(self.key) {
             server.unfinished().add(now, content, self.started);
         }
     }
 
+    /// Removes the run's prompt reading from the endpoint's backlog.
     fn lift(&mut self, state: &mut State) {
         if let Some(server) = state.fleet.servers.get_mut(self.key) {
             server.backlog_ms = (server.backlog_ms - self.backlog_ms).max(0.0);
--- a/crates/relay/src/desk/fleet/weigh.rs
+++ b/crates/relay/src/desk/fleet/weigh.rs
@@ -1,4 +1,4 @@
-//! Where a job would go, and what it would find there.
+//! Selects the endpoint for a job and estimates the time to its first byte.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,41 +11,41 @@
 use super::{Fleet, Job, Key, Server, State, Work, caches::part_of, first_guess, notices::WORTH_KEEPING};
 use crate::desk::trials::{Arm, Deal, Dealt};
 
-/// Length of text before a token at which reading it takes twice as long as
-/// at the start: attention's part of the work in dense models of about 70
-/// billion parameters.
+/// Number of preceding tokens at which reading a token takes twice as long as at the start
+/// of the text, because of the share of attention in the work of dense models of about
+/// 70 billion parameters.
 const DOUBLES_AT: f64 = 54_000.0;
 
-/// Where a job would go.
+/// The endpoint selected for a job.
 pub(super) struct Weighed {
     pub key: Key,
     pub arm: Arm,
     pub choice: Choice,
     pub pace: Pace,
-    /// Times of late over those expected, over the service, at least 1: when
-    /// all endpoints fall behind, what is expected has to follow, or waiting
-    /// requests would be taken for lost ones and sent again on top.
+    /// Usual ratio of actual to expected time over the service, at least 1. When all
+    /// endpoints are late, the expected time has to follow, or waiting requests would
+    /// count as lost and be sent again on top.
     pub slow: f64,
-    /// Units of reading, those of a shared part that is read there first included.
+    /// Units of reading, including the shared part unless it is cached or copied.
     pub units: f64,
-    /// Whom to copy the shared part from.
+    /// Address of the endpoint from which to copy the shared part.
     pub source: Option<SocketAddr>,
 }
 
 impl Weighed {
-    /// Time to the first byte if no endpoint were behind, in milliseconds.
+    /// Returns the expected time to the first byte if no endpoint were late, in milliseconds.
     pub fn alone_ms(&self) -> f64 {
         self.choice.wait_ms.max(0.0) + self.pace.job_ms(self.units)
     }
 
-    /// Time to the first byte that is expected, in milliseconds.
+    /// Returns the expected time to the first byte, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
         self.alone_ms() * self.slow
     }
 }
 
 impl State {
-    /// Weighs the endpoints that may take a job; nothing when none may.
+    /// Selects an endpoint for a job, or returns `None` if none may run it.
     pub(super) fn weigh(&self, job: &Job<'_>, now: Duration, exposure: f64) -> Option<Weighed> {
         let pace = self.fleet.pace(job);
         let settled = || {
@@ -85,7 +85,7 @@
             placement::choose(&candidates, wanted, job.session ^ u64::try_from(now.as_nanos()).unwrap_or(0))?;
         let (key, server) = chosen[choice.index];
         let arm = deal.arm(&server.endpoint.version);
-        // What another version has read means nothing to this one's weights.
+        // A prompt cache of another version does not fit this version's weights.
         let is_same = |index: &usize| chosen[*index].1.endpoint.version == server.endpoint.version;
         choice.source = choice.source.filter(is_same);
         let source = choice.source.map(|index| chosen[index].1.endpoint.address);
@@ -100,20 +100,20 @@
     }
 }
 
-/// Mean of a value over endpoints.
+/// Returns the mean of a value over endpoints.
 pub(super) fn mean(servers: &[(Key, &Server)], value: &dyn Fn(&Server) -> f64) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "endpoints are far fewer than 2^53")]
     let count = servers.len().max(1) as f64;
     servers.iter().map(|(_, server)| value(server)).sum::<f64>() / count
 }
 
-/// Units of reading in a job.
+/// Returns the units of reading in a job after its shared part.
 pub(super) fn job_units(job: &Job<'_>) -> f64 {
     reading(job, job.own_tokens, job.shared_tokens)
 }
 
-/// Units of reading tokens after others: as many as the tokens, times the
-/// model's size, and more the longer the text before each is.
+/// Returns the units of reading `tokens` tokens that follow `after` others: one for each
+/// token, scaled by the model's size and growing with the number of preceding tokens.
 fn reading(job: &Job<'_>, tokens: u32, after: u32) -> f64 {
     if job.model.is_none() {
         return 0.0;
@@ -124,9 +124,9 @@
 }
 
 impl Fleet {
-    /// Endpoints that may take a job: those not tried yet, on the version it is
-    /// to stay on or was dealt; failing that, tried ones; failing that, any
-    /// version but one that must not be met.
+    /// Returns the endpoints that may run a job: untried ones of the version it is to stay
+    /// on, or else of an assigned version; if there are none, tried ones of an assigned
+    /// version; if there are none, any whose version is tolerated.
     fn eligible(&self, job: &Job<'_>, deal: &Deal, now: Duration) -> Vec<(Key, &Server)> {
         let pool = self.awake(job.service, now);
         let among = |wanted: &dyn Fn(&str) -> bool, untried: bool| -> Vec<(Key, &Server)> {
@@ -146,9 +146,9 @@
         found
     }
 
-    /// Endpoints of a service that are not leaving and take a request by the limit
-    /// that they name: those that do not rest after a failure to connect, or all if
-    /// each of them does.
+    /// Returns the endpoints of a service that are not leaving and whose rate limit allows
+    /// a request. Those in backoff after a failed connection are left out, unless all
+    /// of them are.
     pub(super) fn awake(&self, service: &str, now: Duration) -> Vec<(Key, &Server)> {
         let takes = |server: &Server| {
             server.endpoint.service == service && !server.endpoint.draining && server.throttle.takes(now)
@@ -158,7 +158,7 @@
         if awake.is_empty() { all().collect() } else { awake }
     }
 
-    /// How long a job's reading takes, as far as it was learned.
+    /// Returns the learned pace for a job's service and model, or the initial estimate.
     pub(super) fn pace(&self, job: &Job<'_>) -> Pace {
         let work = Work { service: job.service.to_owned(), model: job.model };
         self.paces.get(&work).copied().unwrap_or_else(|| first_guess(job.model))
@@ -166,7 +166,7 @@
 }
 
 impl Job<'_> {
-    /// How its shared part is named in notices.
+    /// Returns the short hash of the job's shared part.
     pub(super) fn part(&self) -> Option<u32> {
         self.affinity.map(part_of)
     }
--- a/crates/relay/src/desk/flight.rs
+++ b/crates/relay/src/desk/flight.rs
@@ -1,31 +1,31 @@
-//! What is under way, counted: requests, and the memory that their bodies take.
+//! Counts of requests in flight and of the memory that their bodies occupy.
 
 use std::sync::Arc;
 
 use super::Desk;
 
 impl Desk {
-    /// Requests that have no complete answer yet.
+    /// Returns the number of requests without a complete answer.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.lock().in_flight
     }
 
-    /// Counts a request until the returned guard is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     #[must_use]
     pub fn enter(self: &Arc<Self>) -> Flight {
         self.lock().in_flight += 1;
         Flight { desk: Arc::clone(self) }
     }
 
-    /// A share of the memory for bodies that is empty yet.
+    /// Returns an empty reservation of the memory for request bodies.
     #[must_use]
     pub fn hold_none(self: &Arc<Self>) -> Held {
         Held { desk: Arc::clone(self), bytes: 0 }
     }
 }
 
-/// A request under way; dropping it counts it out.
+/// A guard that counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct Flight {
     desk: Arc<Desk>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Memory that a body takes; dropping it gives it back.
+/// Memory reserved for a request's body; dropping it releases the memory.
 #[derive(Debug)]
 pub struct Held {
     desk: Arc<Desk>,
@@ -45,7 +45,7 @@
 }
 
 impl Held {
-    /// Takes more, if there is that much left.
+    /// Reserves `bytes` more and returns true, or returns false if the limit would be exceeded.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let mut state = self.desk.lock();
         if state.held + bytes > self.desk.settings.body_memory {
--- a/crates/relay/src/desk/peers.rs
+++ b/crates/relay/src/desk/peers.rs
@@ -1,4 +1,7 @@
-//! Other instances, as their news tells.
+//! Other instances, as reported by their news messages.
+//!
+//! Each instance sends news about itself to the others in rounds. An instance is alive
+//! until it has been silent for too long.
 
 mod audience;
 mod fronts;
@@ -29,92 +32,99 @@
 };
 use crate::{clock, settings::Cores};
 
-/// Pieces of news that must be missing before an instance is believed gone:
-/// one may be lost, and the next one late.
+/// Number of pieces of news that must be missing before an instance counts as gone: one may
+/// be lost, and the next one late.
 const MISSING: u32 = 3;
 
-/// Least silence after which an instance is believed gone.
+/// Minimum silence after which an instance counts as gone.
 const SILENT: Duration = Duration::from_millis(1_100);
 
-/// Silence after which an instance is believed gone in a fleet where a round of news
-/// takes longer: others tell when they last heard it.
+/// Maximum silence after which an instance counts as gone, however long a round of news
+/// takes. In large fleets other instances report when they last received its news.
 const SILENT_TO_ALL: Duration = Duration::from_secs(4);
 
-/// Silence after which nobody looks for an instance any more.
+/// Silence after which an instance is forgotten and no longer sent news.
 const FORGOTTEN: Duration = Duration::from_mins(1);
 
-/// Other instances.
+/// The known other instances and the sums of their loads.
 #[derive(Debug, Default)]
 pub struct Peers {
     /// Hash of this instance's name.
     pub(super) me: u64,
     /// The failure domain of this instance.
     pub(super) domain: String,
+    /// Known instances by name.
     known: BTreeMap<String, Peer>,
     /// Names by their hash in sightings.
     by_hash: HashMap<u32, String>,
-    /// Where instances hear news that were heard for the first time, or again.
+    /// News addresses of instances that became alive, for the first time or again, and were
+    /// not greeted yet.
     greeted: Vec<SocketAddr>,
-    /// Loads of those that count as live.
+    /// Sums of the loads of the instances that count as alive.
     sums: Sums,
-    /// How many count as live.
+    /// Number of instances that count as alive.
     live: usize,
-    /// None of these falls silent before.
+    /// Earliest time at which one of them may count as gone.
     next_silence: Duration,
-    /// Where notices go instead of to all, if the fleet is too large for that.
+    /// Addresses that notices are sent to if the fleet is too large to send them to all.
     relays: Vec<SocketAddr>,
 }
 
+/// Another instance.
 #[derive(Debug)]
 struct Peer {
     /// Hash of its name.
     hash: u64,
+    /// Address at which it receives news.
     news: SocketAddr,
+    /// When this instance first learned of it.
     found: Duration,
+    /// When its news was last received, here or by an instance that reported it.
     heard: Option<Duration>,
-    /// Whether it counts as live; [`Peers::settle`] keeps this in step.
+    /// Whether it counts as alive, as of the last [`Peers::settle`].
     counts: bool,
+    /// Its latest news.
     word: Word,
 }
 
-/// Where an instance stands between its start and its end.
+/// Phase of an instance's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Phase {
     /// It cannot serve callers yet.
     #[default]
     Starting,
-    /// Callers should come to it.
+    /// It serves callers.
     Ready,
-    /// It is about to end.
+    /// It is about to exit.
     Leaving,
 }
 
-/// What an instance says of itself.
+/// Status of an instance, as it reports it in its news.
 #[derive(Debug, Clone, Default)]
 pub struct Word {
-    /// Where callers reach it.
+    /// Address at which it serves callers.
     pub front: Option<SocketAddr>,
-    /// Its start; a later one replaces what an earlier one said.
+    /// Identifies its start; the status of a later start replaces that of an earlier one.
     pub run: u64,
-    /// Where it stands between its start and its end.
+    /// Phase of its life.
     pub phase: Phase,
-    /// Whether its knowledge of access keys is fresh.
+    /// Whether its access keys are fresh enough to serve requests.
     pub fresh: bool,
-    /// Failure domain it stands in.
+    /// Its failure domain.
     pub domain: String,
     /// Whether its own calls to the store succeed.
     pub in_touch: bool,
-    /// Whether the catalog takes long to come in there.
+    /// Whether its link is slow, so that reading the catalog takes long.
     pub is_narrow: bool,
-    /// Processor it has.
+    /// Number of processor cores that it has.
     pub cores: Cores,
-    /// Longest time until its next piece of news.
+    /// Maximum time until its next piece of news.
     pub pause: Duration,
-    /// Loads it puts on endpoints, by the hash of their names.
+    /// Its load on endpoints, by the hash of the endpoint's start.
     pub loads: HashMap<u32, Load>,
-    /// Sessions that were on an old version there a moment ago.
+    /// Sessions that recently ran on an old version there.
     pub sessions: Vec<u64>,
-    /// Roll-outs as it knows them.
+    /// Its state of the roll-outs.
     pub reports: Vec<Report>,
     /// Version of its catalog; 0 before it has one.
     pub catalog: u64,
@@ -127,10 +137,10 @@
 }
 
 impl Peers {
-    /// Lets instances that have fallen silent count no longer.
+    /// Marks instances that have been silent for too long as gone, and removes their loads.
     ///
-    /// Looks at all of them only when one may have: a word moves its instance's
-    /// own silence on, so that comes about once a round of news.
+    /// Examines all instances only when one may have become silent. Each piece of news
+    /// extends the time of its instance, so that happens about once in a round of news.
     fn settle(&mut self, now: Duration) {
         if now < self.next_silence {
             return;
@@ -147,19 +157,19 @@
         }
     }
 
-    /// Takes an instance's word in.
+    /// Applies the status that an instance reports.
     fn take(&mut self, name: &str, word: Word, now: Duration) {
         self.settle(now);
         let Some(peer) = self.known.get_mut(name) else { return };
-        // A start that looks older counts once the one before it is silent: the clock
-        // that tells them apart may have been set back.
+        // A start that looks older is accepted once the known one counts as gone: the
+        // clock that orders them may have been set back.
         if peer.counts && word.run < peer.word.run {
             return;
         }
         if peer.counts {
             self.sums.take_away(&peer.word.loads);
         } else {
-            tracing::info!(instance = name, "instance heard again");
+            tracing::info!(instance = name, "instance alive");
             self.greeted.push(peer.news);
             peer.counts = true;
             self.live += 1;
@@ -170,8 +180,8 @@
         self.next_silence = self.next_silence.min(peer.silent_at());
     }
 
-    /// Forgets instances that have been silent for long. They do not count any more,
-    /// so nothing has to be taken away.
+    /// Forgets instances that have been silent for long. They no longer count as alive, so
+    /// their loads are not in the sums.
     fn forget_long_gone(&mut self, now: Duration) {
         let before = self.known.len();
         self.known.retain(|_, peer| peer.counts || now < peer.heard.unwrap_or(peer.found) + FORGOTTEN);
@@ -180,7 +190,7 @@
         }
     }
 
-    /// Forgets an instance.
+    /// Forgets an instance and removes its load.
     fn forget(&mut self, name: &str) {
         let Some(peer) = self.known.remove(name) else { return };
         self.by_hash.remove(&short_hash(name));
@@ -190,21 +200,21 @@
         }
     }
 
-    /// Load that live instances put on an endpoint, as of the last word or look.
+    /// Returns the load of live instances on an endpoint, as of the last news or [`Peers::settle`].
     pub(super) fn load(&self, endpoint: u32) -> Load {
         self.sums.of(endpoint)
     }
 
-    /// Hashes of the names of the other instances that serve callers.
+    /// Returns the hashes of the names of the other instances that serve callers.
     pub(super) fn serving(&self, now: Duration) -> impl Iterator<Item = u64> {
         self.known.values().filter(move |peer| peer.live(now) && peer.word.ready()).map(|peer| peer.hash)
     }
 
-    /// Live instances that may watch the store: those whose own calls to it
-    /// succeed, or any.
+    /// Returns the live instances that may watch the store: all, or with `in_touch` only
+    /// those whose own calls to it succeed.
     pub(super) fn watchers(&self, now: Duration, in_touch: bool) -> impl Iterator<Item = Watcher> {
-        // Not only ready ones: before an operator has written the first catalog
-        // none is, and each of a whole fleet would watch the store by itself.
+        // Not only ready ones: before an operator has written the first catalog no
+        // instance is ready, and each of a whole fleet would watch the store itself.
         let able = move |peer: &&Peer| {
             peer.live(now) && peer.word.phase != Phase::Leaving && (peer.word.in_touch || !in_touch)
         };
@@ -215,13 +225,13 @@
         })
     }
 
-    /// Whether a session was on an old version at another instance a moment ago.
+    /// Whether a session ran on an old version at another instance within `lasts`.
     pub(super) fn settled(&self, session: u64, now: Duration, lasts: Duration) -> bool {
         let told = |peer: &Peer| peer.heard.is_some_and(|heard| now < heard + lasts);
         self.known.values().any(|peer| told(peer) && peer.word.sessions.contains(&session))
     }
 
-    /// What instances, gone ones too, say of a roll-out.
+    /// Returns the reports of other instances, including gone ones, about a roll-out.
     pub(super) fn reports(&self, order: u32) -> impl Iterator<Item = &Report> {
         self.known.values().flat_map(|peer| &peer.word.reports).filter(move |report| report.order == order)
     }
@@ -232,7 +242,7 @@
         now < self.silent_at()
     }
 
-    /// When it counts as gone unless it is heard before.
+    /// Returns the time at which it counts as gone unless it is heard from before.
     fn silent_at(&self) -> Duration {
         let silent = SILENT.max((self.word.pause * MISSING).min(SILENT_TO_ALL));
         self.heard.map_or(Duration::ZERO, |heard| heard + silent)
@@ -240,8 +250,8 @@
 }
 
 impl State {
-    /// Brings loads of other instances in step with what was heard and who has
-    /// fallen silent; the number of those that live.
+    /// Updates the endpoints' loads from other instances by their news and their silence.
+    /// Returns the number of other instances that are alive.
     pub(super) fn settle_peers(&mut self, now: Duration) -> usize {
         self.peers.settle(now);
         for endpoint in self.peers.sums.take_changed() {
@@ -252,14 +262,14 @@
 }
 
 impl Desk {
-    /// Notes who this instance is among its peers, and its failure domain.
+    /// Sets this instance's own identity and failure domain among its peers.
     pub fn settle_in(&self) {
         let peers = &mut self.lock().peers;
         peers.me = hash::stable(self.settings.instance.as_bytes());
         peers.domain.clone_from(&self.settings.domain);
     }
 
-    /// Notes where an instance hears news.
+    /// Records an instance and the address at which it receives news.
     pub fn meet(&self, name: &str, news: SocketAddr) {
         if name == self.settings.instance || news == self.settings.listeners.news {
             return;
@@ -269,14 +279,14 @@
         let Peers { known, by_hash, .. } = &mut state.peers;
         let peer = known.entry(name.to_owned()).or_insert_with(|| {
             by_hash.insert(short_hash(name), name.to_owned());
-            tracing::info!(instance = name, %news, "instance found");
+            tracing::info!(instance = name, %news, "instance discovered");
             let hash = hash::stable(name.as_bytes());
             Peer { hash, news, found: now, heard: None, counts: false, word: Word::default() }
         });
         peer.news = news;
     }
 
-    /// Takes an instance's word in.
+    /// Applies the status that an instance reports in its news.
     pub fn hear(&self, name: &str, news: SocketAddr, word: Word) {
         self.meet(name, news);
         let now = clock::now();
@@ -289,9 +299,9 @@
         }
         drop(state);
         self.note_teller(news, catalog);
-        // The instance that keeps this one in step may itself be cut off from
-        // the store and not know it yet: it goes on to prove an old catalog,
-        // for seconds. Any other that has a newer one shows that by its news.
+        // The instance that this one synchronizes with may itself be cut off from the
+        // store without noticing yet, and prove an old catalog for seconds. The news of any
+        // other instance with a newer catalog reveals that.
         self.note_newer(catalog);
     }
 
@@ -300,15 +310,15 @@
         self.lock().peers.forget(name);
     }
 
-    /// Whether another instance's knowledge of access keys is fresh.
+    /// Whether another live and ready instance has fresh access keys.
     #[must_use]
     pub fn fresh_elsewhere(&self) -> bool {
         let now = clock::now();
         self.lock().peers.known.values().any(|peer| peer.live(now) && peer.word.fresh && peer.word.ready())
     }
 
-    /// Whether this instance's name comes first among the live and ready ones
-    /// that are in touch with the store.
+    /// Whether this instance's name sorts before those of all other live and ready
+    /// instances with fresh access keys.
     #[must_use]
     pub fn leads(&self) -> bool {
         let now = clock::now();
@@ -318,7 +328,7 @@
         others.all(|(name, _)| *name > self.settings.instance)
     }
 
-    /// Takes an instance's evidence on roll-outs in, ahead of its news.
+    /// Applies an instance's roll-out reports, which are sent ahead of its news.
     pub fn take_reports(&self, name: u32, reports: Vec<Report>) {
         let Peers { known, by_hash, .. } = &mut self.lock().peers;
         if let Some(peer) = by_hash.get(&name).and_then(|name| known.get_mut(name)) {
--- a/crates/relay/src/desk/peers/audience.rs
+++ b/crates/relay/src/desk/peers/audience.rs
@@ -1,4 +1,5 @@
-//! Who is told of what: news in turn, and long prompts at once.
+//! Selects the recipients of messages: news goes to instances in turn, notices of long
+//! prompts go out at once.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -8,53 +9,56 @@
 use super::{Peer, Peers, Phase};
 use crate::{clock, desk::Desk, settings::Cores};
 
-/// Time in which an instance that was found and is not heard yet is told with
-/// each piece of news. Instances that live answer within two pieces; what the
-/// store still lists of others is not worth more.
+/// Time for which a newly discovered instance that has not sent news yet receives every
+/// piece of news. Live instances answer within two pieces; others are stale
+/// entries of the store.
 const GREETED: Duration = Duration::from_secs(2);
 
-/// Other instances up to which each is told everything directly. With more, relays
-/// pass notices of long prompts on, a tenth of the datagrams for a batch's delay, and
-/// other failure domains hear only what does not age within a round of news.
+/// Number of other instances up to which all are sent everything directly. With more, relays
+/// forward notices of long prompts, which takes a tenth of the datagrams at the cost of
+/// a batch's delay, and other failure domains receive only news that does not become
+/// outdated within a round.
 const TOLD_DIRECTLY: usize = 96;
 
-/// Where the next pieces of news go.
+/// Recipients of the next pieces of news.
 #[derive(Debug, Clone, Default)]
 pub struct Turn {
-    /// All instances in turn; in a large fleet, those of the own failure domain.
+    /// Recipients among all instances; in a large fleet, among those of the own failure domain.
     pub near: Part,
-    /// In a large fleet the others. What they hear of loads would be old before they
-    /// hear it again, and bytes between failure domains are paid for.
+    /// Recipients among the other instances of a large fleet. They receive no loads, which
+    /// would be outdated long before the next update, and bytes between failure domains
+    /// are billed.
     pub far: Part,
 }
 
-/// Some of many instances.
+/// A part of a set of instances, for one turn.
 #[derive(Debug, Clone, Default)]
 pub struct Part {
-    /// Where they hear news.
+    /// Their news addresses.
     pub news: Vec<SocketAddr>,
-    /// Turns until all of the many have had one.
+    /// Number of turns until all instances of the set have been recipients once.
     pub rounds: usize,
 }
 
 impl Part {
+    /// Selects the recipients of a turn, at most `most`.
     fn of<'a>(peers: impl Iterator<Item = &'a Peer> + Clone, turn: usize, most: usize) -> Self {
         let rounds = peers.clone().count().div_ceil(most).max(1);
         Self { news: peers.skip(turn % rounds).step_by(rounds).map(|peer| peer.news).collect(), rounds }
     }
 }
 
-/// Whom to tell of a long prompt.
+/// Recipients of a notice of a long prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Audience {
-    /// Every instance.
+    /// Every live instance.
     All(Vec<SocketAddr>),
-    /// One instance a failure domain, which tells its neighbours; this one may be
-    /// among them.
+    /// One instance for each failure domain, which forwards the notice to the others there.
+    /// This instance may be among them.
     Relays(Vec<SocketAddr>),
 }
 
-/// An instance that may pass notices on in its failure domain; the largest does.
+/// An instance that may forward notices in its failure domain; the greatest one does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Relay {
     cores: Cores,
@@ -63,13 +67,14 @@
 }
 
 impl Peers {
-    /// Instances that a notice goes to: all that live, or a relay a failure domain.
+    /// Returns the number of instances that a notice is sent to: all live ones, or one relay
+    /// for each failure domain.
     pub(in crate::desk) fn fanout(&self) -> usize {
         if self.relays.is_empty() { self.live } else { self.relays.len() }
     }
 
-    /// Chooses the relays anew, from this instance and those that live: in each
-    /// failure domain the one with the most processor.
+    /// Chooses the relays from this instance and the live ones: in each failure domain the
+    /// one with the most processor cores.
     fn choose_relays(&mut self, me: Relay, now: Duration) {
         self.relays.clear();
         if self.live <= TOLD_DIRECTLY {
@@ -87,7 +92,7 @@
 }
 
 impl Desk {
-    /// Whom to tell of a long prompt.
+    /// Returns the recipients of a notice of a long prompt.
     #[must_use]
     pub fn notice_audience(&self) -> Audience {
         let now = clock::now();
@@ -98,7 +103,7 @@
         Audience::All(state.peers.known.values().filter(|peer| peer.live(now)).map(|peer| peer.news).collect())
     }
 
-    /// Live instances of this one's failure domain.
+    /// Returns the news addresses of the live instances in this one's failure domain.
     #[must_use]
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         let now = clock::now();
@@ -107,23 +112,24 @@
         state.peers.known.values().filter(near).map(|peer| peer.news).collect()
     }
 
-    /// Waits until an instance is heard for the first time, or again.
+    /// Waits until an instance becomes alive, for the first time or again.
     pub async fn greetings(&self) {
         self.greeting.notified().await;
     }
 
-    /// Where those instances hear news.
+    /// Takes the news addresses of the instances that became alive since the last call.
     #[must_use]
     pub fn greeted(&self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.lock().peers.greeted)
     }
 
-    /// Where news has to go besides its round: to instances that were heard for
-    /// the first time or again, and to those that were found and never heard.
+    /// Takes the addresses that must receive news in addition to the round: instances that
+    /// became alive, for the first time or again, and newly discovered ones that have
+    /// not sent news yet.
     ///
-    /// When a fleet of 74 starts, each hears of the others in part only, and a
-    /// round takes 1.25 s: after two seconds most had not met those that should
-    /// keep them in step, and watched the store by themselves.
+    /// When a fleet of 74 starts, each instance learns of only some of the others, and a
+    /// round takes 1.25 s. With rounds alone, after two seconds most instances did not
+    /// know those that watch the store for them, and watched it themselves.
     #[must_use]
     pub fn strangers(&self) -> Vec<SocketAddr> {
         let now = clock::now();
@@ -134,8 +140,8 @@
         strangers
     }
 
-    /// Where to send the next pieces of news, at most so many: to parts of the known
-    /// instances that move on with each turn.
+    /// Returns the recipients of the next pieces of news, at most `most`: parts of the known
+    /// instances that change with each turn.
     #[must_use]
     pub fn audience(&self, turn: usize, most: usize) -> Turn {
         let now = clock::now();
@@ -156,7 +162,7 @@
         Turn { near, far }
     }
 
-    /// Some instances drawn at random, each with where it hears news.
+    /// Returns up to `most` instances drawn at random, each with its news address.
     #[must_use]
     pub fn some_peers(&self, most: usize) -> Vec<(String, SocketAddr)> {
         let state = self.lock();
--- a/crates/relay/src/desk/peers/fronts.rs
+++ b/crates/relay/src/desk/peers/fronts.rs
@@ -1,4 +1,4 @@
-//! Which instances a caller is told of.
+//! Selects the instances whose addresses a caller receives.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -8,15 +8,15 @@
 use super::Peer;
 use crate::{clock, desk::Desk};
 
-/// Most addresses in an answer to callers.
+/// Maximum number of addresses in an answer to a caller.
 const MOST_ADDRESSES: usize = 64;
 
-/// Who asks where to go.
+/// A caller that asks for the addresses of instances.
 #[derive(Debug, Clone, Default)]
 pub struct Asking {
-    /// Its failure domain, if it says.
+    /// Its failure domain, if it states one.
     pub domain: Option<String>,
-    /// Where it asks from.
+    /// IP address from which it asks.
     pub from: Option<IpAddr>,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// An instance that callers may be told of.
+/// An instance whose address callers may receive.
 struct Front<'a> {
     address: SocketAddr,
     is_fresh: bool,
@@ -38,6 +38,7 @@
 }
 
 impl<'a> Front<'a> {
+    /// Returns `None` if the instance has not reported an address for callers.
     fn of(peer: &'a Peer) -> Option<Self> {
         let candidate = fronts::Candidate { hash: peer.hash, domain: &peer.word.domain, cores: peer.word.cores.get() };
         Some(Self { address: peer.word.front?, is_fresh: peer.word.fresh, is_in_touch: peer.word.in_touch, candidate })
@@ -45,9 +46,9 @@
 }
 
 impl Desk {
-    /// Where a caller may go: instances that say they are ready, those with fresh
-    /// keys if there are any, and this one if nothing better is known; of many,
-    /// those that [`fronts::choose`] picks for the caller.
+    /// Returns the addresses that a caller may use: those of ready instances, this one
+    /// included, restricted to instances with fresh access keys if there are any. If there
+    /// are too many, [`fronts::choose`] selects among them for the caller.
     #[must_use]
     pub fn fronts(&self, asking: &Asking) -> Vec<SocketAddr> {
         let now = clock::now();
@@ -76,9 +77,9 @@
         if all.iter().any(|front| front.is_fresh) {
             all.retain(|front| front.is_fresh);
         }
-        // An instance that has lost the store lives on what others prove to it, and is
-        // the first to refuse access keys when they cannot; with many such, the others
-        // could not bear their callers as well.
+        // An instance that has lost the store depends on the proofs of others, and is the
+        // first to refuse access keys when they fail. If most instances are in that
+        // state, the rest could not serve their callers too.
         let in_touch = all.iter().filter(|front| front.is_in_touch).count();
         if in_touch * 2 >= all.len() {
             all.retain(|front| front.is_in_touch);
--- a/crates/relay/src/desk/peers/sightings.rs
+++ b/crates/relay/src/desk/peers/sightings.rs
@@ -1,8 +1,9 @@
-//! When other instances were heard, as they tell each other.
+//! Reports of when other instances were last heard from, exchanged between instances.
 //!
-//! A round of news takes seconds in a fleet of hundreds, so its own silence says
-//! little of an instance. Each tells the others when it last heard some; what is told
-//! on ages on the way, so that word of a lost instance keeps nobody alive for long.
+//! A round of news takes seconds in a fleet of hundreds, so an instance's own silence
+//! says little about it. Each instance therefore reports when it last received news from
+//! some others. A report carries its age when it is forwarded, so it does not keep a lost
+//! instance alive for long.
 
 use std::time::Duration;
 
@@ -14,27 +15,27 @@
     desk::{Desk, fleet::short_hash},
 };
 
-/// Age up to which others are told when an instance was heard.
+/// Age up to which sightings are sent to others.
 const HEARD_LATELY: Duration = Duration::from_millis(2_500);
 
-/// When an instance was heard.
+/// Reports when an instance was last heard from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sighting {
     /// Hash of its name.
     pub name: u32,
     /// How long ago that was.
     pub age: Duration,
-    /// Whether it has said that it leaves.
+    /// Whether it has announced that it leaves.
     pub leaves: bool,
 }
 
 impl Peers {
-    /// Takes in when another instance has heard one: that keeps it alive here as
-    /// well, and tells of its leaving, but replaces nothing of its word.
+    /// Applies a sighting by another instance. It extends the life of the seen instance and
+    /// reports its leaving, but changes nothing else of its status.
     pub(super) fn take_sighting(&mut self, sighting: Sighting, now: Duration) {
         let Some(peer) = self.by_hash.get(&sighting.name).and_then(|name| self.known.get_mut(name)) else { return };
         let at = now.saturating_sub(sighting.age);
-        // One that was never heard, or not of late, has to say itself what it is.
+        // An instance that does not count as alive has to report its status itself.
         if !peer.counts || peer.heard.is_none_or(|heard| at <= heard) {
             return;
         }
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Instances drawn at random of those heard of late.
+    /// Returns up to `most` recent sightings, drawn at random.
     fn sightings(&self, most: usize, now: Duration) -> Vec<Sighting> {
         let lately = |(name, peer): (&String, &Peer)| {
             let age = now.saturating_sub(peer.heard?);
@@ -56,7 +57,7 @@
 }
 
 impl Desk {
-    /// Takes in when another instance has heard others.
+    /// Applies sightings by another instance.
     pub fn take_sightings(&self, sightings: impl IntoIterator<Item = Sighting>) {
         let now = clock::now();
         let mut state = self.lock();
@@ -65,7 +66,7 @@
         }
     }
 
-    /// When some instances were heard, for news.
+    /// Returns up to `most` recent sightings, drawn at random, to send with news.
     #[must_use]
     pub fn sightings(&self, most: usize) -> Vec<Sighting> {
         self.lock().peers.sightings(most, clock::now())
--- a/crates/relay/src/desk/peers/sums.rs
+++ b/crates/relay/src/desk/peers/sums.rs
@@ -1,34 +1,35 @@
-//! Loads of all live instances, summed up by endpoint.
+//! Sums of the loads of all live instances, by endpoint.
 //!
-//! Kept in step by difference: a word replaces the one before it, so its cost is
-//! what the two carry and does not grow with instances or endpoints. Loads in
-//! news are whole numbers, so adding and taking away again is exact.
+//! Sums are updated incrementally: news replaces the instance's earlier loads, so the cost
+//! depends on the loads in the two messages and not on the number of instances or endpoints.
+//! Loads in news are whole numbers, so adding and subtracting them is exact.
 
 use std::collections::HashMap;
 
 use crate::desk::fleet::Load;
 
-/// Sums by the hash of the endpoint's name.
+/// Sums by the hash of the endpoint's start.
 #[derive(Debug, Default)]
 pub(super) struct Sums {
     sums: HashMap<u32, Sum>,
+    /// Endpoints whose sums may have changed since the last [`Sums::take_changed`].
     changed: Vec<u32>,
 }
 
 #[derive(Debug, Default)]
 struct Sum {
-    /// Instances that contribute.
+    /// Number of instances that contribute.
     instances: u32,
     load: Load,
 }
 
 impl Sums {
-    /// What all live instances put on an endpoint.
+    /// Returns the load of all live instances on an endpoint.
     pub(super) fn of(&self, endpoint: u32) -> Load {
         self.sums.get(&endpoint).map(|sum| sum.load).unwrap_or_default()
     }
 
-    /// Adds what an instance puts on endpoints.
+    /// Adds an instance's loads.
     pub(super) fn add(&mut self, loads: &HashMap<u32, Load>) {
         for (endpoint, load) in loads {
             let sum = self.sums.entry(*endpoint).or_default();
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Takes away what was added of an instance.
+    /// Subtracts an instance's loads that were added before.
     pub(super) fn take_away(&mut self, loads: &HashMap<u32, Load>) {
         for (endpoint, load) in loads {
             let Some(sum) = self.sums.get_mut(endpoint) else { continue };
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Endpoints whose sums may have changed since the last call.
+    /// Returns the endpoints whose sums may have changed since the last call.
     pub(super) fn take_changed(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.changed)
     }
--- a/crates/relay/src/desk/peers/tests.rs
+++ b/crates/relay/src/desk/peers/tests.rs
@@ -1,4 +1,4 @@
-//! Loads of other instances, kept in step with who lives.
+//! Tests of which instances count as alive and of the sums of their loads.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -10,7 +10,7 @@
 const INSTANCES: u32 = 6;
 const ENDPOINTS: u32 = 5;
 
-/// What happens to an instance's peers.
+/// An event among the peers of an instance.
 #[derive(Debug, Clone)]
 enum Event {
     Heard { instance: u32, run: u64, loads: Vec<(u32, u16)> },
@@ -44,7 +44,7 @@
     Word { run, pause: Duration::from_millis(250), loads, ..Word::default() }
 }
 
-/// The sum over all that live, from scratch.
+/// Sums the loads of all live instances on an endpoint from scratch.
 fn summed(peers: &Peers, endpoint: u32, now: Duration) -> Load {
     let live = peers.known.values().filter(|peer| peer.live(now));
     let loads = live.filter_map(|peer| peer.word.loads.get(&endpoint));
@@ -55,8 +55,8 @@
 }
 
 proptest! {
-    /// Loads of an instance that fell silent, left or started again stayed on
-    /// its endpoints, or were taken off them twice.
+    /// Guards against loads of an instance that became silent, left or restarted being kept
+    /// in the sums or subtracted twice.
     #[test]
     fn sums_are_those_of_who_lives(events in prop::collection::vec(event(), 1..80)) {
         let (mut peers, mut now) = (Peers::default(), Duration::from_secs(9));
@@ -75,8 +75,8 @@
     }
 }
 
-/// Each piece of news was summed up over all instances and endpoints: nine tenths
-/// of the processor time of 295 instances.
+/// Guards against summing over all instances and endpoints for each piece of news, which
+/// took nine tenths of the processor time of 295 instances.
 #[test]
 fn a_piece_costs_what_it_carries() {
     let mut peers = Peers::default();
@@ -95,7 +95,7 @@
     Duration::from_millis(10_000 + ms)
 }
 
-/// Fleet of one that was heard at the beginning, in rounds of so many milliseconds.
+/// Returns peers with one instance that sent news at the start, in rounds of `pause_ms`.
 fn heard(pause_ms: u64) -> Peers {
     let mut peers = Peers::default();
     hear(&mut peers, 0, Word { pause: Duration::from_millis(pause_ms), ..word(1, &[(1, 5)]) }, at(0));
@@ -107,8 +107,8 @@
     Sighting { name: short_hash("i0"), age: Duration::from_millis(age_ms), leaves }
 }
 
-/// Rounds of news took five seconds, so callers were sent to an instance that had
-/// been gone for fourteen.
+/// Guards against waiting for three missed rounds in a large fleet: with rounds of five
+/// seconds, callers were sent to an instance that had been gone for fourteen.
 #[test]
 fn silent_instance_of_a_large_fleet_is_gone_within_seconds() {
     let mut peers = heard(4_750);
@@ -118,7 +118,7 @@
     assert_eq!((peers.live, peers.load(1)), (0, Load::default()));
 }
 
-/// An instance is not heard here between two rounds; others hear it.
+/// An instance that sends no news here between two rounds stays alive by others' sightings.
 #[test]
 fn instance_that_others_hear_is_not_gone() {
     let mut peers = heard(4_750);
@@ -129,8 +129,7 @@
     assert_eq!(peers.live, 0);
 }
 
-/// Word of when a lost instance was heard goes round for seconds: it must not come
-/// back to life by it.
+/// Sightings of a lost instance circulate for seconds and must not make it alive again.
 #[test]
 fn old_sighting_keeps_nobody_alive() {
     let mut peers = heard(250);
@@ -141,7 +140,7 @@
     assert_eq!(peers.live, 0);
 }
 
-/// Callers were sent to an instance that leaves until its own news came round.
+/// Guards against sending callers to a leaving instance until its own next news arrives.
 #[test]
 fn leaving_is_told_by_others() {
     let mut peers = heard(4_750);
@@ -149,8 +148,8 @@
     assert_eq!(peers.known["i0"].word.phase, Phase::Leaving);
 }
 
-/// An instance lost power, and the clock of its machine began anew: what the others
-/// heard of it looked older than its start before, for good.
+/// Guards against ignoring an instance for good if its machine's clock is reset by a loss of
+/// power, so that its new start looks older than the one before.
 #[test]
 fn start_that_looks_older_is_heard_once_the_other_is_silent() {
     let mut peers = heard(250);
--- a/crates/relay/src/desk/track.rs
+++ b/crates/relay/src/desk/track.rs
@@ -1,12 +1,12 @@
-//! Keeping in step through another instance in place of the store.
+//! Synchronization through another instance instead of the store.
 //!
-//! Each call to the store is paid for, and its rates grow more slowly than the
-//! fleet. So a few instances watch the store, and the others ask one of those:
-//! they say up to which revision they know the endpoints, and hear what has
-//! changed since, which catalog is in force, and how old the proof of that is.
-//! The proof counts from when the question was sent, so that a delay on the
-//! way only makes it look older. What does not fit, or is no longer kept, is
-//! read from the store; so is everything while nobody answers.
+//! Each call to the store is billed, and its rate limits grow more slowly than the fleet.
+//! So only a few instances watch the store, and the others send questions to one of
+//! those. A question states up to which revision the asking instance knows the endpoints.
+//! The reply contains the changes since, the version of the catalog in force, and the age
+//! of the proof that it is. That age counts from when the question was sent, so a delay
+//! on the way only makes the proof look older. Changes that do not fit or are no longer
+//! kept are read from the store, and so is everything while nobody replies.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -20,28 +20,28 @@
 use super::{Desk, Known};
 use crate::{clock, rollout::Rollout, source::Endpoint};
 
-/// Silence of the store from which the instance that tells of it is doubted: while
-/// it is in touch, each 0.95 s some of an answer about the catalog comes in.
+/// Silence of the store above which a reply is doubtful. An instance in touch with the store
+/// receives a part of an answer about the catalog every 0.95 s.
 ///
-/// Not the age of its proof: that grows with the catalog's length, though nothing
-/// is amiss. Doubted for that, instances with narrow links were left by all
-/// others, which then read the catalog themselves, until every link was full.
+/// The age of the proof is no criterion, since it grows with the catalog's length even if
+/// nothing is wrong. When it was one, instances abandoned watchers with narrow links and
+/// read the catalog themselves, until every link was saturated.
 const SILENT_TOO_LONG: Duration = Duration::from_millis(1_400);
 
-/// Doubtful replies in a row after which an instance watches the store itself;
-/// the second comes from another instance than the first.
+/// Number of doubtful replies in a row after which an instance watches the store itself; the
+/// second comes from another instance than the first.
 ///
-/// Those that watch the store may be cut off from it together, and go on to
-/// prove the catalog that they had. They notice after 1.5 s, and it takes as long
-/// until others have taken their place and told of a new catalog: whoever waited for
-/// that served by the old one for longer than operators allow.
+/// All watchers may be cut off from the store together, and continue to prove their last
+/// catalog. They notice after 1.5 s, and it takes as long again until others have replaced
+/// them and announced a new catalog. Instances that waited for that served with
+/// the old catalog for longer than operators allow.
 const MOST_DOUBTS: u32 = 2;
 
-/// Instances remembered that have a newer catalog: several, so that those which ask
-/// for it do not all ask the same one.
+/// Maximum number of remembered instances with a newer catalog: several, so that not all
+/// instances ask the same one for it.
 const MOST_TELLERS: usize = 8;
 
-/// Changes kept for those who are behind; a roll-out's worth.
+/// Maximum number of changes kept for instances that are behind, enough for a roll-out.
 const KEPT: usize = 256;
 
 /// A change to an endpoint.
@@ -53,60 +53,65 @@
     Gone(String),
 }
 
-/// How far this instance is in step.
+/// State of the synchronization of this instance.
 #[derive(Debug, Default)]
 pub struct Track {
+    /// Revision up to which the endpoints are known; 0 before they were listed.
     pub(super) revision: u64,
+    /// Revision since which all changes are kept.
     from: u64,
+    /// Latest changes, each with the revision that contains it.
     kept: VecDeque<(u64, Change)>,
+    /// When the last reply without doubts was received.
     pub(super) answered: Option<Duration>,
-    /// Replies in a row of instances that seem to have lost the store.
+    /// Number of replies in a row from instances that seem to have lost the store.
     pub(super) doubts: u32,
-    /// Whether such replies ended this instance's being kept in step, and neither
-    /// others nor its own calls have shown since that the store is there.
+    /// Whether such replies ended the synchronization, and neither other instances nor own
+    /// calls have shown since that the store is reachable.
     pub(super) doubts_store: bool,
+    /// Whether all roll-outs have been listed.
     orders_known: bool,
-    /// Newer catalogs that any instance has told of.
+    /// Newer catalogs that other instances have announced.
     pub(super) succession: Succession,
-    /// Instances that have told of newer catalogs, with the versions.
+    /// Instances that have announced newer catalogs, with the versions.
     tellers: VecDeque<(SocketAddr, u64)>,
 }
 
-/// What an instance that is behind asks.
+/// Question of an instance to a watcher of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Question {
     /// Revision up to which it knows the endpoints.
     pub revision: u64,
 }
 
-/// What it hears.
+/// Reply to a [`Question`].
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Version of the catalog in force; 0 before the first.
+    /// Version of the catalog in force; 0 before the first one.
     pub catalog: u64,
-    /// Age of the proof that it is.
+    /// Age of the proof that this catalog is in force.
     pub proof_age: Duration,
-    /// Time since the store last answered the instance that replies.
+    /// Time since the replying instance last received an answer of the store.
     pub silence: Duration,
-    /// Revision that the changes lead to; the asked one if they are no longer
+    /// Revision that the changes lead to; the one of the question if the changes are no longer
     /// kept.
     pub revision: u64,
-    /// Whether the endpoints have to be read from the store.
+    /// Whether changes are missing, so that the endpoints must be read from the store.
     pub gap: bool,
-    /// Changes since, oldest first.
+    /// Changes since the revision of the question, oldest first.
     pub changes: Vec<Change>,
-    /// Every roll-out ordered.
+    /// All ordered roll-outs.
     pub orders: Vec<Rollout>,
 }
 
 impl Track {
-    /// An instance that knows nothing; `replace` bounds how long it may serve by a
-    /// catalog that was replaced.
+    /// Creates the state of an instance that is not synchronized yet. `replace` limits how
+    /// long it may serve with a catalog that was replaced.
     pub(super) fn new(replace: Option<Duration>) -> Self {
         Self { succession: Succession::new(replace), ..Self::default() }
     }
 
-    /// Notes a whole listing of endpoints.
+    /// Records a complete listing of endpoints.
     fn listed(&mut self, revision: u64) {
         if revision >= self.revision {
             self.revision = revision;
@@ -115,7 +120,7 @@
         }
     }
 
-    /// Notes changes up to a revision.
+    /// Records changes up to a revision.
     fn changed(&mut self, revision: u64, changes: impl IntoIterator<Item = Change>) {
         if revision <= self.revision {
             return;
@@ -129,11 +134,11 @@
         }
     }
 
-    /// The first changes after a revision and the revision they lead to;
-    /// nothing if they are not all kept.
+    /// Returns the first changes after a revision and the revision that they lead to, or
+    /// `None` if not all of them are kept.
     ///
-    /// At most about `most`: of those that belong to one revision all are
-    /// told, or a question from that revision on would miss the rest.
+    /// Returns about `most` changes: the changes of one revision stay together, or a
+    /// question from that revision on would miss the rest.
     fn since(&self, revision: u64, most: usize) -> Option<(u64, Vec<Change>)> {
         if revision < self.from {
             return None;
@@ -152,18 +157,18 @@
 }
 
 impl Desk {
-    /// Notes a whole listing of endpoints from the store.
+    /// Records a complete listing of endpoints from the store.
     pub fn note_listing(&self, revision: u64) {
         self.lock().track.listed(revision);
     }
 
-    /// Notes changes to endpoints from the store.
+    /// Records changes to endpoints from the store.
     pub fn note_changes(&self, revision: u64, changes: Vec<Change>) {
         self.lock().track.changed(revision, changes);
     }
 
-    /// How the known endpoints differ from a listing, but for those in `kept`
-    /// that it lacks.
+    /// Returns the changes from the known endpoints to a listing. Endpoints in `kept` do not
+    /// count as gone if the listing lacks them.
     #[must_use]
     pub fn differences(&self, listed: &[&Endpoint], kept: &[&str]) -> Vec<Change> {
         let known = self.known_endpoints();
@@ -175,43 +180,44 @@
         gone.chain(new).collect()
     }
 
-    /// Notes that all roll-outs have been listed.
+    /// Records that all roll-outs have been listed.
     pub fn note_orders(&self) {
         self.lock().track.orders_known = true;
     }
 
-    /// Whether the store may be lost, as far as others have shown.
+    /// Whether the store may be unreachable, according to the replies of other instances.
     #[must_use]
     pub fn doubts_store(&self) -> bool {
         self.lock().track.doubts_store
     }
 
-    /// Revision up to which endpoints are known.
+    /// Returns the revision up to which the endpoints are known.
     #[must_use]
     pub fn endpoints_revision(&self) -> u64 {
         self.lock().track.revision
     }
 
-    /// Notes whether the catalog takes long to come in here.
+    /// Records whether this instance's link is slow, so that reading the catalog takes long.
     pub fn note_narrow(&self, is_narrow: bool) {
         let mut state = self.lock();
         if state.is_narrow != is_narrow {
-            tracing::info!(is_narrow, "time that the catalog takes to come in has changed");
+            tracing::info!(is_narrow, "time to read the catalog changed");
             state.is_narrow = is_narrow;
         }
     }
 
-    /// What this instance asks.
+    /// Returns the question to send to a watcher.
     #[must_use]
     pub fn question(&self) -> Question {
         Question { revision: self.endpoints_revision() }
     }
 
-    /// Answers another instance; nothing while this one knows too little.
+    /// Returns the reply to another instance's question, with about `most` changes, or `None`
+    /// while this instance knows too little.
     #[must_use]
     pub fn reply(&self, question: Question, most: usize) -> Option<Reply> {
         let proof_age = self.keys_age()?;
-        // A proof is an answer as well.
+        // A proof is an answer of the store too.
         let silence = proof_age.min(clock::now().saturating_sub(self.catalog_progress.last()));
         let state = self.lock();
         if state.known < Known::Endpoints || !state.track.orders_known {
@@ -231,15 +237,15 @@
         })
     }
 
-    /// Takes a reply to a question sent at `asked` in.
+    /// Applies a reply to a question that was sent at `asked`.
     pub fn take_reply(&self, asked: Duration, reply: Reply) {
         if reply.silence > SILENT_TOO_LONG {
             self.doubt(&reply);
             return;
         }
-        // A reply may come after this instance has read the store itself. What
-        // changed before that is over: an endpoint that was gone and is back would
-        // be given up, and nobody would tell of it again.
+        // This instance may have read the store itself since it asked. Earlier changes are
+        // outdated then: they would remove an endpoint that has come back, and no
+        // later change would add it again.
         if reply.revision > self.endpoints_revision() {
             self.apply(&reply.changes);
         }
@@ -252,7 +258,7 @@
         if reply.gap {
             self.endpoints_wanted.notify_one();
         }
-        // Only who has the very catalog that is proven may count on it.
+        // The proof renews the lease only if this instance has the proven catalog.
         if state.catalog.as_ref().is_some_and(|known| known.version >= reply.catalog) {
             state.freshness.renew(asked.saturating_sub(reply.proof_age), Proof::Read);
         }
@@ -260,6 +266,7 @@
         self.note_newer(reply.catalog);
     }
 
+    /// Applies changes to the known endpoints.
     fn apply(&self, changes: &[Change]) {
         for change in changes {
             match change {
@@ -269,7 +276,7 @@
         }
     }
 
-    /// Notes that an instance which should watch the store seems to have lost it.
+    /// Records a reply of a watcher that seems to have lost the store.
     fn doubt(&self, reply: &Reply) {
         let mut state = self.lock();
         state.track.doubts += 1;
@@ -278,26 +285,26 @@
             tracing::info!(
                 silence_ms = clock::millis(reply.silence),
                 proof_age_ms = clock::millis(reply.proof_age),
-                "nobody is in touch with the store; watching it"
+                "watchers seem to have lost the store, watching it from here"
             );
         }
         drop(state);
         self.note_newer(reply.catalog);
     }
 
-    /// Notes which catalog another instance has; a newer one is to be read.
+    /// Records the catalog version of another instance, and requests a newer one to be read.
     pub(super) fn note_newer(&self, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
         }
         if state.track.succession.tell(version, clock::now()) {
-            tracing::info!(version, "told of a newer catalog");
+            tracing::info!(version, "newer catalog announced");
         }
         self.catalog_wanted.notify_one();
     }
 
-    /// Notes that another instance has a catalog; it can be asked for a newer one.
+    /// Records that another instance has a catalog, so that it can be asked for a newer one.
     pub fn note_teller(&self, teller: SocketAddr, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
@@ -309,8 +316,8 @@
         tellers.push_front((teller, version));
     }
 
-    /// An instance that has a newer catalog than this one, any of the last that
-    /// told so.
+    /// Returns the address of an instance that has a newer catalog than this one, drawn at
+    /// random from the latest that announced one.
     #[must_use]
     pub fn teller(&self) -> Option<SocketAddr> {
         let mut state = self.lock();
@@ -320,14 +327,15 @@
         Some(*teller)
     }
 
-    /// Whether another instance has a newer catalog than this one: of the many
-    /// that say so the first brings a reading about, and the others must not
-    /// bring further ones.
+    /// Whether another instance has a newer catalog than this one. Many instances announce
+    /// the same catalog; once it was read, their announcements must not cause it to be
+    /// read again.
     #[must_use]
     pub fn behind(&self) -> bool {
         self.lock().track.succession.is_behind()
     }
 
+    /// Replaces the known roll-outs by those of a reply, keeping newer revisions.
     fn take_orders(&self, orders: &[Rollout]) {
         let known = self.lock().trials.orders();
         for gone in known.iter().filter(|order| !orders.iter().any(|other| other.service == order.service)) {
--- a/crates/relay/src/desk/trials.rs
+++ b/crates/relay/src/desk/trials.rs
@@ -1,9 +1,9 @@
-//! Versions under roll-out, as this instance knows them.
+//! Roll-outs of new versions, as known to this instance.
 //!
-//! The order comes from the store, the stage from the store's status, from
-//! other instances and from this one's own evidence; the furthest stage wins
-//! and a revert beats all others, so a version that failed anywhere is left
-//! everywhere as soon as the news arrives.
+//! The order of a roll-out comes from the store. Its stage comes from the status in the
+//! store, from other instances and from this instance's own evidence. The furthest stage
+//! wins and a revert outranks all others, so a version that failed at one instance is
+//! abandoned at all others as soon as the news arrives.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -12,73 +12,85 @@
 use super::{Desk, State};
 use crate::{clock, rollout::Rollout};
 
-/// Time that endpoints of an unknown version wait for their order: an order
-/// and the registrations it brings about come by different watches.
+/// Time for which endpoints of an unknown version are not used while their order may still
+/// arrive: an order and the registrations that it causes come by different watches.
 const UNEXPLAINED: Duration = Duration::from_secs(6);
 
-/// Versions of all services.
+/// Roll-out state of all services.
 #[derive(Debug, Default)]
 pub struct Trials {
     services: HashMap<String, Service>,
+    /// Sessions on an old version, with the time of their latest request.
     sessions: HashMap<u64, Duration>,
 }
 
-/// Sessions remembered at most; those that meet versions on trial are few.
+/// Number of sessions above which expired ones are removed; only the few that take part in
+/// trials are kept.
 const MOST_SESSIONS: usize = 4_096;
 
-/// Sessions told to others at most; a datagram holds them.
+/// Maximum number of sessions in a piece of news, so that they fit in a datagram.
 const TOLD_SESSIONS: usize = 96;
 
-/// Whose requests are dealt to versions.
+/// Properties of a request by which it is assigned to a version.
 #[derive(Debug, Clone, Copy)]
 pub struct Dealt {
-    /// The session, or the request if it has none.
+    /// Identifies the session, or the request if it has none.
     pub session: u64,
-    /// Whether the session was on the old version a moment ago, at any instance.
+    /// Whether the session recently ran on the old version, at any instance.
     pub settled: bool,
-    /// Share of a service's requests that a bad version may get.
+    /// Share of a service's requests that a bad version may receive.
     pub exposure: f64,
 }
 
+/// Versions and roll-out of a service.
 #[derive(Debug, Default)]
 struct Service {
+    /// Versions of its endpoints, with the time when each was first seen.
     sightings: HashMap<String, Duration>,
+    /// Version in regular use.
     settled: Option<String>,
     order: Option<Order>,
 }
 
+/// An ordered roll-out and its progress.
 #[derive(Debug)]
 struct Order {
     rollout: Rollout,
     stage: Stage,
+    /// When the order was first seen at any instance.
     since: Duration,
+    /// This instance's own evidence.
     own: Tallies,
 }
 
-/// Both versions' records.
+/// Evidence about both versions of a roll-out.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tallies {
-    /// The new version's.
+    /// Evidence about the new version.
     pub new: Tally,
-    /// The old version's.
+    /// Evidence about the old version.
     pub old: Tally,
 }
 
-/// Whose record a run counts for.
+/// Version of a roll-out for which a run counts as evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arm {
-    /// The new version's.
+    /// The new version.
     New,
-    /// The old version's.
+    /// The old version.
     Old,
 }
 
-/// Which versions a request may run on.
+/// The versions that a request may run on.
 #[derive(Debug, Clone)]
 pub struct Deal {
+    /// The new version of the roll-out, if there is one.
     target: Option<String>,
+    /// Whether the request is assigned to the new version.
     meets: bool,
+    /// Whether the roll-out was reverted.
     reverted: bool,
+    /// Recently seen versions that no order covers yet.
     unexplained: Vec<String>,
 }
 
@@ -92,8 +104,9 @@
         }
     }
 
-    /// Whether the request may run on a version when none that it should run
-    /// on has an endpoint: never on a new one that is on trial or has failed.
+    /// Whether the request may run on a version if none of the versions that it should run
+    /// on has an endpoint. It never runs on a new version that has failed, or that is on
+    /// trial and not assigned to it.
     #[must_use]
     pub fn tolerates(&self, version: &str) -> bool {
         match &self.target {
@@ -102,19 +115,19 @@
         }
     }
 
-    /// Whose record a run on a version counts for.
+    /// Returns the arm for which a run on a version counts as evidence.
     #[must_use]
     pub fn arm(&self, version: &str) -> Arm {
         if self.target.as_deref() == Some(version) { Arm::New } else { Arm::Old }
     }
 }
 
-/// A roll-out as it is told to other instances.
+/// State of a roll-out as reported to other instances.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// Hash of service and version.
+    /// Hash of the service and its new version.
     pub order: u32,
-    /// How far it has come here.
+    /// Stage at this instance.
     pub stage: Stage,
     /// Time since the order was first seen anywhere.
     pub elapsed: Duration,
@@ -123,7 +136,7 @@
 }
 
 impl Trials {
-    /// Notes that a service has endpoints of a version.
+    /// Records that a service has endpoints of a version.
     pub(super) fn sight(&mut self, service: &str, version: &str, now: Duration) {
         let service = self.services.entry(service.to_owned()).or_default();
         service.sightings.entry(version.to_owned()).or_insert(now);
@@ -132,7 +145,7 @@
         }
     }
 
-    /// Which versions a request of a session may run on.
+    /// Returns the versions that a request may run on.
     pub(super) fn deal(&self, service: &str, dealt: Dealt, now: Duration) -> Deal {
         let Some(known) = self.services.get(service) else {
             return Deal { target: None, meets: false, reverted: false, unexplained: Vec::new() };
@@ -156,12 +169,12 @@
         Deal { target: None, meets: false, reverted: false, unexplained }
     }
 
-    /// Every order.
+    /// Returns all ordered roll-outs.
     pub(super) fn orders(&self) -> Vec<Rollout> {
         self.services.values().filter_map(|service| Some(service.order.as_ref()?.rollout.clone())).collect()
     }
 
-    /// Notes that a session was on an old version.
+    /// Records that a session runs on an old version.
     pub(super) fn settle(&mut self, session: u64, now: Duration, lasts: Duration) {
         if self.sessions.len() >= MOST_SESSIONS {
             self.sessions.retain(|_, seen| now < *seen + lasts);
@@ -169,12 +182,12 @@
         self.sessions.insert(session, now);
     }
 
-    /// Whether a session was on an old version here a moment ago.
+    /// Whether a session ran on an old version here within `lasts`.
     pub(super) fn settled(&self, session: u64, now: Duration, lasts: Duration) -> bool {
         self.sessions.get(&session).is_some_and(|seen| now < *seen + lasts)
     }
 
-    /// Counts a run.
+    /// Adds evidence to a service's roll-out.
     pub(super) fn count(&mut self, service: &str, arm: Arm, tally: Tally) {
         let Some(order) = self.services.get_mut(service).and_then(|service| service.order.as_mut()) else { return };
         match arm {
@@ -184,12 +197,12 @@
     }
 }
 
-/// Hash that names an order in news.
+/// Returns the hash that identifies an order in news.
 fn order_hash(rollout: &Rollout) -> u32 {
     super::fleet::short_hash(&format!("{}/{}", rollout.service, rollout.target))
 }
 
-/// The stage that two parties' stages come to.
+/// Returns the further of two stages; a revert is the furthest.
 fn furthest(a: Stage, b: Stage) -> Stage {
     let rank = |stage| match stage {
         Stage::Trial => 0,
@@ -201,7 +214,7 @@
 }
 
 impl Desk {
-    /// Takes an order or its status in.
+    /// Applies an order or a new status of it.
     pub fn order(&self, rollout: Rollout) {
         let mut state = self.lock();
         let service = state.trials.services.entry(rollout.service.clone()).or_default();
@@ -218,7 +231,7 @@
         }
     }
 
-    /// Forgets a service's order that was deleted.
+    /// Removes a service's order that was deleted from the store.
     pub fn withdraw_order(&self, service: &str) {
         let mut state = self.lock();
         let Some(known) = state.trials.services.get_mut(service) else { return };
@@ -229,7 +242,7 @@
         }
     }
 
-    /// Sessions that were on an old version here a moment ago, for news.
+    /// Returns the sessions that recently ran on an old version here, to send with news.
     #[must_use]
     pub fn settled_sessions(&self) -> Vec<u64> {
         let (now, lasts) = (clock::now(), self.settings.session);
@@ -238,7 +251,7 @@
         state.trials.sessions.keys().copied().take(TOLD_SESSIONS).collect()
     }
 
-    /// Roll-outs as this instance knows them, for news.
+    /// Returns this instance's state of all roll-outs, to send with news.
     #[must_use]
     pub fn trial_reports(&self) -> Vec<Report> {
         let now = clock::now();
@@ -254,8 +267,8 @@
             .collect()
     }
 
-    /// Moves every roll-out on by time, evidence and other instances' word;
-    /// returns those whose stage the store does not show yet.
+    /// Advances every roll-out by time, evidence and the reports of other instances. Returns
+    /// those whose stage is not in the store yet.
     #[must_use]
     pub fn advance_trials(&self) -> Vec<(Rollout, Stage)> {
         let now = clock::now();
@@ -284,7 +297,7 @@
                     new_bad = sum.new.bad,
                     old_runs = sum.old.runs,
                     old_bad = sum.old.bad,
-                    "roll-out moves on"
+                    "roll-out stage changed"
                 );
                 order.stage = next;
             }
@@ -296,7 +309,8 @@
     }
 }
 
-/// A stage as far as the store's status tells stages apart.
+/// Returns the stage as the store's status represents it, which does not distinguish a trial
+/// from a shift.
 fn shown(stage: Stage) -> Stage {
     match stage {
         Stage::Trial | Stage::Shift => Stage::Trial,
--- a/crates/relay/src/desk/watchers.rs
+++ b/crates/relay/src/desk/watchers.rs
@@ -1,4 +1,4 @@
-//! Which instances watch the store for the others.
+//! Selects the instances that watch the store on behalf of the others.
 
 use std::{cmp::Reverse, net::SocketAddr, time::Duration};
 
@@ -7,30 +7,30 @@
 use super::{Desk, State};
 use crate::{clock, settings::Cores};
 
-/// Instances that watch the store: when one is lost, the others ask the next
-/// one and a further one takes its place within a second.
+/// Number of instances that watch the store. When one is lost, the others ask the next one,
+/// and a further one takes its place within a second.
 const WATCHERS: usize = 2;
 
-/// Silence after which an instance watches the store itself: three questions.
+/// Time without a reply after which an instance watches the store itself: three questions.
 const UNANSWERED: Duration = Duration::from_millis(1_100);
 
 /// An instance that may watch the store for others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Watcher {
-    /// Where it hears questions.
+    /// Address at which it receives questions.
     pub news: SocketAddr,
-    /// Its place among the instances.
+    /// Its rank among the instances.
     pub rank: Rank,
-    /// Whether it stands in the same failure domain.
+    /// Whether it is in this instance's failure domain.
     pub near: bool,
 }
 
-/// An instance's place among those that may watch the store, first come lowest.
+/// Rank of an instance among those that may watch the store; the lowest ranks watch it.
 ///
-/// Over a narrow link a change is at its watcher a second late, and so at all
-/// others; over a wide one a catalog of a megabyte takes some 50 ms. So those with
-/// wide links come first, then those with more processor, since a watcher answers
-/// the whole fleet's questions; the hash of the name decides among alike.
+/// Over a narrow link a change reaches the watcher, and so all others, a second late; over
+/// a wide one a catalog of a megabyte takes some 50 ms. Instances with wide links therefore
+/// come first, then those with more processor cores, since a watcher answers the
+/// questions of the whole fleet. The hash of the name breaks ties.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     is_narrow: bool,
@@ -39,7 +39,7 @@
 }
 
 impl Rank {
-    /// The place of an instance, by its link, its processor and the hash of its name.
+    /// Returns the rank of an instance by its link, its processor cores and the hash of its name.
     #[must_use]
     pub fn new(is_narrow: bool, cores: Cores, hash: u64) -> Self {
         Self { is_narrow, cores: Reverse(cores), hash }
@@ -47,7 +47,7 @@
 }
 
 impl State {
-    /// The other instances that rank first among those in touch with the store.
+    /// Returns the other instances that rank first among those in touch with the store.
     fn first_watchers(&self, now: Duration) -> Vec<Watcher> {
         let mut watchers: Vec<Watcher> = self.peers.watchers(now, true).collect();
         watchers.sort_unstable_by_key(|watcher| watcher.rank);
@@ -57,40 +57,41 @@
 }
 
 impl Desk {
-    /// Whether another instance keeps this one in step, so that it need not
-    /// watch the store.
+    /// Whether this instance is synchronized through another one, so that it need not watch
+    /// the store itself.
     #[must_use]
     pub fn led(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
-        // One that is cut off from the store does not count as watching it.
+        // An instance that is cut off from the store does not count as a watcher.
         let answered = state.track.answered.is_some_and(|at| now < at + UNANSWERED);
         answered && !(state.in_touch && self.watches(&state, now, true))
     }
 
-    /// Whether this instance is one of the few that look for a lost store
-    /// often; the others hear from them when it is back.
+    /// Whether this instance is one of the few that probe an unreachable store often; the
+    /// others learn from them when it is back.
     #[must_use]
     pub fn looks_first(&self) -> bool {
         let state = self.lock();
         self.watches(&state, clock::now(), false)
     }
 
-    /// Whether this instance ranks among those that watch the store.
+    /// Whether this instance is one of those that watch the store.
     #[must_use]
     pub fn watches_store(&self) -> bool {
         let state = self.lock();
         self.watches(&state, clock::now(), true)
     }
 
-    /// Where the instances that watch the store hear news, this one left out.
+    /// Returns the addresses of the other instances that watch the store.
     #[must_use]
     pub fn watchers(&self) -> Vec<SocketAddr> {
         self.lock().first_watchers(clock::now()).into_iter().map(|watcher| watcher.news).collect()
     }
 
-    /// Whom to ask, nearest first: nobody if this instance is to watch the
-    /// store itself. `turn` moves on when a question was not answered.
+    /// Returns the address of the watcher to ask, those in the same failure domain first, or
+    /// `None` if this instance is to watch the store itself. `turn` increases when a
+    /// question was not answered.
     #[must_use]
     pub fn whom_to_ask(&self, turn: usize) -> Option<SocketAddr> {
         let now = clock::now();
@@ -104,8 +105,9 @@
         watchers.get(turn % watchers.len().max(1)).map(|watcher| watcher.news)
     }
 
-    /// Whether this instance is one of those that watch the store: the few that
-    /// rank first, the same by everybody's reckoning.
+    /// Whether this instance ranks among the first few, which watch the store. All instances
+    /// compute the same ranking. With `in_touch`, only instances whose calls to the store
+    /// succeed are ranked before it.
     fn watches(&self, state: &State, now: Duration, in_touch: bool) -> bool {
         let hash = hash::stable(self.settings.instance.as_bytes());
         let me = Rank::new(state.is_narrow, self.settings.cores, hash);
