--- a/crates/relay/src/desk.rs
+++ b/crates/relay/src/desk.rs
@@ -44,10 +44,11 @@
 };
 
 /// Share of the grace period in which callers may not know yet that the instance leaves.
-const UNHEARD: f64 = 0.3;
+const LEAVE_UNNOTICED_SHARE: f64 = 0.3;
 
-/// Share of the grace period by which requests must have ended; the rest is for the process to exit.
-const SERVED: f64 = 0.9;
+/// Share of the grace period by which requests must have ended; the rest is for the process to
+/// exit.
+const SERVING_SHARE: f64 = 0.9;
 
 /// Longest time after the start for which requests wait until the instance can
 /// serve them, unless a call to the store has failed.
@@ -55,11 +56,11 @@
 /// Reading the initial state takes some 50 ms with a healthy store, 250 ms on a
 /// busy processor. After a restart of all instances callers come back within
 /// milliseconds; without this wait 413 requests were refused in one second.
-const STARTING: Duration = Duration::from_millis(500);
+const MAX_STARTUP_WAIT: Duration = Duration::from_millis(500);
 
 /// Time after the start in which an instance waits for the first message of a seed.
 /// Machines that start together are up within 300 ms of each other.
-const FIRST_WORD: Duration = Duration::from_millis(700);
+const SEED_WAIT: Duration = Duration::from_millis(700);
 
 /// Shared state of an instance, and the notifications between its tasks.
 #[derive(Debug)]
@@ -69,26 +70,26 @@
     /// Names of headers and paths on the wire.
     pub dialect: Dialect,
     /// When this value was created, which is the start of the instance.
-    opened: Duration,
+    created_at: Duration,
     /// Signals progress of the start-up, which early requests wait for.
-    learned: Notify,
+    startup_progressed: Notify,
     /// Signals that news must be sent without waiting for the next round.
-    urgent: Notify,
+    urgent_news: Notify,
     /// Signals that notices of long prompts are ready to send.
-    noticed: Notify,
+    notices_ready: Notify,
     /// Signals that findings about requests are ready to send.
-    found: Notify,
+    findings_ready: Notify,
     /// Signals that quarantine changes are ready to be written to the store.
-    unwritten: Notify,
+    quarantine_changes_ready: Notify,
     /// Signals that updates of endpoints' rate limits are ready to send.
-    limited: Notify,
+    limits_ready: Notify,
     /// Signals that an instance has become alive, for the first time or again.
-    greeting: Notify,
+    peers_to_greet: Notify,
     /// Signals that the catalog must be read again.
     catalog_wanted: Notify,
     /// Signals that the endpoints must be read again.
     endpoints_wanted: Notify,
-    /// Time of the store's last answer about the catalog, partial ones included.
+    /// Records when answers of the store about the catalog arrive, partial ones included.
     catalog_progress: Arc<Progress>,
     state: Mutex<State>,
 }
@@ -105,31 +106,31 @@
     /// Findings that were not sent to other instances yet.
     findings: Vec<Finding>,
     /// Quarantine changes that were not written to the store yet.
-    unwritten: VecDeque<quarantine::Change>,
+    unwritten_changes: VecDeque<quarantine::Change>,
     peers: peers::Peers,
     trials: trials::Trials,
     track: track::Track,
     /// Progress of the start-up.
-    known: Known,
+    knowledge: Knowledge,
     /// Whether this instance's last call to the store succeeded.
     in_touch: bool,
     /// Whether this instance's link is too slow to read the catalog after each watch.
     is_narrow: bool,
     /// Whether a call to the store has ever failed.
-    lost_once: bool,
+    store_failed_once: bool,
     /// When this instance began to leave.
-    draining: Option<Duration>,
+    draining_since: Option<Duration>,
     /// Number of requests without a complete answer.
     in_flight: usize,
     /// Time for which a session lasts after its latest request.
-    session: Duration,
+    session_lifetime: Duration,
     /// Memory that request bodies occupy, in bytes.
-    held: usize,
+    held_body_bytes: usize,
 }
 
 /// What an instance has learned about endpoints since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Known {
+enum Knowledge {
     /// Nothing yet.
     Nothing,
     /// The registered endpoints and all roll-outs.
@@ -150,30 +151,30 @@
             notices: fleet::Notices::new(clock::now()),
             quarantine: Quarantine::default(),
             findings: Vec::new(),
-            unwritten: VecDeque::new(),
+            unwritten_changes: VecDeque::new(),
             peers: peers::Peers::default(),
             trials: trials::Trials::default(),
             track: track::Track::new(settings.replace),
-            known: Known::Nothing,
+            knowledge: Knowledge::Nothing,
             in_touch: false,
             is_narrow: false,
-            lost_once: false,
-            draining: None,
+            store_failed_once: false,
+            draining_since: None,
             in_flight: 0,
-            session: settings.session,
-            held: 0,
+            session_lifetime: settings.session,
+            held_body_bytes: 0,
         };
         Arc::new(Self {
             settings,
             dialect,
-            opened: clock::now(),
-            learned: Notify::new(),
-            urgent: Notify::new(),
-            noticed: Notify::new(),
-            found: Notify::new(),
-            limited: Notify::new(),
-            unwritten: Notify::new(),
-            greeting: Notify::new(),
+            created_at: clock::now(),
+            startup_progressed: Notify::new(),
+            urgent_news: Notify::new(),
+            notices_ready: Notify::new(),
+            findings_ready: Notify::new(),
+            limits_ready: Notify::new(),
+            quarantine_changes_ready: Notify::new(),
+            peers_to_greet: Notify::new(),
             catalog_wanted: Notify::new(),
             endpoints_wanted: Notify::new(),
             catalog_progress: Arc::default(),
@@ -202,7 +203,7 @@
         );
         state.track.succession.install(catalog.version);
         state.catalog = Some(Arc::new(catalog));
-        self.learned.notify_waiters();
+        self.startup_progressed.notify_waiters();
         true
     }
 
@@ -247,9 +248,9 @@
         let mut state = self.lock();
         state.in_touch = succeeded;
         state.track.doubts_store &= !succeeded;
-        state.lost_once |= !succeeded;
+        state.store_failed_once |= !succeeded;
         drop(state);
-        self.learned.notify_waiters();
+        self.startup_progressed.notify_waiters();
     }
 
     /// Whether this instance's last call to the store succeeded.
@@ -275,7 +276,7 @@
     /// Returns the number of instances that are alive, this one included.
     #[must_use]
     pub fn members(&self) -> usize {
-        self.lock().settle_peers(clock::now()) + 1
+        self.lock().update_peer_loads(clock::now()) + 1
     }
 
     /// Returns the age of the latest proof that the access keys are current.
@@ -287,17 +288,18 @@
     /// Records that endpoints and roll-outs have been listed once.
     pub fn mark_listed(&self) {
         let mut state = self.lock();
-        state.known = state.known.max(Known::Endpoints);
+        state.knowledge = state.knowledge.max(Knowledge::Endpoints);
         drop(state);
-        self.learned.notify_waiters();
+        self.startup_progressed.notify_waiters();
     }
 
     /// Waits until the instance can serve its first request, a call to the store
     /// has failed, or the time to wait for the start is over.
     pub async fn started(&self) {
-        let is_decided =
-            |state: &State| state.lost_once || (state.catalog.is_some() && state.known >= Known::Endpoints);
-        self.learn(is_decided).await;
+        let is_decided = |state: &State| {
+            state.store_failed_once || (state.catalog.is_some() && state.knowledge >= Knowledge::Endpoints)
+        };
+        self.wait_for_startup(is_decided).await;
     }
 
     /// Whether a first message of a seed may still come, so that other instances
@@ -306,28 +308,28 @@
     pub fn awaits_seeds(&self) -> bool {
         let me = self.settings.listeners.news;
         let has_seeds = self.settings.seeds.iter().any(|seed| *seed != me);
-        has_seeds && clock::now() < self.opened + FIRST_WORD
+        has_seeds && clock::now() < self.created_at + SEED_WAIT
     }
 
     /// Records that all engines have listed their caches or missed the time for it.
     pub fn mark_caches_known(&self) {
-        self.lock().known = Known::Caches;
-        self.learned.notify_waiters();
+        self.lock().knowledge = Knowledge::Caches;
+        self.startup_progressed.notify_waiters();
     }
 
     /// Waits until the engines' caches are known or the time to wait for the start is over.
     pub async fn caches_known(&self) {
-        self.learn(|state| state.known == Known::Caches).await;
+        self.wait_for_startup(|state| state.knowledge == Knowledge::Caches).await;
     }
 
     /// Waits until `is_enough` is true or the time to wait for the start is over.
-    async fn learn(&self, is_enough: impl Fn(&State) -> bool) {
+    async fn wait_for_startup(&self, is_enough: impl Fn(&State) -> bool) {
         loop {
             // Registered before the check, or a change right after it would be missed.
-            let learned = self.learned.notified();
+            let startup_progressed = self.startup_progressed.notified();
             let is_known = is_enough(&self.lock());
-            let left = (self.opened + STARTING).saturating_sub(clock::now());
-            if is_known || left.is_zero() || tokio::time::timeout(left, learned).await.is_err() {
+            let left = (self.created_at + MAX_STARTUP_WAIT).saturating_sub(clock::now());
+            if is_known || left.is_zero() || tokio::time::timeout(left, startup_progressed).await.is_err() {
                 return;
             }
         }
@@ -337,7 +339,7 @@
     #[must_use]
     pub fn ready(&self) -> bool {
         let state = self.lock();
-        state.catalog.is_some() && state.known >= Known::Endpoints && state.draining.is_none()
+        state.catalog.is_some() && state.knowledge >= Knowledge::Endpoints && state.draining_since.is_none()
     }
 
     /// Returns this instance's phase of life.
@@ -355,7 +357,7 @@
     /// Whether this instance is leaving.
     #[must_use]
     pub fn draining(&self) -> bool {
-        self.lock().draining.is_some()
+        self.lock().draining_since.is_some()
     }
 
     /// Whether this instance is leaving and may be gone before a request that
@@ -367,21 +369,21 @@
     /// callers cannot know yet that the instance leaves.
     #[must_use]
     pub fn leaves_within(&self, time: Duration) -> bool {
-        let Some(since) = self.lock().draining else { return false };
+        let Some(since) = self.lock().draining_since else { return false };
         let grace = self.settings.grace;
         let passed = clock::now().saturating_sub(since);
-        passed > grace.mul_f64(UNHEARD) && passed + time > grace.mul_f64(SERVED)
+        passed > grace.mul_f64(LEAVE_UNNOTICED_SHARE) && passed + time > grace.mul_f64(SERVING_SHARE)
     }
 
     /// Starts leaving: the instance is no longer ready, and connections close after their answers.
     pub fn drain(&self) {
-        self.lock().draining.get_or_insert_with(clock::now);
-        self.urgent.notify_one();
+        self.lock().draining_since.get_or_insert_with(clock::now);
+        self.urgent_news.notify_one();
     }
 
     /// Waits until there is news that must be sent without waiting for the next round.
     pub async fn hurry(&self) {
-        self.urgent.notified().await;
+        self.urgent_news.notified().await;
     }
 
     /// Credits the service's allowance for a request's first dispatch.
@@ -401,7 +403,7 @@
 
     fn with_allowance<T>(&self, service: &str, apply: impl FnOnce(&mut Allowance, usize) -> T) -> T {
         let mut state = self.lock();
-        let members = state.settle_peers(clock::now()) + 1;
+        let members = state.update_peer_loads(clock::now()) + 1;
         if !state.allowances.contains_key(service) {
             state.allowances.insert(service.to_owned(), Allowance::new(self.settings.allowance));
         }
--- a/crates/relay/src/desk/crashes.rs
+++ b/crates/relay/src/desk/crashes.rs
@@ -14,45 +14,45 @@
 /// Time for which an abandoned run still counts as running at its endpoint. After an
 /// answer was dropped or a caller disconnected, the endpoint takes a moment to notice
 /// and may crash meanwhile.
-const LINGERS: Duration = Duration::from_secs(2);
+const UNFINISHED_RUN_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Maximum number of unfinished runs kept for an endpoint. A run that crashes it at once
 /// is among the latest.
-const MOST_UNFINISHED: usize = 64;
+const MAX_UNFINISHED_RUNS: usize = 64;
 
 /// Maximum number of findings kept for sending. They are sent within a turn of the
 /// scheduler, so they pile up only while the socket does not accept them.
-const MOST_UNSENT: usize = 4_096;
+const MAX_UNSENT_FINDINGS: usize = 4_096;
 
 /// Maximum number of changes kept until they are written to the store.
-const MOST_UNWRITTEN: usize = 64;
+const MAX_UNWRITTEN_CHANGES: usize = 64;
 
 /// Runs at an endpoint that this instance has abandoned without an answer, at most
 /// one for each request content.
 #[derive(Debug, Default)]
-pub(super) struct Unfinished(Vec<UnfinishedRun>);
+pub(super) struct UnfinishedRuns(Vec<UnfinishedRun>);
 
 #[derive(Debug, Clone, Copy)]
 struct UnfinishedRun {
     content: Content,
-    sent: Duration,
-    left: Duration,
+    sent_at: Duration,
+    abandoned_at: Duration,
 }
 
-impl Unfinished {
-    /// Adds a run that was sent at `sent` and is abandoned at `now`.
-    pub(super) fn add(&mut self, now: Duration, content: Content, sent: Duration) {
-        self.0.retain(|run| run.content != content && now < run.left + LINGERS);
-        if self.0.len() == MOST_UNFINISHED {
+impl UnfinishedRuns {
+    /// Adds a run that was sent at `sent_at` and is abandoned at `now`.
+    pub(super) fn add(&mut self, now: Duration, content: Content, sent_at: Duration) {
+        self.0.retain(|run| run.content != content && now < run.abandoned_at + UNFINISHED_RUN_LIFETIME);
+        if self.0.len() == MAX_UNFINISHED_RUNS {
             self.0.remove(0);
         }
-        self.0.push(UnfinishedRun { content, sent, left: now });
+        self.0.push(UnfinishedRun { content, sent_at, abandoned_at: now });
     }
 
     /// Removes all runs and returns those that may still run at `now`.
     fn take(&mut self, now: Duration) -> Vec<UnfinishedRun> {
         let mut runs = std::mem::take(&mut self.0);
-        runs.retain(|run| now < run.left + LINGERS);
+        runs.retain(|run| now < run.abandoned_at + UNFINISHED_RUN_LIFETIME);
         runs
     }
 }
@@ -62,57 +62,57 @@
     pub(super) fn note_crash(&mut self, key: Key, now: Duration) {
         let Some(server) = self.fleet.server(key) else { return };
         let (start, endpoint) = (server.hash(), server.endpoint());
-        let runs = server.unfinished().take(now);
+        let runs = server.unfinished_runs().take(now);
         if runs.is_empty() {
             return;
         }
         tracing::warn!(endpoint = endpoint.id, requests = runs.len(), "endpoint crashed");
         metrics::counter!("relay_crashes_total", "service" => endpoint.service.clone()).increment(1);
-        for UnfinishedRun { content, sent, .. } in runs {
-            if self.quarantine.is_further(now, content, sent) {
-                self.find(Finding::Crash { content, start }, now);
+        for UnfinishedRun { content, sent_at, .. } in runs {
+            if self.quarantine.is_further(now, content, sent_at) {
+                self.record_finding(Finding::Crash { content, start }, now);
             }
         }
     }
 
     /// Records that a request was answered successfully.
     pub(super) fn note_good_end(&mut self, content: Content, now: Duration) {
-        self.find(Finding::EndedWell { content }, now);
+        self.record_finding(Finding::EndedWell { content }, now);
     }
 
     /// Applies a finding of this instance, and queues it for the other instances and the store.
-    fn find(&mut self, finding: Finding, now: Duration) {
-        let effect = self.take_finding(finding, now);
+    fn record_finding(&mut self, finding: Finding, now: Duration) {
+        let effect = self.apply_finding(finding, now);
         if effect != Effect::None {
             tracing::info!(content = %finding.content(), ?finding, ?effect, "finding about a request");
         }
-        if effect != Effect::None && self.findings.len() < MOST_UNSENT {
+        if effect != Effect::None && self.findings.len() < MAX_UNSENT_FINDINGS {
             self.findings.push(finding);
         }
-        self.write(finding, effect);
+        self.queue_finding_change(finding, effect);
     }
 
     /// Queues the change that a finding made for the store.
-    fn write(&mut self, finding: Finding, effect: Effect) {
+    fn queue_finding_change(&mut self, finding: Finding, effect: Effect) {
         let refused = Refused { content: finding.content(), since: unix_ms() };
         let change = match effect {
             Effect::Held => Change::Refuse(refused),
             Effect::Released => Change::Allow(refused),
             Effect::None | Effect::Counted | Effect::Cleared | Effect::Disproved => return,
         };
-        self.queue(change);
+        self.queue_change(change);
     }
 
-    fn queue(&mut self, change: Change) {
-        if self.unwritten.len() == MOST_UNWRITTEN {
+    fn queue_change(&mut self, change: Change) {
+        if self.unwritten_changes.len() == MAX_UNWRITTEN_CHANGES {
             tracing::warn!(?change, "quarantine change not written to the store, too many are pending");
             return;
         }
-        self.unwritten.push_back(change);
+        self.unwritten_changes.push_back(change);
     }
 
     /// Applies a finding to the quarantine and returns its effect.
-    fn take_finding(&mut self, finding: Finding, now: Duration) -> Effect {
+    fn apply_finding(&mut self, finding: Finding, now: Duration) -> Effect {
         let effect = self.quarantine.take(now, finding);
         let content = finding.content();
         match effect {
@@ -120,10 +120,10 @@
                 tracing::warn!(%content, ?finding, "request quarantined, endpoints crash while running it");
                 metrics::counter!("relay_quarantined_total").increment(1);
             }
-            Effect::Released => tracing::info!(%content, "request released from quarantine, it was answered successfully"),
+            Effect::Released => tracing::info!(%content, "request released from quarantine after a success"),
             // At debug level: each instance receives a finding for every run that a mass
             // crash interrupts.
-            Effect::Counted | Effect::Cleared => tracing::debug!(%content, ?finding, "finding about a request received"),
+            Effect::Counted | Effect::Cleared => tracing::debug!(%content, ?finding, "finding about request applied"),
             Effect::None | Effect::Disproved => {}
         }
         effect
@@ -149,7 +149,7 @@
     pub fn note_crash(&self, key: Key) {
         let mut state = self.lock();
         state.note_crash(key, clock::now());
-        self.hurry_findings(&state);
+        self.notify_findings(&state);
     }
 
     /// Applies findings of another instance.
@@ -158,14 +158,14 @@
         let leads = self.leads();
         let mut state = self.lock();
         for finding in findings {
-            let effect = state.take_finding(finding, now);
-            if effect == Effect::Disproved && state.findings.len() < MOST_UNSENT {
+            let effect = state.apply_finding(finding, now);
+            if effect == Effect::Disproved && state.findings.len() < MAX_UNSENT_FINDINGS {
                 state.findings.push(Finding::EndedWell { content: finding.content() });
             }
             // The instance that found the last crash may lack the findings before it, and
             // so not know that the request is quarantined now.
             if leads && effect == Effect::Held && matches!(finding, Finding::Crash { .. }) {
-                state.write(finding, effect);
+                state.queue_finding_change(finding, effect);
             }
             // This instance's own unfinished runs may have caused the crash as well.
             if let Finding::Crash { start, .. } = finding
@@ -174,16 +174,16 @@
                 state.note_crash(key, now);
             }
         }
-        self.hurry_findings(&state);
+        self.notify_findings(&state);
     }
 
     /// Wakes the tasks that send findings and write quarantine changes, if there are any.
-    pub(super) fn hurry_findings(&self, state: &State) {
+    pub(super) fn notify_findings(&self, state: &State) {
         if !state.findings.is_empty() {
-            self.found.notify_one();
+            self.findings_ready.notify_one();
         }
-        if !state.unwritten.is_empty() {
-            self.unwritten.notify_one();
+        if !state.unwritten_changes.is_empty() {
+            self.quarantine_changes_ready.notify_one();
         }
     }
 
@@ -195,22 +195,22 @@
         for refused in refused {
             let age = Duration::from_millis(unix_now.saturating_sub(refused.since));
             if age < LASTS {
-                state.take_finding(Finding::Held { content: refused.content, age }, now);
+                state.apply_finding(Finding::Held { content: refused.content, age }, now);
             } else if rand::random_ratio(1, members) {
                 // Expired: on average one of the starting instances removes it from the store.
-                state.queue(Change::Allow(refused));
+                state.queue_change(Change::Allow(refused));
             }
         }
-        self.hurry_findings(&state);
+        self.notify_findings(&state);
     }
 
     /// Waits for a quarantine change to write to the store, and takes it.
     pub async fn quarantine_change(&self) -> Change {
         loop {
-            if let Some(change) = self.lock().unwritten.pop_front() {
+            if let Some(change) = self.lock().unwritten_changes.pop_front() {
                 return change;
             }
-            self.unwritten.notified().await;
+            self.quarantine_changes_ready.notified().await;
         }
     }
 
@@ -230,7 +230,7 @@
             if !findings.is_empty() {
                 return findings;
             }
-            self.found.notified().await;
+            self.findings_ready.notified().await;
         }
     }
 
--- a/crates/relay/src/desk/fleet.rs
+++ b/crates/relay/src/desk/fleet.rs
@@ -7,13 +7,13 @@
 //! runs and so fewer chances to improve its statistics, so these decay with time.
 
 mod caches;
+mod decaying_mean;
 mod limits;
 mod notices;
 mod pool;
-mod record;
 mod registry;
 mod run;
-mod weigh;
+mod selection;
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -35,10 +35,10 @@
     run::{Ended, Run},
 };
 use self::{
-    record::Record,
-    weigh::{Weighed, job_units},
+    decaying_mean::DecayingMean,
+    selection::{Selection, job_units},
 };
-use super::{Desk, State, crashes::Unfinished, trials::Arm};
+use super::{Desk, State, crashes::UnfinishedRuns, trials::Arm};
 use crate::{clock, source::Endpoint};
 
 slotmap::new_key_type! {
@@ -46,22 +46,23 @@
     pub struct Key;
 }
 
-/// Minimum number of runs added to the load of an endpoint that was full a moment ago.
-const FULL_RUNS: f64 = 2.0;
+/// Minimum number of runs added to the load of an endpoint that was full a moment ago; an
+/// endpoint with more slots gets as many runs as slots.
+const MIN_FULL_RUNS: f64 = 2.0;
 
 /// Initial estimate of the time to read a prompt token in the largest model, in
 /// milliseconds.
-const TOKEN_MS: f64 = 0.03;
+const INITIAL_TOKEN_MS: f64 = 0.03;
 
 /// Initial estimate of the time to the first byte without reading, in milliseconds.
-const BASE_MS: f64 = 15.0;
+const INITIAL_BASE_MS: f64 = 15.0;
 
 /// Initial estimate of the time to the first byte of a call without a model, in milliseconds.
-const CALL_MS: f64 = 50.0;
+const INITIAL_CALL_MS: f64 = 50.0;
 
 /// Multiple of the endpoints' mean up to which an endpoint's slowness or failure rate counts
 /// as noise.
-const NOISE: f64 = 1.6;
+const NOISE_FACTOR: f64 = 1.6;
 
 /// Known endpoints, and statistics about them.
 #[derive(Debug, Default)]
@@ -74,17 +75,17 @@
     revision: u64,
     /// Pools of endpoints by service.
     pools: HashMap<String, pool::Pool>,
-    paces: HashMap<Work, Pace>,
+    paces: HashMap<PaceKey, Pace>,
     /// Mean ratio of actual to expected time to the first byte, by service.
-    usual: HashMap<String, f64>,
+    usual_lateness: HashMap<String, f64>,
     /// Endpoints whose prompt caches hold a part.
     holders: Holders,
-    limited: limits::Limited,
+    limited: limits::LimitedEndpoints,
 }
 
 /// Service and model whose pace is learned.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Work {
+struct PaceKey {
     service: String,
     model: Option<usize>,
 }
@@ -100,27 +101,27 @@
     /// Prompt reading that is pending for this instance's runs, in milliseconds.
     backlog_ms: f64,
     /// Part of `backlog_ms` that was announced to the other instances by notices.
-    told_ms: f64,
+    announced_ms: f64,
     /// Load that the other instances last reported.
-    others: Load,
+    peer_load: Load,
     /// Prompt reading that notices of other instances announced.
-    noticed: Backlog,
+    announced_backlog: Backlog,
     /// Ratio of actual to expected time to the first byte, relative to the service's mean.
-    slowness: Record,
+    slowness: DecayingMean,
     /// Share of runs that failed.
-    failing: Record,
+    failure_rate: DecayingMean,
     /// Failed connections in a row.
-    misses: u32,
+    failed_connections: u32,
     /// End of the backoff after failed connections.
-    rests_until: Duration,
+    backoff_until: Duration,
     /// Time until which the endpoint counts as full.
     full_until: Duration,
     /// When a run of this instance last received bytes from the endpoint.
-    heard: Duration,
+    last_received: Duration,
     /// When its registration was last received.
-    registered: Duration,
+    last_registered: Duration,
     /// Runs that this instance abandoned without an answer.
-    unfinished: Unfinished,
+    unfinished_runs: UnfinishedRuns,
     /// Rate at which this instance may send requests, if the endpoint announces a limit.
     throttle: Throttle,
 }
@@ -167,25 +168,25 @@
     pub fn place(self: &Arc<Self>, job: &Job<'_>) -> Option<Run> {
         let now = clock::now();
         let mut state = self.lock();
-        state.share_limits(now);
-        state.fleet.refresh(job.service, &self.settings.domain, now);
-        let weighed = state.weigh(job, now, self.settings.exposure)?;
-        let (alone_ms, expected_ms) = (weighed.alone_ms(), weighed.expected_ms());
-        let Weighed { key, arm, choice, pace, units, source, .. } = weighed;
+        state.update_limit_shares(now);
+        state.fleet.refresh_pool(job.service, &self.settings.domain, now);
+        let selection = state.select_endpoint(job, now, self.settings.exposure)?;
+        let (nominal_ms, expected_ms) = (selection.nominal_ms(), selection.expected_ms());
+        let Selection { key, arm, choice, pace, units, source, .. } = selection;
         let server = state.fleet.servers.get_mut(key)?;
         let backlog_ms = pace.reading_ms(units);
         server.runs += 1;
         server.throttle.spend(now);
         server.backlog_ms += backlog_ms;
         let endpoint = Arc::clone(&server.endpoint);
-        let is_told = state.tell(key, job, backlog_ms, now);
-        if is_told {
-            self.noticed.notify_one();
+        let is_announced = state.queue_notice(key, job, backlog_ms, now);
+        if is_announced {
+            self.notices_ready.notify_one();
         }
         if job.in_session && arm == Arm::Old && canary::tries_versions(job.session, self.settings.exposure) {
-            state.trials.settle(job.session, now, self.settings.session);
+            state.trials.record_session(job.session, now, self.settings.session);
         }
-        let work = Work { service: job.service.to_owned(), model: job.model };
+        let pace_key = PaceKey { service: job.service.to_owned(), model: job.model };
         Some(Run {
             desk: Arc::clone(self),
             key,
@@ -194,10 +195,10 @@
             arm,
             choice,
             backlog_ms,
-            told_ms: if is_told { backlog_ms } else { 0.0 },
-            alone_ms,
+            announced_ms: if is_announced { backlog_ms } else { 0.0 },
+            nominal_ms,
             expected_ms,
-            work,
+            pace_key,
             units,
             lateness: Lateness::default(),
             started: now,
@@ -211,9 +212,9 @@
     pub fn expect(&self, job: &Job<'_>) -> Option<f64> {
         let now = clock::now();
         let mut state = self.lock();
-        state.share_limits(now);
-        state.fleet.refresh(job.service, &self.settings.domain, now);
-        Some(state.weigh(job, now, self.settings.exposure)?.expected_ms())
+        state.update_limit_shares(now);
+        state.fleet.refresh_pool(job.service, &self.settings.domain, now);
+        Some(state.select_endpoint(job, now, self.settings.exposure)?.expected_ms())
     }
 
     /// Returns the expected time to the first byte at an idle endpoint, in milliseconds.
@@ -228,29 +229,30 @@
     pub fn own_loads(&self) -> Vec<(u32, Load)> {
         let state = self.lock();
         let busy = state.fleet.servers.values().filter(|server| server.runs > 0);
-        let untold = |s: &Server| Load { runs: f64::from(s.runs), backlog_ms: (s.backlog_ms - s.told_ms).max(0.0) };
-        busy.map(|s| (s.hash, untold(s))).collect()
+        let unannounced =
+            |s: &Server| Load { runs: f64::from(s.runs), backlog_ms: (s.backlog_ms - s.announced_ms).max(0.0) };
+        busy.map(|s| (s.hash, unannounced(s))).collect()
     }
 }
 
 impl Server {
-    fn new(endpoint: Endpoint, others: Load, now: Duration) -> Self {
+    fn new(endpoint: Endpoint, peer_load: Load, now: Duration) -> Self {
         Self {
             hash: start_hash(&endpoint),
             endpoint: Arc::new(endpoint),
             runs: 0,
             backlog_ms: 0.0,
-            told_ms: 0.0,
-            others,
-            noticed: Backlog::default(),
-            slowness: Record { value: 1.0, at: now },
-            failing: Record { value: 0.0, at: now },
-            misses: 0,
-            rests_until: Duration::ZERO,
+            announced_ms: 0.0,
+            peer_load,
+            announced_backlog: Backlog::default(),
+            slowness: DecayingMean { value: 1.0, updated_at: now },
+            failure_rate: DecayingMean { value: 0.0, updated_at: now },
+            failed_connections: 0,
+            backoff_until: Duration::ZERO,
             full_until: Duration::ZERO,
-            heard: Duration::ZERO,
-            registered: now,
-            unfinished: Unfinished::default(),
+            last_received: Duration::ZERO,
+            last_registered: now,
+            unfinished_runs: UnfinishedRuns::default(),
             throttle: Throttle::default(),
         }
     }
@@ -266,22 +268,22 @@
     }
 
     /// Returns the runs that this instance abandoned there without an answer.
-    pub(super) fn unfinished(&mut self) -> &mut Unfinished {
-        &mut self.unfinished
+    pub(super) fn unfinished_runs(&mut self) -> &mut UnfinishedRuns {
+        &mut self.unfinished_runs
     }
 
     /// Describes the endpoint for placement, given the service's mean slowness and failure rate.
     fn candidate(&self, domain: &str, slow: f64, failing: f64, now: Duration) -> Candidate<'_> {
-        let full = if self.full_until > now { f64::from(self.endpoint.slots).max(FULL_RUNS) } else { 0.0 };
-        let slowness = self.slowness.now(1.0, now) / slow;
+        let full = if self.full_until > now { f64::from(self.endpoint.slots).max(MIN_FULL_RUNS) } else { 0.0 };
+        let slowness = self.slowness.value_at(1.0, now) / slow;
         Candidate {
             id: &self.endpoint.id,
             slots: self.endpoint.slots,
-            runs: f64::from(self.runs) + self.others.runs + full,
-            backlog_ms: self.backlog_ms + self.noticed.left_ms(now),
-            old_news_ms: self.others.backlog_ms,
-            slowness: if slowness > NOISE { slowness } else { 1.0 },
-            failing: (self.failing.now(0.0, now) - NOISE * failing).max(0.0),
+            runs: f64::from(self.runs) + self.peer_load.runs + full,
+            backlog_ms: self.backlog_ms + self.announced_backlog.left_ms(now),
+            old_news_ms: self.peer_load.backlog_ms,
+            slowness: if slowness > NOISE_FACTOR { slowness } else { 1.0 },
+            failing: (self.failure_rate.value_at(0.0, now) - NOISE_FACTOR * failing).max(0.0),
             local: self.endpoint.domain == domain,
             holds: false,
             holds_whole: false,
@@ -290,8 +292,8 @@
 }
 
 /// Returns the pace that is assumed before any run was observed.
-fn first_guess(model: Option<usize>) -> Pace {
-    if model.is_some() { Pace::new(BASE_MS, TOKEN_MS) } else { Pace::new(CALL_MS, 0.0) }
+fn initial_pace(model: Option<usize>) -> Pace {
+    if model.is_some() { Pace::new(INITIAL_BASE_MS, INITIAL_TOKEN_MS) } else { Pace::new(INITIAL_CALL_MS, 0.0) }
 }
 
 /// Returns the hash that identifies an endpoint in messages of instances. It differs for
--- a/crates/relay/src/desk/fleet/caches.rs
+++ b/crates/relay/src/desk/fleet/caches.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns the short hash that identifies a part in notices and among holders.
-pub(super) fn part_of(affinity: u64) -> u32 {
+pub(super) fn part_hash(affinity: u64) -> u32 {
     u32::try_from(affinity >> 32).unwrap_or_default()
 }
 
@@ -44,7 +44,7 @@
         let mut state = self.lock();
         for Cached { part, model } in cached {
             let Some(index) = model_index(&catalog, model) else { continue };
-            let key = part_of(affinity(hash::stable(part.as_bytes()), Some(index)));
+            let key = part_hash(affinity(hash::stable(part.as_bytes()), Some(index)));
             state.fleet.holders.note(key, holder, now);
         }
     }
@@ -62,7 +62,7 @@
 impl Fleet {
     /// Returns the hashes of the endpoints that probably cache a part.
     pub(super) fn holders_of(&self, affinity: Option<u64>, now: Duration) -> Vec<u32> {
-        affinity.map(|affinity| self.holders.of(part_of(affinity), now).collect()).unwrap_or_default()
+        affinity.map(|affinity| self.holders.of(part_hash(affinity), now).collect()).unwrap_or_default()
     }
 }
 
--- a/crates/relay/src/desk/fleet/limits.rs
+++ b/crates/relay/src/desk/fleet/limits.rs
@@ -14,18 +14,18 @@
 
 /// Time between updates of this instance's share of each limit, which changes as other
 /// instances join and leave.
-const SHARE_LASTS: Duration = Duration::from_millis(250);
+const SHARE_UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Age up to which an update of a limit is repeated in the news, for instances that missed it.
-const NEW: Duration = Duration::from_secs(5);
+const MAX_REPEATED_AGE: Duration = Duration::from_secs(5);
 
 /// Maximum number of updates kept for sending.
-const MOST_UNSENT: usize = 1_024;
+const MAX_UNSENT_UPDATES: usize = 1_024;
 
-/// What an answer of an endpoint says about its rate limit.
+/// What an attempt at an endpoint revealed about its rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Said {
-    /// The answer does not apply to the limit.
+    /// Nothing: no answer was received, or a refusal that states no limit.
     Nothing,
     /// The answer states a limit, in requests a second from all instances together.
     Limit(f64),
@@ -46,10 +46,10 @@
 
 /// Endpoints that announce a limit.
 #[derive(Debug, Default)]
-pub(super) struct Limited {
+pub(super) struct LimitedEndpoints {
     keys: Vec<Key>,
     /// When this instance's shares were last computed.
-    shared: Duration,
+    shares_updated_at: Duration,
     /// Updates that were not sent yet.
     unsent: Vec<Limit>,
 }
@@ -64,21 +64,21 @@
             Said::NoLimit => Word { per_s: None, at: self.started },
         };
         let mut state = self.desk.lock();
-        if state.hear_limit(self.key, word, now) {
+        if state.apply_limit(self.key, word, now) {
             let start = state.fleet.servers[self.key].hash;
             let limit = Limit { start, per_s: word.per_s, age: now.saturating_sub(word.at) };
             let unsent = &mut state.fleet.limited.unsent;
-            if unsent.len() < MOST_UNSENT {
+            if unsent.len() < MAX_UNSENT_UPDATES {
                 unsent.push(limit);
             }
-            self.desk.limited.notify_one();
+            self.desk.limits_ready.notify_one();
         }
     }
 }
 
 impl State {
     /// Applies an endpoint's announcement, and returns whether it changed the limit.
-    fn hear_limit(&mut self, key: Key, word: Word, now: Duration) -> bool {
+    fn apply_limit(&mut self, key: Key, word: Word, now: Duration) -> bool {
         let Some(server) = self.fleet.servers.get_mut(key) else { return false };
         let before = server.throttle.limit(now);
         if !server.throttle.hear(now, word) {
@@ -88,20 +88,20 @@
         if !self.fleet.limited.keys.contains(&key) {
             self.fleet.limited.keys.push(key);
         }
-        self.fleet.limited.shared = Duration::ZERO;
-        self.share_limits(now);
+        self.fleet.limited.shares_updated_at = Duration::ZERO;
+        self.update_limit_shares(now);
         true
     }
 
     /// Recomputes this instance's shares of all limits if they are out of date.
-    pub(super) fn share_limits(&mut self, now: Duration) {
+    pub(super) fn update_limit_shares(&mut self, now: Duration) {
         let Fleet { servers, limited, .. } = &mut self.fleet;
-        if limited.keys.is_empty() || now < limited.shared + SHARE_LASTS {
+        if limited.keys.is_empty() || now < limited.shares_updated_at + SHARE_UPDATE_INTERVAL {
             return;
         }
-        limited.shared = now;
+        limited.shares_updated_at = now;
         limited.keys.retain(|key| servers.get(*key).is_some_and(|server| server.is_limited(now)));
-        let is_sender = self.draining.is_none();
+        let is_sender = self.draining_since.is_none();
         for key in &limited.keys {
             let Some(server) = servers.get_mut(*key) else { continue };
             let Some(per_s) = server.throttle.limit(now) else { continue };
@@ -121,7 +121,7 @@
             if !unsent.is_empty() {
                 return unsent;
             }
-            self.limited.notified().await;
+            self.limits_ready.notified().await;
         }
     }
 
@@ -131,7 +131,7 @@
         let mut state = self.lock();
         for Limit { start, per_s, age } in limits {
             if let Some(key) = state.fleet.key_of(start) {
-                state.hear_limit(key, Word { per_s, at: now.saturating_sub(age) }, now);
+                state.apply_limit(key, Word { per_s, at: now.saturating_sub(age) }, now);
             }
         }
     }
@@ -142,13 +142,13 @@
         let now = clock::now();
         let state = self.lock();
         let Fleet { servers, limited, .. } = &state.fleet;
-        let lately = limited.keys.iter().filter_map(|key| {
+        let recent = limited.keys.iter().filter_map(|key| {
             let server = servers.get(*key)?;
             let word = server.throttle.word()?;
             let age = now.saturating_sub(word.at);
-            (age < NEW).then_some(Limit { start: server.hash, per_s: word.per_s, age })
+            (age < MAX_REPEATED_AGE).then_some(Limit { start: server.hash, per_s: word.per_s, age })
         });
-        lately.choose_multiple(&mut rand::rng(), most)
+        recent.choose_multiple(&mut rand::rng(), most)
     }
 
     /// Returns the time until an endpoint of a service accepts a request, if the limits of
@@ -159,7 +159,7 @@
         let now = clock::now();
         let state = self.lock();
         let up = |server: &&Server| {
-            server.endpoint.service == service && !server.endpoint.draining && server.rests_until <= now
+            server.endpoint.service == service && !server.endpoint.draining && server.backoff_until <= now
         };
         let mut least = None;
         for server in state.fleet.servers.values().filter(up) {
@@ -176,6 +176,6 @@
 impl Server {
     /// Whether the endpoint announces a limit or has ended one recently.
     fn is_limited(&self, now: Duration) -> bool {
-        self.throttle.limit(now).is_some() || self.throttle.word().is_some_and(|word| now < word.at + NEW)
+        self.throttle.limit(now).is_some() || self.throttle.word().is_some_and(|word| now < word.at + MAX_REPEATED_AGE)
     }
 }
--- a/crates/relay/src/desk/fleet/notices.rs
+++ b/crates/relay/src/desk/fleet/notices.rs
@@ -12,11 +12,11 @@
 
 /// Maximum number of notices kept for sending. They are sent within a turn of the
 /// scheduler, so they pile up only while the socket does not accept them.
-const MOST_KEPT: usize = 32;
+const MAX_UNSENT_NOTICES: usize = 32;
 
 /// Minimum length of a shared part that notices announce, in tokens. Reading a shorter
 /// part again costs less than the notice.
-pub(super) const WORTH_KEEPING: u32 = 1_000;
+pub(super) const MIN_ANNOUNCED_PART_TOKENS: u32 = 1_000;
 
 /// Announces to other instances that a long prompt was sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -47,19 +47,20 @@
 impl State {
     /// Queues a notice of a prompt if it is long enough and the budget allows, and returns
     /// whether it did.
-    pub(super) fn tell(&mut self, key: Key, job: &Job<'_>, reading_ms: f64, now: Duration) -> bool {
-        self.settle_peers(now);
+    pub(super) fn queue_notice(&mut self, key: Key, job: &Job<'_>, reading_ms: f64, now: Duration) -> bool {
+        self.update_peer_loads(now);
         let fanout = self.peers.fanout();
         let Some(server) = self.fleet.servers.get_mut(key) else { return false };
-        let part = job.part().filter(|_| job.shared_tokens >= WORTH_KEEPING);
+        let part = job.part().filter(|_| job.shared_tokens >= MIN_ANNOUNCED_PART_TOKENS);
         if let Some(part) = part {
             self.fleet.holders.note(part, server.hash, now);
         }
-        if self.notices.unsent.len() >= MOST_KEPT || !self.notices.budget.spend(now, reading_ms, part.is_some(), fanout)
+        if self.notices.unsent.len() >= MAX_UNSENT_NOTICES
+            || !self.notices.budget.spend(now, reading_ms, part.is_some(), fanout)
         {
             return false;
         }
-        server.told_ms += reading_ms;
+        server.announced_ms += reading_ms;
         self.notices.unsent.push(Notice { endpoint: server.hash, reading_ms, part });
         true
     }
@@ -73,7 +74,7 @@
             if !unsent.is_empty() {
                 return unsent;
             }
-            self.noticed.notified().await;
+            self.notices_ready.notified().await;
         }
     }
 
@@ -81,8 +82,8 @@
     pub fn take_notice(&self, notice: Notice) {
         let now = clock::now();
         let mut state = self.lock();
-        if let Some(server) = state.fleet.by_hash(notice.endpoint) {
-            server.noticed.add(now, notice.reading_ms);
+        if let Some(server) = state.fleet.server_by_hash(notice.endpoint) {
+            server.announced_backlog.add(now, notice.reading_ms);
         }
         if let Some(part) = notice.part {
             state.fleet.holders.note(part, notice.endpoint, now);
--- a/crates/relay/src/desk/fleet/pool.rs
+++ b/crates/relay/src/desk/fleet/pool.rs
@@ -11,50 +11,55 @@
 use world::hash;
 
 use super::{Fleet, Job, Key, Server};
-use crate::desk::trials::Deal;
+use crate::desk::trials::Assignment;
 
 /// Number of endpoints up to which a decision examines all of them.
-const SMALL: usize = 64;
+const MAX_FULL_SCAN: usize = 64;
 
 /// Number of endpoints drawn from the same failure domain and again from all: a few times as
 /// many as placement compares.
-const DRAWN: usize = 20;
+const SAMPLE_SIZE: usize = 20;
 
 /// Maximum age of a pool while no registration changes.
-const LASTS: Duration = Duration::from_millis(100);
+const MAX_POOL_AGE: Duration = Duration::from_millis(100);
 
 /// Available endpoints of a service at some moment.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
     /// When the pool was built.
-    taken: Duration,
+    built_at: Duration,
     /// Revision of the registered endpoints from which the pool was built.
     revision: u64,
     all: Vec<Key>,
     /// Endpoints in this instance's failure domain.
     near: Vec<Key>,
     /// Mean slowness.
-    pub slow: f64,
+    pub mean_slowness: f64,
     /// Mean share of runs that failed.
-    pub failing: f64,
+    pub mean_failure_rate: f64,
 }
 
 impl Fleet {
     /// Rebuilds a service's pool if it is out of date.
-    pub(super) fn refresh(&mut self, service: &str, domain: &str, now: Duration) {
-        let is_current = |pool: &Pool| pool.revision == self.revision && now.saturating_sub(pool.taken) < LASTS;
+    pub(super) fn refresh_pool(&mut self, service: &str, domain: &str, now: Duration) {
+        let is_current =
+            |pool: &Pool| pool.revision == self.revision && now.saturating_sub(pool.built_at) < MAX_POOL_AGE;
         if self.pools.get(service).is_some_and(is_current) {
             return;
         }
-        let awake = self.awake(service, now);
-        let mean = |value: &dyn Fn(&Server) -> f64| super::weigh::mean(&awake, value);
+        let available = self.available(service, now);
+        let mean = |value: &dyn Fn(&Server) -> f64| super::selection::mean(&available, value);
         let pool = Pool {
-            taken: now,
+            built_at: now,
             revision: self.revision,
-            slow: mean(&|server| server.slowness.now(1.0, now)),
-            failing: mean(&|server| server.failing.now(0.0, now)),
-            near: awake.iter().filter(|(_, server)| server.endpoint.domain == domain).map(|(key, _)| *key).collect(),
-            all: awake.iter().map(|(key, _)| *key).collect(),
+            mean_slowness: mean(&|server| server.slowness.value_at(1.0, now)),
+            mean_failure_rate: mean(&|server| server.failure_rate.value_at(0.0, now)),
+            near: available
+                .iter()
+                .filter(|(_, server)| server.endpoint.domain == domain)
+                .map(|(key, _)| *key)
+                .collect(),
+            all: available.iter().map(|(key, _)| *key).collect(),
         };
         self.pools.insert(service.to_owned(), pool);
     }
@@ -63,23 +68,28 @@
     /// endpoints that cache its prompt or, if none does, those that its hash selects. Returns
     /// `None` if all endpoints must be examined, because they are few or no sampled one may
     /// run the job.
-    pub(super) fn sample(&self, job: &Job<'_>, deal: &Deal, now: Duration) -> Option<(&Pool, Vec<(Key, &Server)>)> {
-        let pool = self.pools.get(job.service).filter(|pool| pool.all.len() > SMALL)?;
+    pub(super) fn sample_endpoints(
+        &self,
+        job: &Job<'_>,
+        assignment: &Assignment,
+        now: Duration,
+    ) -> Option<(&Pool, Vec<(Key, &Server)>)> {
+        let pool = self.pools.get(job.service).filter(|pool| pool.all.len() > MAX_FULL_SCAN)?;
         let takes = |key: Key| {
             let server = self.servers.get(key)?;
             let version = server.endpoint.version.as_str();
-            let is_dealt = match job.version {
-                Some(stays) => stays == version && deal.tolerates(version),
-                None => deal.allows(version),
+            let is_assigned = match job.version {
+                Some(stays) => stays == version && assignment.tolerates(version),
+                None => assignment.allows(version),
             };
-            let is_up = !server.endpoint.draining && server.rests_until <= now && server.throttle.takes(now);
-            (is_dealt && is_up && !job.tried.contains(&key)).then_some((key, server))
+            let is_up = !server.endpoint.draining && server.backoff_until <= now && server.throttle.takes(now);
+            (is_assigned && is_up && !job.tried.contains(&key)).then_some((key, server))
         };
-        let mut keys = Vec::with_capacity(3 * DRAWN);
+        let mut keys = Vec::with_capacity(3 * SAMPLE_SIZE);
         let tie = job.session ^ u64::try_from(now.as_nanos()).unwrap_or(0);
         let draw = hash::stable(&tie.to_be_bytes());
         for (of, draw) in [(&pool.near, draw), (&pool.all, draw.rotate_left(32))] {
-            let drawn = placement::sample(of.len(), DRAWN, draw, |place| takes(of[place]).is_some());
+            let drawn = placement::sample(of.len(), SAMPLE_SIZE, draw, |place| takes(of[place]).is_some());
             keys.extend(drawn.into_iter().map(|place| of[place]));
         }
         if keys.is_empty() {
--- a/crates/relay/src/desk/fleet/registry.rs
+++ b/crates/relay/src/desk/fleet/registry.rs
@@ -7,7 +7,7 @@
 
 /// How a registration compares to the known one of the same name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum RegistrationKind {
     /// The name was not known.
     New,
     /// The registration is identical.
@@ -20,14 +20,14 @@
     Old,
 }
 
-impl Standing {
-    fn of(known: Option<&Endpoint>, told: &Endpoint) -> Self {
+impl RegistrationKind {
+    fn of(known: Option<&Endpoint>, received: &Endpoint) -> Self {
         let Some(known) = known else { return Self::New };
-        if known == told {
+        if known == received {
             Self::Same
-        } else if told.revision < known.revision {
+        } else if received.revision < known.revision {
             Self::Old
-        } else if told.born == known.born {
+        } else if received.born == known.born {
             Self::Changed
         } else {
             // The revision decides which is newer, not the start time: the clock of the
@@ -48,15 +48,15 @@
     pub fn enlist(&self, endpoint: Endpoint) {
         let mut state = self.lock();
         let now = clock::now();
-        let standing = Standing::of(state.fleet.known(&endpoint.id), &endpoint);
-        if standing == Standing::Old {
+        let kind = RegistrationKind::of(state.fleet.registration(&endpoint.id), &endpoint);
+        if kind == RegistrationKind::Old {
             tracing::debug!(endpoint = endpoint.id, revision = endpoint.revision, "outdated registration ignored");
             return;
         }
-        if standing != Standing::Same {
+        if kind != RegistrationKind::Same {
             tracing::info!(
                 endpoint = endpoint.id,
-                ?standing,
+                standing = ?kind,
                 service = endpoint.service,
                 version = endpoint.version,
                 address = %endpoint.address,
@@ -66,9 +66,9 @@
                 "endpoint registered"
             );
         }
-        state.trials.sight(&endpoint.service, &endpoint.version, now);
-        let others = state.peers.load(start_hash(&endpoint));
-        state.fleet.register(endpoint, standing, others, now);
+        state.trials.record_version(&endpoint.service, &endpoint.version, now);
+        let peer_load = state.peers.load(start_hash(&endpoint));
+        state.fleet.register(endpoint, kind, peer_load, now);
     }
 
     /// Removes an endpoint whose registration is gone.
@@ -90,7 +90,7 @@
         let is_back = {
             let fleet = &self.lock().fleet;
             let server = fleet.by_name.get(id).and_then(|key| fleet.servers.get(*key));
-            server.is_none_or(|server| server.registered > since)
+            server.is_none_or(|server| server.last_registered > since)
         };
         if !is_back {
             self.delist(id);
@@ -113,29 +113,29 @@
 
 impl Fleet {
     /// Returns the known registration of a name.
-    fn known(&self, id: &str) -> Option<&Endpoint> {
+    fn registration(&self, id: &str) -> Option<&Endpoint> {
         let server = self.servers.get(*self.by_name.get(id)?)?;
         Some(&server.endpoint)
     }
 
-    /// Stores a registration. `others` is the load that other instances report for the endpoint.
-    fn register(&mut self, endpoint: Endpoint, standing: Standing, others: Load, now: Duration) {
+    /// Stores a registration. `peer_load` is the load of other instances on the endpoint.
+    fn register(&mut self, endpoint: Endpoint, kind: RegistrationKind, peer_load: Load, now: Duration) {
         let known = self.by_name.get(&endpoint.id).copied();
-        if standing == Standing::Restarted
+        if kind == RegistrationKind::Restarted
             && let Some(key) = known
         {
             self.remove(key);
         }
         if let Some(server) = known.and_then(|key| self.servers.get_mut(key)) {
-            server.registered = now;
+            server.last_registered = now;
             server.endpoint = Arc::new(endpoint);
-            if standing != Standing::Same {
+            if kind != RegistrationKind::Same {
                 self.revision += 1;
             }
             return;
         }
         let name = endpoint.id.clone();
-        let server = Server::new(endpoint, others, now);
+        let server = Server::new(endpoint, peer_load, now);
         let hash = server.hash;
         let key = self.servers.insert(server);
         self.by_name.insert(name, key);
@@ -162,14 +162,14 @@
     }
 
     /// Returns the endpoint whose start has the hash.
-    pub(super) fn by_hash(&mut self, hash: u32) -> Option<&mut Server> {
+    pub(super) fn server_by_hash(&mut self, hash: u32) -> Option<&mut Server> {
         self.servers.get_mut(*self.by_hash.get(&hash)?)
     }
 
     /// Sets the load of other instances on an endpoint, if it is known.
-    pub(in crate::desk) fn bear(&mut self, endpoint: u32, load: Load) {
-        if let Some(server) = self.by_hash(endpoint) {
-            server.others = load;
+    pub(in crate::desk) fn set_peer_load(&mut self, endpoint: u32, load: Load) {
+        if let Some(server) = self.server_by_hash(endpoint) {
+            server.peer_load = load;
         }
     }
 }
--- a/crates/relay/src/desk/fleet/run.rs
+++ b/crates/relay/src/desk/fleet/run.rs
@@ -8,7 +8,7 @@
     placement::Choice,
 };
 
-use super::{Key, Work, first_guess};
+use super::{Key, PaceKey, initial_pace};
 use crate::{
     clock,
     desk::{Desk, State, trials::Arm},
@@ -16,17 +16,17 @@
 };
 
 /// Backoff after a failed connection; it doubles with each further failure in a row.
-const REST: Duration = Duration::from_millis(400);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 
 /// Maximum backoff after failed connections.
-const LONGEST_REST: Duration = Duration::from_secs(5);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Time for which an endpoint counts as full after it refused a run.
-const FULL: Duration = Duration::from_millis(150);
+const FULL_PERIOD: Duration = Duration::from_millis(150);
 
 /// Weight of an observation in a service's usual lateness, which thus covers some fifty
 /// observations.
-const USUAL: f64 = 0.02;
+const USUAL_LATENESS_WEIGHT: f64 = 0.02;
 
 /// A run in progress; dropping it removes its load from the endpoint.
 #[derive(Debug)]
@@ -45,12 +45,12 @@
     /// Prompt reading that the run adds to the endpoint's backlog, in milliseconds.
     pub(super) backlog_ms: f64,
     /// Part of `backlog_ms` that was announced to the other instances by a notice.
-    pub(super) told_ms: f64,
+    pub(super) announced_ms: f64,
     /// Expected time to the first byte if no endpoint were late, in milliseconds.
-    pub(super) alone_ms: f64,
+    pub(super) nominal_ms: f64,
     /// Expected time to the first byte, in milliseconds.
     pub(super) expected_ms: f64,
-    pub(super) work: Work,
+    pub(super) pace_key: PaceKey,
     /// Units of reading in the prompt.
     pub(super) units: f64,
     pub(super) lateness: Lateness,
@@ -91,28 +91,28 @@
         let took = clock::millis(now.saturating_sub(self.started));
         let desk = Arc::clone(&self.desk);
         let mut state = desk.lock();
-        self.lift(&mut state);
+        self.remove_backlog(&mut state);
         let fleet = &mut state.fleet;
         if let Some(server) = fleet.servers.get_mut(self.key) {
-            let ratio = (took / self.alone_ms.max(1.0)).clamp(0.1, 20.0);
+            let ratio = (took / self.nominal_ms.max(1.0)).clamp(0.1, 20.0);
             // Relative to the service's usual ratio: a bias of the expected time would
             // make every new endpoint look slow or fast.
-            let usual = fleet.usual.entry(self.work.service.clone()).or_insert(1.0);
-            *usual += USUAL * (ratio - *usual);
+            let usual_lateness = fleet.usual_lateness.entry(self.pace_key.service.clone()).or_insert(1.0);
+            *usual_lateness += USUAL_LATENESS_WEIGHT * (ratio - *usual_lateness);
             self.lateness = Lateness::of(ratio);
-            server.slowness.seen(ratio / usual.max(0.1), 1.0, now);
-            server.misses = 0;
-            server.heard = now;
+            server.slowness.observe(ratio / usual_lateness.max(0.1), 1.0, now);
+            server.failed_connections = 0;
+            server.last_received = now;
         }
-        let guess = first_guess(self.work.model);
-        fleet.paces.entry(self.work.clone()).or_insert(guess).learn(self.units, took);
+        let guess = initial_pace(self.pace_key.model);
+        fleet.paces.entry(self.pace_key.clone()).or_insert(guess).learn(self.units, took);
     }
 
     /// Records that more bytes of the answer were received.
     pub fn more_bytes(&self) {
         let now = clock::now();
         if let Some(server) = self.desk.lock().fleet.servers.get_mut(self.key) {
-            server.heard = now;
+            server.last_received = now;
         }
     }
 
@@ -120,7 +120,7 @@
     #[must_use]
     pub fn silence(&self) -> Duration {
         let now = clock::now();
-        self.desk.lock().fleet.servers.get(self.key).map_or(Duration::MAX, |s| now.saturating_sub(s.heard))
+        self.desk.lock().fleet.servers.get(self.key).map_or(Duration::MAX, |s| now.saturating_sub(s.last_received))
     }
 
     /// Returns the expected time from the dispatch to the first byte, in milliseconds.
@@ -134,31 +134,36 @@
         let now = clock::now();
         let desk = Arc::clone(&self.desk);
         let mut state = desk.lock();
-        self.lift(&mut state);
+        self.remove_backlog(&mut state);
         match (how, self.content.take()) {
             (Ended::Good, Some(content)) => state.note_good_end(content, now),
             (Ended::Broken, Some(content)) => self.note_unfinished(&mut state, content, now),
             (Ended::Down, _) => state.note_crash(self.key, now),
             _ => {}
         }
-        self.desk.hurry_findings(&state);
+        self.desk.notify_findings(&state);
         let Some(server) = state.fleet.servers.get_mut(self.key) else { return };
         match how {
             Ended::Good => {
-                server.failing.seen(0.0, 0.0, now);
-                server.misses = 0;
+                server.failure_rate.observe(0.0, 0.0, now);
+                server.failed_connections = 0;
             }
-            Ended::Failed | Ended::Broken => server.failing.seen(1.0, 0.0, now),
-            Ended::Full => server.full_until = now + FULL,
+            Ended::Failed | Ended::Broken => server.failure_rate.observe(1.0, 0.0, now),
+            Ended::Full => server.full_until = now + FULL_PERIOD,
             // A request for a model that does not exist is refused in the same way, so a
             // single refusal may be the caller's fault. A first byte or a good answer
             // in between shows that the endpoint is alive.
-            Ended::Replaced if server.misses == 0 => server.misses = 1,
+            Ended::Replaced if server.failed_connections == 0 => server.failed_connections = 1,
             Ended::Unreachable | Ended::Down | Ended::Replaced => {
-                let rest = REST * 2_u32.saturating_pow(server.misses.min(6));
-                server.misses += 1;
-                server.rests_until = now + rest.min(LONGEST_REST);
-                tracing::warn!(endpoint = server.endpoint.id, ?how, misses = server.misses, "endpoint backing off after failed connection");
+                let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(server.failed_connections.min(6));
+                server.failed_connections += 1;
+                server.backoff_until = now + backoff.min(MAX_BACKOFF);
+                tracing::warn!(
+                    endpoint = server.endpoint.id,
+                    ?how,
+                    misses = server.failed_connections,
+                    "endpoint backing off after failed connection"
+                );
             }
         }
     }
@@ -173,18 +178,18 @@
     /// continue it.
     fn note_unfinished(&self, state: &mut State, content: Content, now: Duration) {
         if let Some(server) = state.fleet.server(self.key) {
-            server.unfinished().add(now, content, self.started);
+            server.unfinished_runs().add(now, content, self.started);
         }
     }
 
     /// Removes the run's prompt reading from the endpoint's backlog.
-    fn lift(&mut self, state: &mut State) {
+    fn remove_backlog(&mut self, state: &mut State) {
         if let Some(server) = state.fleet.servers.get_mut(self.key) {
             server.backlog_ms = (server.backlog_ms - self.backlog_ms).max(0.0);
-            server.told_ms = (server.told_ms - self.told_ms).max(0.0);
+            server.announced_ms = (server.announced_ms - self.announced_ms).max(0.0);
         }
         self.backlog_ms = 0.0;
-        self.told_ms = 0.0;
+        self.announced_ms = 0.0;
     }
 }
 
@@ -192,7 +197,7 @@
     fn drop(&mut self) {
         let desk = Arc::clone(&self.desk);
         let mut state = desk.lock();
-        self.lift(&mut state);
+        self.remove_backlog(&mut state);
         if let Some(content) = self.content.take() {
             self.note_unfinished(&mut state, content, clock::now());
         }
--- a/crates/relay/src/desk/fleet/weigh.rs
+++ b/crates/relay/src/desk/fleet/selection.rs
@@ -8,16 +8,18 @@
     placement::{self, Candidate, Choice, Wanted},
 };
 
-use super::{Fleet, Job, Key, Server, State, Work, caches::part_of, first_guess, notices::WORTH_KEEPING};
-use crate::desk::trials::{Arm, Deal, Dealt};
+use super::{
+    Fleet, Job, Key, PaceKey, Server, State, caches::part_hash, initial_pace, notices::MIN_ANNOUNCED_PART_TOKENS,
+};
+use crate::desk::trials::{Arm, AssignedRequest, Assignment};
 
 /// Number of preceding tokens at which reading a token takes twice as long as at the start
 /// of the text, because of the share of attention in the work of dense models of about
 /// 70 billion parameters.
-const DOUBLES_AT: f64 = 54_000.0;
+const READING_TIME_DOUBLING_TOKENS: f64 = 54_000.0;
 
 /// The endpoint selected for a job.
-pub(super) struct Weighed {
+pub(super) struct Selection {
     pub key: Key,
     pub arm: Arm,
     pub choice: Choice,
@@ -32,38 +34,40 @@
     pub source: Option<SocketAddr>,
 }
 
-impl Weighed {
+impl Selection {
     /// Returns the expected time to the first byte if no endpoint were late, in milliseconds.
-    pub fn alone_ms(&self) -> f64 {
+    pub fn nominal_ms(&self) -> f64 {
         self.choice.wait_ms.max(0.0) + self.pace.job_ms(self.units)
     }
 
     /// Returns the expected time to the first byte, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
-        self.alone_ms() * self.slow
+        self.nominal_ms() * self.slow
     }
 }
 
 impl State {
     /// Selects an endpoint for a job, or returns `None` if none may run it.
-    pub(super) fn weigh(&self, job: &Job<'_>, now: Duration, exposure: f64) -> Option<Weighed> {
+    pub(super) fn select_endpoint(&self, job: &Job<'_>, now: Duration, exposure: f64) -> Option<Selection> {
         let pace = self.fleet.pace(job);
         let settled = || {
-            let (session, lasts) = (job.session, self.session);
-            self.trials.settled(session, now, lasts) || self.peers.settled(session, now, lasts)
+            let (session, lifetime) = (job.session, self.session_lifetime);
+            self.trials.ran_on_old_version(session, now, lifetime)
+                || self.peers.ran_on_old_version(session, now, lifetime)
         };
         let settled = job.in_session && canary::tries_versions(job.session, exposure) && settled();
-        let deal = self.trials.deal(job.service, Dealt { session: job.session, settled, exposure }, now);
-        let (chosen, slow, failing) = if let Some((pool, chosen)) = self.fleet.sample(job, &deal, now) {
-            (chosen, pool.slow, pool.failing)
+        let assignment =
+            self.trials.assign(job.service, AssignedRequest { session: job.session, settled, exposure }, now);
+        let (chosen, slow, failing) = if let Some((pool, chosen)) = self.fleet.sample_endpoints(job, &assignment, now) {
+            (chosen, pool.mean_slowness, pool.mean_failure_rate)
         } else {
-            let chosen = self.fleet.eligible(job, &deal, now);
-            let slow = mean(&chosen, &|server| server.slowness.now(1.0, now));
-            let failing = mean(&chosen, &|server| server.failing.now(0.0, now));
+            let chosen = self.fleet.eligible(job, &assignment, now);
+            let slow = mean(&chosen, &|server| server.slowness.value_at(1.0, now));
+            let failing = mean(&chosen, &|server| server.failure_rate.value_at(0.0, now));
             (chosen, slow, failing)
         };
         let slow = slow.max(0.05);
-        let late = self.fleet.usual.get(job.service).copied().unwrap_or(1.0);
+        let lateness = self.fleet.usual_lateness.get(job.service).copied().unwrap_or(1.0);
         let holders = self.fleet.holders_of(job.affinity, now);
         let holders_of_whole = self.fleet.holders_of(job.whole, now);
         let mut candidates = Vec::with_capacity(chosen.len());
@@ -77,26 +81,26 @@
         }
         let wanted = Wanted {
             affinity: job.affinity,
-            reread_ms: pace.reading_ms(reading(job, job.shared_tokens, 0)),
+            reread_ms: pace.reading_ms(reading_units(job, job.shared_tokens, 0)),
             shared_tokens: job.shared_tokens,
             first_ms: pace.job_ms(job_units(job)),
         };
         let mut choice =
             placement::choose(&candidates, wanted, job.session ^ u64::try_from(now.as_nanos()).unwrap_or(0))?;
         let (key, server) = chosen[choice.index];
-        let arm = deal.arm(&server.endpoint.version);
+        let arm = assignment.arm(&server.endpoint.version);
         // A prompt cache of another version does not fit this version's weights.
         let is_same = |index: &usize| chosen[*index].1.endpoint.version == server.endpoint.version;
         choice.source = choice.source.filter(is_same);
         let source = choice.source.map(|index| chosen[index].1.endpoint.address);
         let Candidate { holds, holds_whole, .. } = candidates[choice.index];
-        let is_kept = holds || source.is_some() || job.shared_tokens < WORTH_KEEPING;
-        let units = match (holds_whole, is_kept) {
+        let is_shared_part_available = holds || source.is_some() || job.shared_tokens < MIN_ANNOUNCED_PART_TOKENS;
+        let units = match (holds_whole, is_shared_part_available) {
             (true, _) => 0.0,
             (false, true) => job_units(job),
-            (false, false) => job_units(job) + reading(job, job.shared_tokens, 0),
+            (false, false) => job_units(job) + reading_units(job, job.shared_tokens, 0),
         };
-        Some(Weighed { key, arm, choice, pace, slow: late.max(1.0), units, source })
+        Some(Selection { key, arm, choice, pace, slow: lateness.max(1.0), units, source })
     }
 }
 
@@ -109,39 +113,39 @@
 
 /// Returns the units of reading in a job after its shared part.
 pub(super) fn job_units(job: &Job<'_>) -> f64 {
-    reading(job, job.own_tokens, job.shared_tokens)
+    reading_units(job, job.own_tokens, job.shared_tokens)
 }
 
 /// Returns the units of reading `tokens` tokens that follow `after` others: one for each
 /// token, scaled by the model's size and growing with the number of preceding tokens.
-fn reading(job: &Job<'_>, tokens: u32, after: u32) -> f64 {
+fn reading_units(job: &Job<'_>, tokens: u32, after: u32) -> f64 {
     if job.model.is_none() {
         return 0.0;
     }
     let tokens = f64::from(tokens);
     let before = f64::from(after) + tokens / 2.0;
-    tokens * (1.0 + before / DOUBLES_AT) * job.size.max(0.01)
+    tokens * (1.0 + before / READING_TIME_DOUBLING_TOKENS) * job.size.max(0.01)
 }
 
 impl Fleet {
     /// Returns the endpoints that may run a job: untried ones of the version it is to stay
     /// on, or else of an assigned version; if there are none, tried ones of an assigned
     /// version; if there are none, any whose version is tolerated.
-    fn eligible(&self, job: &Job<'_>, deal: &Deal, now: Duration) -> Vec<(Key, &Server)> {
-        let pool = self.awake(job.service, now);
+    fn eligible(&self, job: &Job<'_>, assignment: &Assignment, now: Duration) -> Vec<(Key, &Server)> {
+        let pool = self.available(job.service, now);
         let among = |wanted: &dyn Fn(&str) -> bool, untried: bool| -> Vec<(Key, &Server)> {
             let skipped = |key: &Key| untried && job.tried.contains(key);
             pool.iter().filter(|(key, s)| wanted(&s.endpoint.version) && !skipped(key)).copied().collect()
         };
-        let mut found = among(&|version| job.version == Some(version) && deal.tolerates(version), true);
+        let mut found = among(&|version| job.version == Some(version) && assignment.tolerates(version), true);
         if found.is_empty() {
-            found = among(&|version| deal.allows(version), true);
+            found = among(&|version| assignment.allows(version), true);
         }
         if found.is_empty() {
-            found = among(&|version| deal.allows(version), false);
+            found = among(&|version| assignment.allows(version), false);
         }
         if found.is_empty() {
-            found = among(&|version| deal.tolerates(version), false);
+            found = among(&|version| assignment.tolerates(version), false);
         }
         found
     }
@@ -149,25 +153,25 @@
     /// Returns the endpoints of a service that are not leaving and whose rate limit allows
     /// a request. Those in backoff after a failed connection are left out, unless all
     /// of them are.
-    pub(super) fn awake(&self, service: &str, now: Duration) -> Vec<(Key, &Server)> {
+    pub(super) fn available(&self, service: &str, now: Duration) -> Vec<(Key, &Server)> {
         let takes = |server: &Server| {
             server.endpoint.service == service && !server.endpoint.draining && server.throttle.takes(now)
         };
         let all = || self.servers.iter().filter(|(_, server)| takes(server));
-        let awake: Vec<_> = all().filter(|(_, server)| server.rests_until <= now).collect();
-        if awake.is_empty() { all().collect() } else { awake }
+        let available: Vec<_> = all().filter(|(_, server)| server.backoff_until <= now).collect();
+        if available.is_empty() { all().collect() } else { available }
     }
 
     /// Returns the learned pace for a job's service and model, or the initial estimate.
     pub(super) fn pace(&self, job: &Job<'_>) -> Pace {
-        let work = Work { service: job.service.to_owned(), model: job.model };
-        self.paces.get(&work).copied().unwrap_or_else(|| first_guess(job.model))
+        let pace_key = PaceKey { service: job.service.to_owned(), model: job.model };
+        self.paces.get(&pace_key).copied().unwrap_or_else(|| initial_pace(job.model))
     }
 }
 
 impl Job<'_> {
     /// Returns the short hash of the job's shared part.
     pub(super) fn part(&self) -> Option<u32> {
-        self.affinity.map(part_of)
+        self.affinity.map(part_hash)
     }
 }
--- a/crates/relay/src/desk/flight.rs
+++ b/crates/relay/src/desk/flight.rs
@@ -48,10 +48,10 @@
     /// Reserves `bytes` more and returns true, or returns false if the limit would be exceeded.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let mut state = self.desk.lock();
-        if state.held + bytes > self.desk.settings.body_memory {
+        if state.held_body_bytes + bytes > self.desk.settings.body_memory {
             return false;
         }
-        state.held += bytes;
+        state.held_body_bytes += bytes;
         self.bytes += bytes;
         true
     }
@@ -59,6 +59,6 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.desk.lock().held -= self.bytes;
+        self.desk.lock().held_body_bytes -= self.bytes;
     }
 }
--- a/crates/relay/src/desk/peers.rs
+++ b/crates/relay/src/desk/peers.rs
@@ -34,17 +34,17 @@
 
 /// Number of pieces of news that must be missing before an instance counts as gone: one may
 /// be lost, and the next one late.
-const MISSING: u32 = 3;
+const MAX_MISSING_NEWS: u32 = 3;
 
 /// Minimum silence after which an instance counts as gone.
-const SILENT: Duration = Duration::from_millis(1_100);
+const MIN_SILENCE: Duration = Duration::from_millis(1_100);
 
 /// Maximum silence after which an instance counts as gone, however long a round of news
 /// takes. In large fleets other instances report when they last received its news.
-const SILENT_TO_ALL: Duration = Duration::from_secs(4);
+const MAX_SILENCE: Duration = Duration::from_secs(4);
 
 /// Silence after which an instance is forgotten and no longer sent news.
-const FORGOTTEN: Duration = Duration::from_mins(1);
+const FORGET_AFTER: Duration = Duration::from_mins(1);
 
 /// The known other instances and the sums of their loads.
 #[derive(Debug, Default)]
@@ -59,13 +59,13 @@
     by_hash: HashMap<u32, String>,
     /// News addresses of instances that became alive, for the first time or again, and were
     /// not greeted yet.
-    greeted: Vec<SocketAddr>,
+    to_greet: Vec<SocketAddr>,
     /// Sums of the loads of the instances that count as alive.
     sums: Sums,
     /// Number of instances that count as alive.
-    live: usize,
+    live_count: usize,
     /// Earliest time at which one of them may count as gone.
-    next_silence: Duration,
+    next_expiry: Duration,
     /// Addresses that notices are sent to if the fleet is too large to send them to all.
     relays: Vec<SocketAddr>,
 }
@@ -78,11 +78,11 @@
     /// Address at which it receives news.
     news: SocketAddr,
     /// When this instance first learned of it.
-    found: Duration,
+    found_at: Duration,
     /// When its news was last received, here or by an instance that reported it.
-    heard: Option<Duration>,
-    /// Whether it counts as alive, as of the last [`Peers::settle`].
-    counts: bool,
+    last_heard: Option<Duration>,
+    /// Whether it counts as alive, as of the last [`Peers::update_live`].
+    counts_as_live: bool,
     /// Its latest news.
     word: Word,
 }
@@ -131,7 +131,7 @@
 }
 
 impl Word {
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 }
@@ -141,50 +141,51 @@
     ///
     /// Examines all instances only when one may have become silent. Each piece of news
     /// extends the time of its instance, so that happens about once in a round of news.
-    fn settle(&mut self, now: Duration) {
-        if now < self.next_silence {
+    fn update_live(&mut self, now: Duration) {
+        if now < self.next_expiry {
             return;
         }
-        self.next_silence = Duration::MAX;
-        for peer in self.known.values_mut().filter(|peer| peer.counts) {
-            if peer.live(now) {
-                self.next_silence = self.next_silence.min(peer.silent_at());
+        self.next_expiry = Duration::MAX;
+        for peer in self.known.values_mut().filter(|peer| peer.counts_as_live) {
+            if peer.is_live(now) {
+                self.next_expiry = self.next_expiry.min(peer.expires_at());
                 continue;
             }
-            peer.counts = false;
-            self.live -= 1;
-            self.sums.take_away(&peer.word.loads);
+            peer.counts_as_live = false;
+            self.live_count -= 1;
+            self.sums.subtract(&peer.word.loads);
         }
     }
 
     /// Applies the status that an instance reports.
-    fn take(&mut self, name: &str, word: Word, now: Duration) {
-        self.settle(now);
+    fn update(&mut self, name: &str, word: Word, now: Duration) {
+        self.update_live(now);
         let Some(peer) = self.known.get_mut(name) else { return };
         // A start that looks older is accepted once the known one counts as gone: the
         // clock that orders them may have been set back.
-        if peer.counts && word.run < peer.word.run {
+        if peer.counts_as_live && word.run < peer.word.run {
             return;
         }
-        if peer.counts {
-            self.sums.take_away(&peer.word.loads);
+        if peer.counts_as_live {
+            self.sums.subtract(&peer.word.loads);
         } else {
             tracing::info!(instance = name, "instance alive");
-            self.greeted.push(peer.news);
-            peer.counts = true;
-            self.live += 1;
+            self.to_greet.push(peer.news);
+            peer.counts_as_live = true;
+            self.live_count += 1;
         }
-        peer.heard = Some(now);
+        peer.last_heard = Some(now);
         peer.word = word;
         self.sums.add(&peer.word.loads);
-        self.next_silence = self.next_silence.min(peer.silent_at());
+        self.next_expiry = self.next_expiry.min(peer.expires_at());
     }
 
     /// Forgets instances that have been silent for long. They no longer count as alive, so
     /// their loads are not in the sums.
-    fn forget_long_gone(&mut self, now: Duration) {
+    fn forget_long_silent(&mut self, now: Duration) {
         let before = self.known.len();
-        self.known.retain(|_, peer| peer.counts || now < peer.heard.unwrap_or(peer.found) + FORGOTTEN);
+        self.known
+            .retain(|_, peer| peer.counts_as_live || now < peer.last_heard.unwrap_or(peer.found_at) + FORGET_AFTER);
         if self.known.len() < before {
             self.by_hash.retain(|_, name| self.known.contains_key(name));
         }
@@ -194,20 +195,21 @@
     fn forget(&mut self, name: &str) {
         let Some(peer) = self.known.remove(name) else { return };
         self.by_hash.remove(&short_hash(name));
-        if peer.counts {
-            self.live -= 1;
-            self.sums.take_away(&peer.word.loads);
+        if peer.counts_as_live {
+            self.live_count -= 1;
+            self.sums.subtract(&peer.word.loads);
         }
     }
 
-    /// Returns the load of live instances on an endpoint, as of the last news or [`Peers::settle`].
+    /// Returns the load of live instances on an endpoint, as of the last news or
+    /// [`Peers::update_live`].
     pub(super) fn load(&self, endpoint: u32) -> Load {
         self.sums.of(endpoint)
     }
 
     /// Returns the hashes of the names of the other instances that serve callers.
     pub(super) fn serving(&self, now: Duration) -> impl Iterator<Item = u64> {
-        self.known.values().filter(move |peer| peer.live(now) && peer.word.ready()).map(|peer| peer.hash)
+        self.known.values().filter(move |peer| peer.is_live(now) && peer.word.is_ready()).map(|peer| peer.hash)
     }
 
     /// Returns the live instances that may watch the store: all, or with `in_touch` only
@@ -216,19 +218,19 @@
         // Not only ready ones: before an operator has written the first catalog no
         // instance is ready, and each of a whole fleet would watch the store itself.
         let able = move |peer: &&Peer| {
-            peer.live(now) && peer.word.phase != Phase::Leaving && (peer.word.in_touch || !in_touch)
+            peer.is_live(now) && peer.word.phase != Phase::Leaving && (peer.word.in_touch || !in_touch)
         };
         self.known.values().filter(able).map(|peer| Watcher {
             news: peer.news,
             rank: Rank::new(peer.word.is_narrow, peer.word.cores, peer.hash),
-            near: peer.word.domain == self.domain,
+            is_near: peer.word.domain == self.domain,
         })
     }
 
-    /// Whether a session ran on an old version at another instance within `lasts`.
-    pub(super) fn settled(&self, session: u64, now: Duration, lasts: Duration) -> bool {
-        let told = |peer: &Peer| peer.heard.is_some_and(|heard| now < heard + lasts);
-        self.known.values().any(|peer| told(peer) && peer.word.sessions.contains(&session))
+    /// Whether a session ran on an old version at another instance within `lifetime`.
+    pub(super) fn ran_on_old_version(&self, session: u64, now: Duration, lifetime: Duration) -> bool {
+        let is_recent = |peer: &Peer| peer.last_heard.is_some_and(|last_heard| now < last_heard + lifetime);
+        self.known.values().any(|peer| is_recent(peer) && peer.word.sessions.contains(&session))
     }
 
     /// Returns the reports of other instances, including gone ones, about a roll-out.
@@ -238,26 +240,26 @@
 }
 
 impl Peer {
-    fn live(&self, now: Duration) -> bool {
-        now < self.silent_at()
+    fn is_live(&self, now: Duration) -> bool {
+        now < self.expires_at()
     }
 
     /// Returns the time at which it counts as gone unless it is heard from before.
-    fn silent_at(&self) -> Duration {
-        let silent = SILENT.max((self.word.pause * MISSING).min(SILENT_TO_ALL));
-        self.heard.map_or(Duration::ZERO, |heard| heard + silent)
+    fn expires_at(&self) -> Duration {
+        let silent = MIN_SILENCE.max((self.word.pause * MAX_MISSING_NEWS).min(MAX_SILENCE));
+        self.last_heard.map_or(Duration::ZERO, |last_heard| last_heard + silent)
     }
 }
 
 impl State {
     /// Updates the endpoints' loads from other instances by their news and their silence.
     /// Returns the number of other instances that are alive.
-    pub(super) fn settle_peers(&mut self, now: Duration) -> usize {
-        self.peers.settle(now);
+    pub(super) fn update_peer_loads(&mut self, now: Duration) -> usize {
+        self.peers.update_live(now);
         for endpoint in self.peers.sums.take_changed() {
-            self.fleet.bear(endpoint, self.peers.sums.of(endpoint));
+            self.fleet.set_peer_load(endpoint, self.peers.sums.of(endpoint));
         }
-        self.peers.live
+        self.peers.live_count
     }
 }
 
@@ -281,7 +283,7 @@
             by_hash.insert(short_hash(name), name.to_owned());
             tracing::info!(instance = name, %news, "instance discovered");
             let hash = hash::stable(name.as_bytes());
-            Peer { hash, news, found: now, heard: None, counts: false, word: Word::default() }
+            Peer { hash, news, found_at: now, last_heard: None, counts_as_live: false, word: Word::default() }
         });
         peer.news = news;
     }
@@ -292,17 +294,17 @@
         let now = clock::now();
         let catalog = word.catalog;
         let mut state = self.lock();
-        state.peers.take(name, word, now);
-        state.settle_peers(now);
-        if !state.peers.greeted.is_empty() {
-            self.greeting.notify_one();
+        state.peers.update(name, word, now);
+        state.update_peer_loads(now);
+        if !state.peers.to_greet.is_empty() {
+            self.peers_to_greet.notify_one();
         }
         drop(state);
         self.note_teller(news, catalog);
         // The instance that this one synchronizes with may itself be cut off from the
         // store without noticing yet, and prove an old catalog for seconds. The news of any
         // other instance with a newer catalog reveals that.
-        self.note_newer(catalog);
+        self.note_catalog_version(catalog);
     }
 
     /// Forgets an instance that has left.
@@ -314,7 +316,7 @@
     #[must_use]
     pub fn fresh_elsewhere(&self) -> bool {
         let now = clock::now();
-        self.lock().peers.known.values().any(|peer| peer.live(now) && peer.word.fresh && peer.word.ready())
+        self.lock().peers.known.values().any(|peer| peer.is_live(now) && peer.word.fresh && peer.word.is_ready())
     }
 
     /// Whether this instance's name sorts before those of all other live and ready
@@ -324,7 +326,7 @@
         let now = clock::now();
         let state = self.lock();
         let mut others =
-            state.peers.known.iter().filter(|(_, peer)| peer.live(now) && peer.word.ready() && peer.word.fresh);
+            state.peers.known.iter().filter(|(_, peer)| peer.is_live(now) && peer.word.is_ready() && peer.word.fresh);
         others.all(|(name, _)| *name > self.settings.instance)
     }
 
--- a/crates/relay/src/desk/peers/audience.rs
+++ b/crates/relay/src/desk/peers/audience.rs
@@ -12,13 +12,13 @@
 /// Time for which a newly discovered instance that has not sent news yet receives every
 /// piece of news. Live instances answer within two pieces; others are stale
 /// entries of the store.
-const GREETED: Duration = Duration::from_secs(2);
+const GREETING_PERIOD: Duration = Duration::from_secs(2);
 
 /// Number of other instances up to which all are sent everything directly. With more, relays
 /// forward notices of long prompts, which takes a tenth of the datagrams at the cost of
 /// a batch's delay, and other failure domains receive only news that does not become
 /// outdated within a round.
-const TOLD_DIRECTLY: usize = 96;
+const MAX_DIRECT_RECIPIENTS: usize = 96;
 
 /// Recipients of the next pieces of news.
 #[derive(Debug, Clone, Default)]
@@ -70,18 +70,18 @@
     /// Returns the number of instances that a notice is sent to: all live ones, or one relay
     /// for each failure domain.
     pub(in crate::desk) fn fanout(&self) -> usize {
-        if self.relays.is_empty() { self.live } else { self.relays.len() }
+        if self.relays.is_empty() { self.live_count } else { self.relays.len() }
     }
 
     /// Chooses the relays from this instance and the live ones: in each failure domain the
     /// one with the most processor cores.
     fn choose_relays(&mut self, me: Relay, now: Duration) {
         self.relays.clear();
-        if self.live <= TOLD_DIRECTLY {
+        if self.live_count <= MAX_DIRECT_RECIPIENTS {
             return;
         }
         let mut relays: BTreeMap<&str, Relay> = BTreeMap::from([(self.domain.as_str(), me)]);
-        let stays = |peer: &&Peer| peer.live(now) && peer.word.phase != Phase::Leaving;
+        let stays = |peer: &&Peer| peer.is_live(now) && peer.word.phase != Phase::Leaving;
         for peer in self.known.values().filter(stays) {
             let other = Relay { cores: peer.word.cores, hash: peer.hash, news: peer.news };
             let relay = relays.entry(&peer.word.domain).or_insert(other);
@@ -100,7 +100,7 @@
         if !state.peers.relays.is_empty() {
             return Audience::Relays(state.peers.relays.clone());
         }
-        Audience::All(state.peers.known.values().filter(|peer| peer.live(now)).map(|peer| peer.news).collect())
+        Audience::All(state.peers.known.values().filter(|peer| peer.is_live(now)).map(|peer| peer.news).collect())
     }
 
     /// Returns the news addresses of the live instances in this one's failure domain.
@@ -108,19 +108,19 @@
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.lock();
-        let near = |peer: &&Peer| peer.live(now) && peer.word.domain == self.settings.domain;
+        let near = |peer: &&Peer| peer.is_live(now) && peer.word.domain == self.settings.domain;
         state.peers.known.values().filter(near).map(|peer| peer.news).collect()
     }
 
     /// Waits until an instance becomes alive, for the first time or again.
     pub async fn greetings(&self) {
-        self.greeting.notified().await;
+        self.peers_to_greet.notified().await;
     }
 
     /// Takes the news addresses of the instances that became alive since the last call.
     #[must_use]
     pub fn greeted(&self) -> Vec<SocketAddr> {
-        std::mem::take(&mut self.lock().peers.greeted)
+        std::mem::take(&mut self.lock().peers.to_greet)
     }
 
     /// Takes the addresses that must receive news in addition to the round: instances that
@@ -134,9 +134,10 @@
     pub fn strangers(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let peers = &mut self.lock().peers;
-        let mut strangers = std::mem::take(&mut peers.greeted);
-        let unheard = peers.known.values().filter(|peer| peer.heard.is_none() && now < peer.found + GREETED);
-        strangers.extend(unheard.map(|peer| peer.news));
+        let mut strangers = std::mem::take(&mut peers.to_greet);
+        let silent =
+            peers.known.values().filter(|peer| peer.last_heard.is_none() && now < peer.found_at + GREETING_PERIOD);
+        strangers.extend(silent.map(|peer| peer.news));
         strangers
     }
 
@@ -151,9 +152,9 @@
             news: self.settings.listeners.news,
         };
         let peers = &mut self.lock().peers;
-        peers.forget_long_gone(now);
+        peers.forget_long_silent(now);
         peers.choose_relays(me, now);
-        if peers.live <= TOLD_DIRECTLY {
+        if peers.live_count <= MAX_DIRECT_RECIPIENTS {
             return Turn { near: Part::of(peers.known.values(), turn, most), far: Part::default() };
         }
         let is_near = |peer: &&Peer| peer.word.domain == peers.domain;
--- a/crates/relay/src/desk/peers/fronts.rs
+++ b/crates/relay/src/desk/peers/fronts.rs
@@ -58,7 +58,7 @@
             .peers
             .known
             .values()
-            .filter(|peer| peer.live(now) && peer.word.ready())
+            .filter(|peer| peer.is_live(now) && peer.word.is_ready())
             .filter_map(Front::of)
             .collect();
         if me_ready {
--- a/crates/relay/src/desk/peers/sightings.rs
+++ b/crates/relay/src/desk/peers/sightings.rs
@@ -16,7 +16,7 @@
 };
 
 /// Age up to which sightings are sent to others.
-const HEARD_LATELY: Duration = Duration::from_millis(2_500);
+const MAX_SENT_AGE: Duration = Duration::from_millis(2_500);
 
 /// Reports when an instance was last heard from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,14 +32,14 @@
 impl Peers {
     /// Applies a sighting by another instance. It extends the life of the seen instance and
     /// reports its leaving, but changes nothing else of its status.
-    pub(super) fn take_sighting(&mut self, sighting: Sighting, now: Duration) {
+    pub(super) fn apply_sighting(&mut self, sighting: Sighting, now: Duration) {
         let Some(peer) = self.by_hash.get(&sighting.name).and_then(|name| self.known.get_mut(name)) else { return };
         let at = now.saturating_sub(sighting.age);
         // An instance that does not count as alive has to report its status itself.
-        if !peer.counts || peer.heard.is_none_or(|heard| at <= heard) {
+        if !peer.counts_as_live || peer.last_heard.is_none_or(|last_heard| at <= last_heard) {
             return;
         }
-        peer.heard = Some(at);
+        peer.last_heard = Some(at);
         if sighting.leaves {
             peer.word.phase = Phase::Leaving;
         }
@@ -47,12 +47,12 @@
 
     /// Returns up to `most` recent sightings, drawn at random.
     fn sightings(&self, most: usize, now: Duration) -> Vec<Sighting> {
-        let lately = |(name, peer): (&String, &Peer)| {
-            let age = now.saturating_sub(peer.heard?);
+        let recent = |(name, peer): (&String, &Peer)| {
+            let age = now.saturating_sub(peer.last_heard?);
             let leaves = peer.word.phase == Phase::Leaving;
-            (age < HEARD_LATELY).then(|| Sighting { name: short_hash(name), age, leaves })
+            (age < MAX_SENT_AGE).then(|| Sighting { name: short_hash(name), age, leaves })
         };
-        self.known.iter().filter_map(lately).choose_multiple(&mut rand::rng(), most)
+        self.known.iter().filter_map(recent).choose_multiple(&mut rand::rng(), most)
     }
 }
 
@@ -62,7 +62,7 @@
         let now = clock::now();
         let mut state = self.lock();
         for sighting in sightings {
-            state.peers.take_sighting(sighting, now);
+            state.peers.apply_sighting(sighting, now);
         }
     }
 
--- a/crates/relay/src/desk/peers/sums.rs
+++ b/crates/relay/src/desk/peers/sums.rs
@@ -41,7 +41,7 @@
     }
 
     /// Subtracts an instance's loads that were added before.
-    pub(super) fn take_away(&mut self, loads: &HashMap<u32, Load>) {
+    pub(super) fn subtract(&mut self, loads: &HashMap<u32, Load>) {
         for (endpoint, load) in loads {
             let Some(sum) = self.sums.get_mut(endpoint) else { continue };
             sum.instances -= 1;
--- a/crates/relay/src/desk/peers/tests.rs
+++ b/crates/relay/src/desk/peers/tests.rs
@@ -27,26 +27,33 @@
     ]
 }
 
-fn news(instance: u32) -> SocketAddr {
+fn news_address(instance: u32) -> SocketAddr {
     ([127, 0, 0, 1], u16::try_from(1_000 + instance).unwrap()).into()
 }
 
-fn hear(peers: &mut Peers, instance: u32, word: Word, now: Duration) {
+fn receive(peers: &mut Peers, instance: u32, word: Word, now: Duration) {
     let name = format!("i{instance}");
-    let peer = Peer { hash: 0, news: news(instance), found: now, heard: None, counts: false, word: Word::default() };
+    let peer = Peer {
+        hash: 0,
+        news: news_address(instance),
+        found_at: now,
+        last_heard: None,
+        counts_as_live: false,
+        word: Word::default(),
+    };
     peers.known.entry(name.clone()).or_insert(peer);
-    peers.take(&name, word, now);
+    peers.update(&name, word, now);
 }
 
-fn word(run: u64, loads: &[(u32, u16)]) -> Word {
+fn status(run: u64, loads: &[(u32, u16)]) -> Word {
     let load = |runs| Load { runs: f64::from(runs), backlog_ms: 3.0 * f64::from(runs) };
     let loads = loads.iter().map(|(endpoint, runs)| (*endpoint, load(*runs))).collect();
     Word { run, pause: Duration::from_millis(250), loads, ..Word::default() }
 }
 
 /// Sums the loads of all live instances on an endpoint from scratch.
-fn summed(peers: &Peers, endpoint: u32, now: Duration) -> Load {
-    let live = peers.known.values().filter(|peer| peer.live(now));
+fn expected_sum(peers: &Peers, endpoint: u32, now: Duration) -> Load {
+    let live = peers.known.values().filter(|peer| peer.is_live(now));
     let loads = live.filter_map(|peer| peer.word.loads.get(&endpoint));
     loads.fold(Load::default(), |sum, load| Load {
         runs: sum.runs + load.runs,
@@ -58,18 +65,18 @@
     /// Guards against loads of an instance that became silent, left or restarted being kept
     /// in the sums or subtracted twice.
     #[test]
-    fn sums_are_those_of_who_lives(events in prop::collection::vec(event(), 1..80)) {
+    fn sums_match_the_live_instances(events in prop::collection::vec(event(), 1..80)) {
         let (mut peers, mut now) = (Peers::default(), Duration::from_secs(9));
         for event in events {
             match event {
-                Event::Heard { instance, run, loads } => hear(&mut peers, instance, word(run, &loads), now),
+                Event::Heard { instance, run, loads } => receive(&mut peers, instance, status(run, &loads), now),
                 Event::Left(instance) => peers.forget(&format!("i{instance}")),
                 Event::Passed { ms } => now += Duration::from_millis(ms),
             }
-            peers.settle(now);
-            prop_assert_eq!(peers.live, peers.known.values().filter(|peer| peer.live(now)).count());
+            peers.update_live(now);
+            prop_assert_eq!(peers.live_count, peers.known.values().filter(|peer| peer.is_live(now)).count());
             for endpoint in 0..ENDPOINTS {
-                prop_assert_eq!(peers.load(endpoint), summed(&peers, endpoint, now));
+                prop_assert_eq!(peers.load(endpoint), expected_sum(&peers, endpoint, now));
             }
         }
     }
@@ -78,16 +85,16 @@
 /// Guards against summing over all instances and endpoints for each piece of news, which
 /// took nine tenths of the processor time of 295 instances.
 #[test]
-fn a_piece_costs_what_it_carries() {
+fn news_changes_only_the_sums_of_its_loads() {
     let mut peers = Peers::default();
     let now = Duration::from_secs(9);
-    let loads: HashMap<u32, Load> = word(1, &[(1, 2), (2, 4), (3, 6)]).loads;
+    let loads: HashMap<u32, Load> = status(1, &[(1, 2), (2, 4), (3, 6)]).loads;
     for instance in 0..300 {
         let own = loads.iter().map(|(endpoint, load)| (endpoint + 3 * instance, *load)).collect();
-        hear(&mut peers, instance, Word { loads: own, ..word(1, &[]) }, now);
+        receive(&mut peers, instance, Word { loads: own, ..status(1, &[]) }, now);
     }
     peers.sums.take_changed();
-    hear(&mut peers, 7, Word { loads, ..word(2, &[]) }, now);
+    receive(&mut peers, 7, Word { loads, ..status(2, &[]) }, now);
     assert_eq!(peers.sums.take_changed().len(), 6);
 }
 
@@ -96,9 +103,9 @@
 }
 
 /// Returns peers with one instance that sent news at the start, in rounds of `pause_ms`.
-fn heard(pause_ms: u64) -> Peers {
+fn peers_with_one(pause_ms: u64) -> Peers {
     let mut peers = Peers::default();
-    hear(&mut peers, 0, Word { pause: Duration::from_millis(pause_ms), ..word(1, &[(1, 5)]) }, at(0));
+    receive(&mut peers, 0, Word { pause: Duration::from_millis(pause_ms), ..status(1, &[(1, 5)]) }, at(0));
     peers.by_hash.insert(short_hash("i0"), "i0".into());
     peers
 }
@@ -111,50 +118,50 @@
 /// seconds, callers were sent to an instance that had been gone for fourteen.
 #[test]
 fn silent_instance_of_a_large_fleet_is_gone_within_seconds() {
-    let mut peers = heard(4_750);
-    peers.settle(at(3_900));
-    assert_eq!(peers.live, 1);
-    peers.settle(at(4_100));
-    assert_eq!((peers.live, peers.load(1)), (0, Load::default()));
+    let mut peers = peers_with_one(4_750);
+    peers.update_live(at(3_900));
+    assert_eq!(peers.live_count, 1);
+    peers.update_live(at(4_100));
+    assert_eq!((peers.live_count, peers.load(1)), (0, Load::default()));
 }
 
 /// An instance that sends no news here between two rounds stays alive by others' sightings.
 #[test]
-fn instance_that_others_hear_is_not_gone() {
-    let mut peers = heard(4_750);
-    peers.take_sighting(sighting(500, false), at(3_000));
-    peers.settle(at(6_000));
-    assert_eq!(peers.live, 1);
-    peers.settle(at(6_600));
-    assert_eq!(peers.live, 0);
+fn instance_seen_by_others_stays_alive() {
+    let mut peers = peers_with_one(4_750);
+    peers.apply_sighting(sighting(500, false), at(3_000));
+    peers.update_live(at(6_000));
+    assert_eq!(peers.live_count, 1);
+    peers.update_live(at(6_600));
+    assert_eq!(peers.live_count, 0);
 }
 
 /// Sightings of a lost instance circulate for seconds and must not make it alive again.
 #[test]
-fn old_sighting_keeps_nobody_alive() {
-    let mut peers = heard(250);
-    peers.take_sighting(sighting(900, false), at(800));
-    peers.settle(at(1_200));
-    assert_eq!(peers.live, 0);
-    peers.take_sighting(sighting(100, false), at(1_300));
-    assert_eq!(peers.live, 0);
+fn old_sighting_does_not_revive_an_instance() {
+    let mut peers = peers_with_one(250);
+    peers.apply_sighting(sighting(900, false), at(800));
+    peers.update_live(at(1_200));
+    assert_eq!(peers.live_count, 0);
+    peers.apply_sighting(sighting(100, false), at(1_300));
+    assert_eq!(peers.live_count, 0);
 }
 
 /// Guards against sending callers to a leaving instance until its own next news arrives.
 #[test]
-fn leaving_is_told_by_others() {
-    let mut peers = heard(4_750);
-    peers.take_sighting(sighting(10, true), at(500));
+fn sighting_reports_that_an_instance_leaves() {
+    let mut peers = peers_with_one(4_750);
+    peers.apply_sighting(sighting(10, true), at(500));
     assert_eq!(peers.known["i0"].word.phase, Phase::Leaving);
 }
 
 /// Guards against ignoring an instance for good if its machine's clock is reset by a loss of
 /// power, so that its new start looks older than the one before.
 #[test]
-fn start_that_looks_older_is_heard_once_the_other_is_silent() {
-    let mut peers = heard(250);
-    hear(&mut peers, 0, word(0, &[(2, 7)]), at(100));
+fn start_that_looks_older_is_accepted_once_the_other_is_silent() {
+    let mut peers = peers_with_one(250);
+    receive(&mut peers, 0, status(0, &[(2, 7)]), at(100));
     assert!(peers.load(2) == Load::default());
-    hear(&mut peers, 0, word(0, &[(2, 7)]), at(1_200));
-    assert_eq!((peers.live, peers.load(2).runs.to_bits()), (1, 7.0_f64.to_bits()));
+    receive(&mut peers, 0, status(0, &[(2, 7)]), at(1_200));
+    assert_eq!((peers.live_count, peers.load(2).runs.to_bits()), (1, 7.0_f64.to_bits()));
 }
--- a/crates/relay/src/desk/track.rs
+++ b/crates/relay/src/desk/track.rs
@@ -17,7 +17,7 @@
 use rand::seq::IteratorRandom;
 use route::relay::freshness::{Proof, Succession};
 
-use super::{Desk, Known};
+use super::{Desk, Knowledge};
 use crate::{clock, rollout::Rollout, source::Endpoint};
 
 /// Silence of the store above which a reply is doubtful. An instance in touch with the store
@@ -26,7 +26,7 @@
 /// The age of the proof is no criterion, since it grows with the catalog's length even if
 /// nothing is wrong. When it was one, instances abandoned watchers with narrow links and
 /// read the catalog themselves, until every link was saturated.
-const SILENT_TOO_LONG: Duration = Duration::from_millis(1_400);
+const MAX_STORE_SILENCE: Duration = Duration::from_millis(1_400);
 
 /// Number of doubtful replies in a row after which an instance watches the store itself; the
 /// second comes from another instance than the first.
@@ -35,14 +35,14 @@
 /// catalog. They notice after 1.5 s, and it takes as long again until others have replaced
 /// them and announced a new catalog. Instances that waited for that served with
 /// the old catalog for longer than operators allow.
-const MOST_DOUBTS: u32 = 2;
+const MAX_DOUBTFUL_REPLIES: u32 = 2;
 
 /// Maximum number of remembered instances with a newer catalog: several, so that not all
 /// instances ask the same one for it.
-const MOST_TELLERS: usize = 8;
+const MAX_NEWER_CATALOG_PEERS: usize = 8;
 
 /// Maximum number of changes kept for instances that are behind, enough for a roll-out.
-const KEPT: usize = 256;
+const MAX_KEPT_CHANGES: usize = 256;
 
 /// A change to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
@@ -59,13 +59,13 @@
     /// Revision up to which the endpoints are known; 0 before they were listed.
     pub(super) revision: u64,
     /// Revision since which all changes are kept.
-    from: u64,
+    complete_since: u64,
     /// Latest changes, each with the revision that contains it.
-    kept: VecDeque<(u64, Change)>,
+    latest_changes: VecDeque<(u64, Change)>,
     /// When the last reply without doubts was received.
-    pub(super) answered: Option<Duration>,
+    pub(super) last_reply: Option<Duration>,
     /// Number of replies in a row from instances that seem to have lost the store.
-    pub(super) doubts: u32,
+    pub(super) doubtful_replies: u32,
     /// Whether such replies ended the synchronization, and neither other instances nor own
     /// calls have shown since that the store is reachable.
     pub(super) doubts_store: bool,
@@ -74,7 +74,7 @@
     /// Newer catalogs that other instances have announced.
     pub(super) succession: Succession,
     /// Instances that have announced newer catalogs, with the versions.
-    tellers: VecDeque<(SocketAddr, u64)>,
+    newer_catalog_peers: VecDeque<(SocketAddr, u64)>,
 }
 
 /// Question of an instance to a watcher of the store.
@@ -112,24 +112,24 @@
     }
 
     /// Records a complete listing of endpoints.
-    fn listed(&mut self, revision: u64) {
+    fn record_listing(&mut self, revision: u64) {
         if revision >= self.revision {
             self.revision = revision;
-            self.from = revision;
-            self.kept.clear();
+            self.complete_since = revision;
+            self.latest_changes.clear();
         }
     }
 
     /// Records changes up to a revision.
-    fn changed(&mut self, revision: u64, changes: impl IntoIterator<Item = Change>) {
+    fn record_changes(&mut self, revision: u64, changes: impl IntoIterator<Item = Change>) {
         if revision <= self.revision {
             return;
         }
         self.revision = revision;
-        self.kept.extend(changes.into_iter().map(|change| (revision, change)));
-        while self.kept.len() > KEPT {
-            if let Some((dropped, _)) = self.kept.pop_front() {
-                self.from = dropped;
+        self.latest_changes.extend(changes.into_iter().map(|change| (revision, change)));
+        while self.latest_changes.len() > MAX_KEPT_CHANGES {
+            if let Some((dropped, _)) = self.latest_changes.pop_front() {
+                self.complete_since = dropped;
             }
         }
     }
@@ -139,32 +139,32 @@
     ///
     /// Returns about `most` changes: the changes of one revision stay together, or a
     /// question from that revision on would miss the rest.
-    fn since(&self, revision: u64, most: usize) -> Option<(u64, Vec<Change>)> {
-        if revision < self.from {
+    fn changes_since(&self, revision: u64, most: usize) -> Option<(u64, Vec<Change>)> {
+        if revision < self.complete_since {
             return None;
         }
-        let mut told = Vec::new();
+        let mut selected = Vec::new();
         let mut up_to = revision;
-        for (at, change) in self.kept.iter().filter(|(at, _)| *at > revision) {
-            if told.len() >= most && *at > up_to {
-                return Some((up_to, told));
+        for (at, change) in self.latest_changes.iter().filter(|(at, _)| *at > revision) {
+            if selected.len() >= most && *at > up_to {
+                return Some((up_to, selected));
             }
             up_to = *at;
-            told.push(change.clone());
+            selected.push(change.clone());
         }
-        Some((self.revision.max(revision), told))
+        Some((self.revision.max(revision), selected))
     }
 }
 
 impl Desk {
     /// Records a complete listing of endpoints from the store.
     pub fn note_listing(&self, revision: u64) {
-        self.lock().track.listed(revision);
+        self.lock().track.record_listing(revision);
     }
 
     /// Records changes to endpoints from the store.
     pub fn note_changes(&self, revision: u64, changes: Vec<Change>) {
-        self.lock().track.changed(revision, changes);
+        self.lock().track.record_changes(revision, changes);
     }
 
     /// Returns the changes from the known endpoints to a listing. Endpoints in `kept` do not
@@ -220,10 +220,10 @@
         // A proof is an answer of the store too.
         let silence = proof_age.min(clock::now().saturating_sub(self.catalog_progress.last()));
         let state = self.lock();
-        if state.known < Known::Endpoints || !state.track.orders_known {
+        if state.knowledge < Knowledge::Endpoints || !state.track.orders_known {
             return None;
         }
-        let since = state.track.since(question.revision, most);
+        let since = state.track.changes_since(question.revision, most);
         let gap = since.is_none();
         let (revision, changes) = since.unwrap_or((question.revision, Vec::new()));
         Some(Reply {
@@ -239,21 +239,21 @@
 
     /// Applies a reply to a question that was sent at `asked`.
     pub fn take_reply(&self, asked: Duration, reply: Reply) {
-        if reply.silence > SILENT_TOO_LONG {
-            self.doubt(&reply);
+        if reply.silence > MAX_STORE_SILENCE {
+            self.note_doubtful_reply(&reply);
             return;
         }
         // This instance may have read the store itself since it asked. Earlier changes are
         // outdated then: they would remove an endpoint that has come back, and no
         // later change would add it again.
         if reply.revision > self.endpoints_revision() {
-            self.apply(&reply.changes);
+            self.apply_changes(&reply.changes);
         }
-        self.take_orders(&reply.orders);
+        self.apply_orders(&reply.orders);
         let mut state = self.lock();
-        state.track.changed(reply.revision, reply.changes);
-        state.track.answered = Some(clock::now());
-        state.track.doubts = 0;
+        state.track.record_changes(reply.revision, reply.changes);
+        state.track.last_reply = Some(clock::now());
+        state.track.doubtful_replies = 0;
         state.track.doubts_store = false;
         if reply.gap {
             self.endpoints_wanted.notify_one();
@@ -263,11 +263,11 @@
             state.freshness.renew(asked.saturating_sub(reply.proof_age), Proof::Read);
         }
         drop(state);
-        self.note_newer(reply.catalog);
+        self.note_catalog_version(reply.catalog);
     }
 
     /// Applies changes to the known endpoints.
-    fn apply(&self, changes: &[Change]) {
+    fn apply_changes(&self, changes: &[Change]) {
         for change in changes {
             match change {
                 Change::Known(endpoint) => self.enlist(endpoint.clone()),
@@ -277,10 +277,10 @@
     }
 
     /// Records a reply of a watcher that seems to have lost the store.
-    fn doubt(&self, reply: &Reply) {
+    fn note_doubtful_reply(&self, reply: &Reply) {
         let mut state = self.lock();
-        state.track.doubts += 1;
-        if state.track.doubts >= MOST_DOUBTS && state.track.answered.take().is_some() {
+        state.track.doubtful_replies += 1;
+        if state.track.doubtful_replies >= MAX_DOUBTFUL_REPLIES && state.track.last_reply.take().is_some() {
             state.track.doubts_store = true;
             tracing::info!(
                 silence_ms = clock::millis(reply.silence),
@@ -289,11 +289,11 @@
             );
         }
         drop(state);
-        self.note_newer(reply.catalog);
+        self.note_catalog_version(reply.catalog);
     }
 
     /// Records the catalog version of another instance, and requests a newer one to be read.
-    pub(super) fn note_newer(&self, version: u64) {
+    pub(super) fn note_catalog_version(&self, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
@@ -310,10 +310,10 @@
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
         }
-        let tellers = &mut state.track.tellers;
-        tellers.retain(|(known, _)| *known != teller);
-        tellers.truncate(MOST_TELLERS - 1);
-        tellers.push_front((teller, version));
+        let newer_catalog_peers = &mut state.track.newer_catalog_peers;
+        newer_catalog_peers.retain(|(known, _)| *known != teller);
+        newer_catalog_peers.truncate(MAX_NEWER_CATALOG_PEERS - 1);
+        newer_catalog_peers.push_front((teller, version));
     }
 
     /// Returns the address of an instance that has a newer catalog than this one, drawn at
@@ -322,8 +322,8 @@
     pub fn teller(&self) -> Option<SocketAddr> {
         let mut state = self.lock();
         let version = state.catalog.as_ref().map_or(0, |known| known.version);
-        state.track.tellers.retain(|(_, told)| *told > version);
-        let (teller, _) = state.track.tellers.iter().choose(&mut rand::rng())?;
+        state.track.newer_catalog_peers.retain(|(_, announced)| *announced > version);
+        let (teller, _) = state.track.newer_catalog_peers.iter().choose(&mut rand::rng())?;
         Some(*teller)
     }
 
@@ -336,7 +336,7 @@
     }
 
     /// Replaces the known roll-outs by those of a reply, keeping newer revisions.
-    fn take_orders(&self, orders: &[Rollout]) {
+    fn apply_orders(&self, orders: &[Rollout]) {
         let known = self.lock().trials.orders();
         for gone in known.iter().filter(|order| !orders.iter().any(|other| other.service == order.service)) {
             self.withdraw_order(&gone.service);
--- a/crates/relay/src/desk/trials.rs
+++ b/crates/relay/src/desk/trials.rs
@@ -14,7 +14,7 @@
 
 /// Time for which endpoints of an unknown version are not used while their order may still
 /// arrive: an order and the registrations that it causes come by different watches.
-const UNEXPLAINED: Duration = Duration::from_secs(6);
+const ORDER_WAIT: Duration = Duration::from_secs(6);
 
 /// Roll-out state of all services.
 #[derive(Debug, Default)]
@@ -26,14 +26,14 @@
 
 /// Number of sessions above which expired ones are removed; only the few that take part in
 /// trials are kept.
-const MOST_SESSIONS: usize = 4_096;
+const MAX_SESSIONS: usize = 4_096;
 
 /// Maximum number of sessions in a piece of news, so that they fit in a datagram.
-const TOLD_SESSIONS: usize = 96;
+const MAX_SENT_SESSIONS: usize = 96;
 
 /// Properties of a request by which it is assigned to a version.
 #[derive(Debug, Clone, Copy)]
-pub struct Dealt {
+pub struct AssignedRequest {
     /// Identifies the session, or the request if it has none.
     pub session: u64,
     /// Whether the session recently ran on the old version, at any instance.
@@ -46,9 +46,9 @@
 #[derive(Debug, Default)]
 struct Service {
     /// Versions of its endpoints, with the time when each was first seen.
-    sightings: HashMap<String, Duration>,
+    first_seen: HashMap<String, Duration>,
     /// Version in regular use.
-    settled: Option<String>,
+    current_version: Option<String>,
     order: Option<Order>,
 }
 
@@ -83,24 +83,24 @@
 
 /// The versions that a request may run on.
 #[derive(Debug, Clone)]
-pub struct Deal {
+pub struct Assignment {
     /// The new version of the roll-out, if there is one.
     target: Option<String>,
     /// Whether the request is assigned to the new version.
-    meets: bool,
+    takes_target: bool,
     /// Whether the roll-out was reverted.
     reverted: bool,
     /// Recently seen versions that no order covers yet.
-    unexplained: Vec<String>,
+    unordered: Vec<String>,
 }
 
-impl Deal {
+impl Assignment {
     /// Whether the request should run on a version.
     #[must_use]
     pub fn allows(&self, version: &str) -> bool {
         match &self.target {
-            Some(target) => (target == version) == self.meets,
-            None => !self.unexplained.iter().any(|other| other == version),
+            Some(target) => (target == version) == self.takes_target,
+            None => !self.unordered.iter().any(|other| other == version),
         }
     }
 
@@ -110,8 +110,8 @@
     #[must_use]
     pub fn tolerates(&self, version: &str) -> bool {
         match &self.target {
-            Some(target) => target != version || (self.meets && !self.reverted),
-            None => !self.unexplained.iter().any(|other| other == version),
+            Some(target) => target != version || (self.takes_target && !self.reverted),
+            None => !self.unordered.iter().any(|other| other == version),
         }
     }
 
@@ -137,36 +137,36 @@
 
 impl Trials {
     /// Records that a service has endpoints of a version.
-    pub(super) fn sight(&mut self, service: &str, version: &str, now: Duration) {
+    pub(super) fn record_version(&mut self, service: &str, version: &str, now: Duration) {
         let service = self.services.entry(service.to_owned()).or_default();
-        service.sightings.entry(version.to_owned()).or_insert(now);
-        if service.settled.is_none() {
-            service.settled = Some(version.to_owned());
+        service.first_seen.entry(version.to_owned()).or_insert(now);
+        if service.current_version.is_none() {
+            service.current_version = Some(version.to_owned());
         }
     }
 
     /// Returns the versions that a request may run on.
-    pub(super) fn deal(&self, service: &str, dealt: Dealt, now: Duration) -> Deal {
+    pub(super) fn assign(&self, service: &str, request: AssignedRequest, now: Duration) -> Assignment {
         let Some(known) = self.services.get(service) else {
-            return Deal { target: None, meets: false, reverted: false, unexplained: Vec::new() };
+            return Assignment { target: None, takes_target: false, reverted: false, unordered: Vec::new() };
         };
         if let Some(order) = &known.order {
             let elapsed = now.saturating_sub(order.since);
-            let meets = canary::meets(order.stage, elapsed, dealt.session, dealt.settled, dealt.exposure);
-            return Deal {
+            let takes_target = canary::meets(order.stage, elapsed, request.session, request.settled, request.exposure);
+            return Assignment {
                 target: Some(order.rollout.target.clone()),
-                meets,
+                takes_target,
                 reverted: order.stage == Stage::Reverted,
-                unexplained: Vec::new(),
+                unordered: Vec::new(),
             };
         }
-        let unexplained = known
-            .sightings
+        let unordered = known
+            .first_seen
             .iter()
-            .filter(|(version, seen)| known.settled.as_ref() != Some(*version) && now < **seen + UNEXPLAINED)
+            .filter(|(version, seen)| known.current_version.as_ref() != Some(*version) && now < **seen + ORDER_WAIT)
             .map(|(version, _)| version.clone())
             .collect();
-        Deal { target: None, meets: false, reverted: false, unexplained }
+        Assignment { target: None, takes_target: false, reverted: false, unordered }
     }
 
     /// Returns all ordered roll-outs.
@@ -175,16 +175,16 @@
     }
 
     /// Records that a session runs on an old version.
-    pub(super) fn settle(&mut self, session: u64, now: Duration, lasts: Duration) {
-        if self.sessions.len() >= MOST_SESSIONS {
-            self.sessions.retain(|_, seen| now < *seen + lasts);
+    pub(super) fn record_session(&mut self, session: u64, now: Duration, lifetime: Duration) {
+        if self.sessions.len() >= MAX_SESSIONS {
+            self.sessions.retain(|_, seen| now < *seen + lifetime);
         }
         self.sessions.insert(session, now);
     }
 
-    /// Whether a session ran on an old version here within `lasts`.
-    pub(super) fn settled(&self, session: u64, now: Duration, lasts: Duration) -> bool {
-        self.sessions.get(&session).is_some_and(|seen| now < *seen + lasts)
+    /// Whether a session ran on an old version here within `lifetime`.
+    pub(super) fn ran_on_old_version(&self, session: u64, now: Duration, lifetime: Duration) -> bool {
+        self.sessions.get(&session).is_some_and(|seen| now < *seen + lifetime)
     }
 
     /// Adds evidence to a service's roll-out.
@@ -218,15 +218,16 @@
     pub fn order(&self, rollout: Rollout) {
         let mut state = self.lock();
         let service = state.trials.services.entry(rollout.service.clone()).or_default();
-        let told = rollout.stage.unwrap_or(Stage::Trial);
+        let stored_stage = rollout.stage.unwrap_or(Stage::Trial);
         match &mut service.order {
             Some(order) if order.rollout.target == rollout.target => {
-                order.stage = furthest(order.stage, told);
+                order.stage = furthest(order.stage, stored_stage);
                 order.rollout = rollout;
             }
             _ => {
-                tracing::info!(service = rollout.service, target = rollout.target, ?told, "roll-out ordered");
-                service.order = Some(Order { rollout, stage: told, since: clock::now(), own: Tallies::default() });
+                tracing::info!(service = rollout.service, target = rollout.target, told = ?stored_stage, "roll-out ordered");
+                service.order =
+                    Some(Order { rollout, stage: stored_stage, since: clock::now(), own: Tallies::default() });
             }
         }
     }
@@ -238,17 +239,17 @@
         if let Some(order) = known.order.take()
             && order.stage == Stage::Done
         {
-            known.settled = Some(order.rollout.target);
+            known.current_version = Some(order.rollout.target);
         }
     }
 
     /// Returns the sessions that recently ran on an old version here, to send with news.
     #[must_use]
     pub fn settled_sessions(&self) -> Vec<u64> {
-        let (now, lasts) = (clock::now(), self.settings.session);
+        let (now, lifetime) = (clock::now(), self.settings.session);
         let mut state = self.lock();
-        state.trials.sessions.retain(|_, seen| now < *seen + lasts);
-        state.trials.sessions.keys().copied().take(TOLD_SESSIONS).collect()
+        state.trials.sessions.retain(|_, seen| now < *seen + lifetime);
+        state.trials.sessions.keys().copied().take(MAX_SENT_SESSIONS).collect()
     }
 
     /// Returns this instance's state of all roll-outs, to send with news.
@@ -274,7 +275,7 @@
         let now = clock::now();
         let mut state = self.lock();
         let State { trials, peers, .. } = &mut *state;
-        let mut unsaid = Vec::new();
+        let mut unreported = Vec::new();
         for order in trials.services.values_mut().filter_map(|service| service.order.as_mut()) {
             let hash = order_hash(&order.rollout);
             let mut sum = order.own;
@@ -301,17 +302,17 @@
                 );
                 order.stage = next;
             }
-            if order.rollout.stage.map(shown) != Some(shown(order.stage)) {
-                unsaid.push((order.rollout.clone(), order.stage));
+            if order.rollout.stage.map(stored_form) != Some(stored_form(order.stage)) {
+                unreported.push((order.rollout.clone(), order.stage));
             }
         }
-        unsaid
+        unreported
     }
 }
 
 /// Returns the stage as the store's status represents it, which does not distinguish a trial
 /// from a shift.
-fn shown(stage: Stage) -> Stage {
+fn stored_form(stage: Stage) -> Stage {
     match stage {
         Stage::Trial | Stage::Shift => Stage::Trial,
         Stage::Done | Stage::Reverted => stage,
--- a/crates/relay/src/desk/watchers.rs
+++ b/crates/relay/src/desk/watchers.rs
@@ -9,10 +9,10 @@
 
 /// Number of instances that watch the store. When one is lost, the others ask the next one,
 /// and a further one takes its place within a second.
-const WATCHERS: usize = 2;
+const WATCHER_COUNT: usize = 2;
 
 /// Time without a reply after which an instance watches the store itself: three questions.
-const UNANSWERED: Duration = Duration::from_millis(1_100);
+const MAX_REPLY_SILENCE: Duration = Duration::from_millis(1_100);
 
 /// An instance that may watch the store for others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// Its rank among the instances.
     pub rank: Rank,
     /// Whether it is in this instance's failure domain.
-    pub near: bool,
+    pub is_near: bool,
 }
 
 /// Rank of an instance among those that may watch the store; the lowest ranks watch it.
@@ -48,10 +48,10 @@
 
 impl State {
     /// Returns the other instances that rank first among those in touch with the store.
-    fn first_watchers(&self, now: Duration) -> Vec<Watcher> {
+    fn top_watchers(&self, now: Duration) -> Vec<Watcher> {
         let mut watchers: Vec<Watcher> = self.peers.watchers(now, true).collect();
         watchers.sort_unstable_by_key(|watcher| watcher.rank);
-        watchers.truncate(WATCHERS);
+        watchers.truncate(WATCHER_COUNT);
         watchers
     }
 }
@@ -64,8 +64,8 @@
         let now = clock::now();
         let state = self.lock();
         // An instance that is cut off from the store does not count as a watcher.
-        let answered = state.track.answered.is_some_and(|at| now < at + UNANSWERED);
-        answered && !(state.in_touch && self.watches(&state, now, true))
+        let answered = state.track.last_reply.is_some_and(|at| now < at + MAX_REPLY_SILENCE);
+        answered && !(state.in_touch && self.is_watcher(&state, now, true))
     }
 
     /// Whether this instance is one of the few that probe an unreachable store often; the
@@ -73,20 +73,20 @@
     #[must_use]
     pub fn looks_first(&self) -> bool {
         let state = self.lock();
-        self.watches(&state, clock::now(), false)
+        self.is_watcher(&state, clock::now(), false)
     }
 
     /// Whether this instance is one of those that watch the store.
     #[must_use]
     pub fn watches_store(&self) -> bool {
         let state = self.lock();
-        self.watches(&state, clock::now(), true)
+        self.is_watcher(&state, clock::now(), true)
     }
 
     /// Returns the addresses of the other instances that watch the store.
     #[must_use]
     pub fn watchers(&self) -> Vec<SocketAddr> {
-        self.lock().first_watchers(clock::now()).into_iter().map(|watcher| watcher.news).collect()
+        self.lock().top_watchers(clock::now()).into_iter().map(|watcher| watcher.news).collect()
     }
 
     /// Returns the address of the watcher to ask, those in the same failure domain first, or
@@ -96,22 +96,22 @@
     pub fn whom_to_ask(&self, turn: usize) -> Option<SocketAddr> {
         let now = clock::now();
         let state = self.lock();
-        if state.track.revision == 0 || (state.in_touch && self.watches(&state, now, true)) {
+        if state.track.revision == 0 || (state.in_touch && self.is_watcher(&state, now, true)) {
             return None;
         }
-        let mut watchers = state.first_watchers(now);
-        watchers.sort_by_key(|watcher| !watcher.near);
-        let turn = turn + usize::try_from(state.track.doubts).unwrap_or_default();
+        let mut watchers = state.top_watchers(now);
+        watchers.sort_by_key(|watcher| !watcher.is_near);
+        let turn = turn + usize::try_from(state.track.doubtful_replies).unwrap_or_default();
         watchers.get(turn % watchers.len().max(1)).map(|watcher| watcher.news)
     }
 
     /// Whether this instance ranks among the first few, which watch the store. All instances
     /// compute the same ranking. With `in_touch`, only instances whose calls to the store
     /// succeed are ranked before it.
-    fn watches(&self, state: &State, now: Duration, in_touch: bool) -> bool {
+    fn is_watcher(&self, state: &State, now: Duration, in_touch: bool) -> bool {
         let hash = hash::stable(self.settings.instance.as_bytes());
         let me = Rank::new(state.is_narrow, self.settings.cores, hash);
         let mut before = state.peers.watchers(now, in_touch).filter(|other| other.rank < me);
-        before.nth(WATCHERS - 1).is_none()
+        before.nth(WATCHER_COUNT - 1).is_none()
     }
 }
