--- a/crates/relay/src/desk/fleet/limits.rs
+++ b/crates/relay/src/desk/fleet/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that endpoints name: heard, told, and shared out.
+//! Rate limits that endpoints announce: recorded, exchanged between instances, and divided
+//! among them.
 
 use std::time::Duration;
 
@@ -11,49 +12,50 @@
     desk::{Desk, State},
 };
 
-/// Time for which this instance's part of a limit is believed while others come and go.
-const SHARE_LASTS: Duration = Duration::from_millis(250);
+/// Time between updates of this instance's share of each limit, which changes as other
+/// instances join and leave.
+const SHARE_UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Age up to which a word goes out with the news, for those that missed it.
-const NEW: Duration = Duration::from_secs(5);
+/// Age up to which an update of a limit is repeated in the news, for instances that missed it.
+const MAX_REPEATED_AGE: Duration = Duration::from_secs(5);
 
-/// Words kept until they are sent.
-const MOST_UNSENT: usize = 1_024;
+/// Maximum number of updates kept for sending.
+const MAX_UNSENT_UPDATES: usize = 1_024;
 
-/// What an endpoint says of how many requests it takes.
+/// What an attempt at an endpoint revealed about its rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Said {
-    /// Nothing.
+    /// Nothing: no answer was received, or a refusal that states no limit.
     Nothing,
-    /// So many a second, from all instances together.
+    /// The answer states a limit, in requests a second from all instances together.
     Limit(f64),
-    /// An answer names no limit.
+    /// The answer states no limit.
     NoLimit,
 }
 
-/// Word of an endpoint's limit for other instances.
+/// Update of an endpoint's limit for other instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
     /// Hash of the endpoint's name and start.
     pub start: u32,
-    /// Requests a second that it takes; nothing if it names no limit any more.
+    /// Requests a second that it accepts; `None` if it no longer announces a limit.
     pub per_s: Option<f64>,
-    /// Time since it said so.
+    /// Time since the endpoint announced it.
     pub age: Duration,
 }
 
-/// Endpoints that have named a limit.
+/// Endpoints that announce a limit.
 #[derive(Debug, Default)]
-pub(super) struct Limited {
+pub(super) struct LimitedEndpoints {
     keys: Vec<Key>,
-    /// When this instance's parts were last reckoned.
-    shared: Duration,
-    /// Words that were not told yet.
+    /// When this instance's shares were last computed.
+    shares_updated_at: Duration,
+    /// Updates that were not sent yet.
     unsent: Vec<Limit>,
 }
 
 impl Run {
-    /// Notes what the endpoint said of its limit.
+    /// Records what the endpoint said about its limit, and queues a change for the other instances.
     pub fn said(&self, said: Said) {
         let now = clock::now();
         let word = match said {
@@ -62,44 +64,44 @@
             Said::NoLimit => Word { per_s: None, at: self.started },
         };
         let mut state = self.desk.lock();
-        if state.hear_limit(self.key, word, now) {
+        if state.apply_limit(self.key, word, now) {
             let start = state.fleet.servers[self.key].hash;
             let limit = Limit { start, per_s: word.per_s, age: now.saturating_sub(word.at) };
             let unsent = &mut state.fleet.limited.unsent;
-            if unsent.len() < MOST_UNSENT {
+            if unsent.len() < MAX_UNSENT_UPDATES {
                 unsent.push(limit);
             }
-            self.desk.limited.notify_one();
+            self.desk.limits_ready.notify_one();
         }
     }
 }
 
 impl State {
-    /// Takes a word of an endpoint in; whether it changes what holds.
-    fn hear_limit(&mut self, key: Key, word: Word, now: Duration) -> bool {
+    /// Applies an endpoint's announcement, and returns whether it changed the limit.
+    fn apply_limit(&mut self, key: Key, word: Word, now: Duration) -> bool {
         let Some(server) = self.fleet.servers.get_mut(key) else { return false };
         let before = server.throttle.limit(now);
         if !server.throttle.hear(now, word) {
             return false;
         }
-        tracing::info!(endpoint = server.endpoint.id, per_s = word.per_s, before, "endpoint names a limit");
+        tracing::info!(endpoint = server.endpoint.id, per_s = word.per_s, before, "rate limit of endpoint changed");
         if !self.fleet.limited.keys.contains(&key) {
             self.fleet.limited.keys.push(key);
         }
-        self.fleet.limited.shared = Duration::ZERO;
-        self.share_limits(now);
+        self.fleet.limited.shares_updated_at = Duration::ZERO;
+        self.update_limit_shares(now);
         true
     }
 
-    /// Reckons this instance's parts of all limits anew, if that was a while ago.
-    pub(super) fn share_limits(&mut self, now: Duration) {
+    /// Recomputes this instance's shares of all limits if they are out of date.
+    pub(super) fn update_limit_shares(&mut self, now: Duration) {
         let Fleet { servers, limited, .. } = &mut self.fleet;
-        if limited.keys.is_empty() || now < limited.shared + SHARE_LASTS {
+        if limited.keys.is_empty() || now < limited.shares_updated_at + SHARE_UPDATE_INTERVAL {
             return;
         }
-        limited.shared = now;
+        limited.shares_updated_at = now;
         limited.keys.retain(|key| servers.get(*key).is_some_and(|server| server.is_limited(now)));
-        let is_sender = self.draining.is_none();
+        let is_sender = self.draining_since.is_none();
         for key in &limited.keys {
             let Some(server) = servers.get_mut(*key) else { continue };
             let Some(per_s) = server.throttle.limit(now) else { continue };
@@ -112,51 +114,52 @@
 }
 
 impl Desk {
-    /// Waits until there is word of limits to tell, and takes it.
+    /// Waits until there are updates of limits to send, and takes them.
     pub async fn limits_to_tell(&self) -> Vec<Limit> {
         loop {
             let unsent = std::mem::take(&mut self.lock().fleet.limited.unsent);
             if !unsent.is_empty() {
                 return unsent;
             }
-            self.limited.notified().await;
+            self.limits_ready.notified().await;
         }
     }
 
-    /// Takes another instance's word of limits in.
+    /// Applies updates of limits from another instance.
     pub fn take_limits(&self, limits: impl IntoIterator<Item = Limit>) {
         let now = clock::now();
         let mut state = self.lock();
         for Limit { start, per_s, age } in limits {
             if let Some(key) = state.fleet.key_of(start) {
-                state.hear_limit(key, Word { per_s, at: now.saturating_sub(age) }, now);
+                state.apply_limit(key, Word { per_s, at: now.saturating_sub(age) }, now);
             }
         }
     }
 
-    /// Some of the limits that endpoints named lately, for instances that have not heard.
+    /// Returns up to `most` recent updates of limits, drawn at random, for instances that missed them.
     #[must_use]
     pub fn limits(&self, most: usize) -> Vec<Limit> {
         let now = clock::now();
         let state = self.lock();
         let Fleet { servers, limited, .. } = &state.fleet;
-        let lately = limited.keys.iter().filter_map(|key| {
+        let recent = limited.keys.iter().filter_map(|key| {
             let server = servers.get(*key)?;
             let word = server.throttle.word()?;
             let age = now.saturating_sub(word.at);
-            (age < NEW).then_some(Limit { start: server.hash, per_s: word.per_s, age })
+            (age < MAX_REPEATED_AGE).then_some(Limit { start: server.hash, per_s: word.per_s, age })
         });
-        lately.choose_multiple(&mut rand::rng(), most)
+        recent.choose_multiple(&mut rand::rng(), most)
     }
 
-    /// Time until an endpoint of a service takes a request, if each of those that are
-    /// up takes no more now because of its limit.
+    /// Returns the time until an endpoint of a service accepts a request, if the limits of
+    /// all available ones are used up now; `None` if one accepts a request at once or none
+    /// is available.
     #[must_use]
     pub fn throttled(&self, service: &str) -> Option<Duration> {
         let now = clock::now();
         let state = self.lock();
         let up = |server: &&Server| {
-            server.endpoint.service == service && !server.endpoint.draining && server.rests_until <= now
+            server.endpoint.service == service && !server.endpoint.draining && server.backoff_until <= now
         };
         let mut least = None;
         for server in state.fleet.servers.values().filter(up) {
@@ -171,8 +174,8 @@
 }
 
 impl Server {
-    /// Whether it names a limit, or has ended one a moment ago.
+    /// Whether the endpoint announces a limit or has ended one recently.
     fn is_limited(&self, now: Duration) -> bool {
-        self.throttle.limit(now).is_some() || self.throttle.word().is_some_and(|word| now < word.at + NEW)
+        self.throttle.limit(now).is_some() || self.throttle.word().is_some_and(|word| now < word.at + MAX_REPEATED_AGE)
     }
 }
--- a/crates/relay/src/desk/peers.rs
+++ b/crates/relay/src/desk/peers.rs
@@ -1,4 +1,7 @@
-//! Other instances, as their news tells.
+//! Other instances, as reported by their news messages.
+//!
+//! Each instance sends news about itself to the others in rounds. An instance is alive
+//! until it has been silent for too long.
 
 mod audience;
 mod fronts;
@@ -29,237 +32,246 @@
 };
 use crate::{clock, settings::Cores};
 
-/// Pieces of news that must be missing before an instance is believed gone:
-/// one may be lost, and the next one late.
-const MISSING: u32 = 3;
+/// Number of pieces of news that must be missing before an instance counts as gone: one may
+/// be lost, and the next one late.
+const MAX_MISSING_NEWS: u32 = 3;
 
-/// Least silence after which an instance is believed gone.
-const SILENT: Duration = Duration::from_millis(1_100);
+/// Minimum silence after which an instance counts as gone.
+const MIN_SILENCE: Duration = Duration::from_millis(1_100);
 
-/// Silence after which an instance is believed gone in a fleet where a round of news
-/// takes longer: others tell when they last heard it.
-const SILENT_TO_ALL: Duration = Duration::from_secs(4);
+/// Maximum silence after which an instance counts as gone, however long a round of news
+/// takes. In large fleets other instances report when they last received its news.
+const MAX_SILENCE: Duration = Duration::from_secs(4);
 
-/// Silence after which nobody looks for an instance any more.
-const FORGOTTEN: Duration = Duration::from_mins(1);
+/// Silence after which an instance is forgotten and no longer sent news.
+const FORGET_AFTER: Duration = Duration::from_mins(1);
 
-/// Other instances.
+/// The known other instances and the sums of their loads.
 #[derive(Debug, Default)]
 pub struct Peers {
     /// Hash of this instance's name.
     pub(super) me: u64,
     /// The failure domain of this instance.
     pub(super) domain: String,
+    /// Known instances by name.
     known: BTreeMap<String, Peer>,
     /// Names by their hash in sightings.
     by_hash: HashMap<u32, String>,
-    /// Where instances hear news that were heard for the first time, or again.
-    greeted: Vec<SocketAddr>,
-    /// Loads of those that count as live.
+    /// News addresses of instances that became alive, for the first time or again, and were
+    /// not greeted yet.
+    to_greet: Vec<SocketAddr>,
+    /// Sums of the loads of the instances that count as alive.
     sums: Sums,
-    /// How many count as live.
-    live: usize,
-    /// None of these falls silent before.
-    next_silence: Duration,
-    /// Where notices go instead of to all, if the fleet is too large for that.
+    /// Number of instances that count as alive.
+    live_count: usize,
+    /// Earliest time at which one of them may count as gone.
+    next_expiry: Duration,
+    /// Addresses that notices are sent to if the fleet is too large to send them to all.
     relays: Vec<SocketAddr>,
 }
 
+/// Another instance.
 #[derive(Debug)]
 struct Peer {
     /// Hash of its name.
     hash: u64,
+    /// Address at which it receives news.
     news: SocketAddr,
-    found: Duration,
-    heard: Option<Duration>,
-    /// Whether it counts as live; [`Peers::settle`] keeps this in step.
-    counts: bool,
+    /// When this instance first learned of it.
+    found_at: Duration,
+    /// When its news was last received, here or by an instance that reported it.
+    last_heard: Option<Duration>,
+    /// Whether it counts as alive, as of the last [`Peers::update_live`].
+    counts_as_live: bool,
+    /// Its latest news.
     word: Word,
 }
 
-/// Where an instance stands between its start and its end.
+/// Phase of an instance's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Phase {
     /// It cannot serve callers yet.
     #[default]
     Starting,
-    /// Callers should come to it.
+    /// It serves callers.
     Ready,
-    /// It is about to end.
+    /// It is about to exit.
     Leaving,
 }
 
-/// What an instance says of itself.
+/// Status of an instance, as it reports it in its news.
 #[derive(Debug, Clone, Default)]
 pub struct Word {
-    /// Where callers reach it.
+    /// Address at which it serves callers.
     pub front: Option<SocketAddr>,
-    /// Its start; a later one replaces what an earlier one said.
+    /// Identifies its start; the status of a later start replaces that of an earlier one.
     pub run: u64,
-    /// Where it stands between its start and its end.
+    /// Phase of its life.
     pub phase: Phase,
-    /// Whether its knowledge of access keys is fresh.
+    /// Whether its access keys are fresh enough to serve requests.
     pub fresh: bool,
-    /// Failure domain it stands in.
+    /// Its failure domain.
     pub domain: String,
     /// Whether its own calls to the store succeed.
     pub in_touch: bool,
-    /// Whether the catalog takes long to come in there.
+    /// Whether its link is slow, so that reading the catalog takes long.
     pub is_narrow: bool,
-    /// Processor it has.
+    /// Number of processor cores that it has.
     pub cores: Cores,
-    /// Longest time until its next piece of news.
+    /// Maximum time until its next piece of news.
     pub pause: Duration,
-    /// Loads it puts on endpoints, by the hash of their names.
+    /// Its load on endpoints, by the hash of the endpoint's start.
     pub loads: HashMap<u32, Load>,
-    /// Sessions that were on an old version there a moment ago.
+    /// Sessions that recently ran on an old version there.
     pub sessions: Vec<u64>,
-    /// Roll-outs as it knows them.
+    /// Its state of the roll-outs.
     pub reports: Vec<Report>,
     /// Version of its catalog; 0 before it has one.
     pub catalog: u64,
 }
 
 impl Word {
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 }
 
 impl Peers {
-    /// Lets instances that have fallen silent count no longer.
+    /// Marks instances that have been silent for too long as gone, and removes their loads.
     ///
-    /// Looks at all of them only when one may have: a word moves its instance's
-    /// own silence on, so that comes about once a round of news.
-    fn settle(&mut self, now: Duration) {
-        if now < self.next_silence {
+    /// Examines all instances only when one may have become silent. Each piece of news
+    /// extends the time of its instance, so that happens about once in a round of news.
+    fn update_live(&mut self, now: Duration) {
+        if now < self.next_expiry {
             return;
         }
-        self.next_silence = Duration::MAX;
-        for peer in self.known.values_mut().filter(|peer| peer.counts) {
-            if peer.live(now) {
-                self.next_silence = self.next_silence.min(peer.silent_at());
+        self.next_expiry = Duration::MAX;
+        for peer in self.known.values_mut().filter(|peer| peer.counts_as_live) {
+            if peer.is_live(now) {
+                self.next_expiry = self.next_expiry.min(peer.expires_at());
                 continue;
             }
-            peer.counts = false;
-            self.live -= 1;
-            self.sums.take_away(&peer.word.loads);
+            peer.counts_as_live = false;
+            self.live_count -= 1;
+            self.sums.subtract(&peer.word.loads);
         }
     }
 
-    /// Takes an instance's word in.
-    fn take(&mut self, name: &str, word: Word, now: Duration) {
-        self.settle(now);
+    /// Applies the status that an instance reports.
+    fn update(&mut self, name: &str, word: Word, now: Duration) {
+        self.update_live(now);
         let Some(peer) = self.known.get_mut(name) else { return };
-        // A start that looks older counts once the one before it is silent: the clock
-        // that tells them apart may have been set back.
-        if peer.counts && word.run < peer.word.run {
+        // A start that looks older is accepted once the known one counts as gone: the
+        // clock that orders them may have been set back.
+        if peer.counts_as_live && word.run < peer.word.run {
             return;
         }
-        if peer.counts {
-            self.sums.take_away(&peer.word.loads);
+        if peer.counts_as_live {
+            self.sums.subtract(&peer.word.loads);
         } else {
-            tracing::info!(instance = name, "instance heard again");
-            self.greeted.push(peer.news);
-            peer.counts = true;
-            self.live += 1;
+            tracing::info!(instance = name, "instance alive");
+            self.to_greet.push(peer.news);
+            peer.counts_as_live = true;
+            self.live_count += 1;
         }
-        peer.heard = Some(now);
+        peer.last_heard = Some(now);
         peer.word = word;
         self.sums.add(&peer.word.loads);
-        self.next_silence = self.next_silence.min(peer.silent_at());
+        self.next_expiry = self.next_expiry.min(peer.expires_at());
     }
 
-    /// Forgets instances that have been silent for long. They do not count any more,
-    /// so nothing has to be taken away.
-    fn forget_long_gone(&mut self, now: Duration) {
+    /// Forgets instances that have been silent for long. They no longer count as alive, so
+    /// their loads are not in the sums.
+    fn forget_long_silent(&mut self, now: Duration) {
         let before = self.known.len();
-        self.known.retain(|_, peer| peer.counts || now < peer.heard.unwrap_or(peer.found) + FORGOTTEN);
+        self.known
+            .retain(|_, peer| peer.counts_as_live || now < peer.last_heard.unwrap_or(peer.found_at) + FORGET_AFTER);
         if self.known.len() < before {
             self.by_hash.retain(|_, name| self.known.contains_key(name));
         }
     }
 
-    /// Forgets an instance.
+    /// Forgets an instance and removes its load.
     fn forget(&mut self, name: &str) {
         let Some(peer) = self.known.remove(name) else { return };
         self.by_hash.remove(&short_hash(name));
-        if peer.counts {
-            self.live -= 1;
-            self.sums.take_away(&peer.word.loads);
+        if peer.counts_as_live {
+            self.live_count -= 1;
+            self.sums.subtract(&peer.word.loads);
         }
     }
 
-    /// Load that live instances put on an endpoint, as of the last word or look.
+    /// Returns the load of live instances on an endpoint, as of the last news or
+    /// [`Peers::update_live`].
     pub(super) fn load(&self, endpoint: u32) -> Load {
         self.sums.of(endpoint)
     }
 
-    /// Hashes of the names of the other instances that serve callers.
+    /// Returns the hashes of the names of the other instances that serve callers.
     pub(super) fn serving(&self, now: Duration) -> impl Iterator<Item = u64> {
-        self.known.values().filter(move |peer| peer.live(now) && peer.word.ready()).map(|peer| peer.hash)
+        self.known.values().filter(move |peer| peer.is_live(now) && peer.word.is_ready()).map(|peer| peer.hash)
     }
 
-    /// Live instances that may watch the store: those whose own calls to it
-    /// succeed, or any.
+    /// Returns the live instances that may watch the store: all, or with `in_touch` only
+    /// those whose own calls to it succeed.
     pub(super) fn watchers(&self, now: Duration, in_touch: bool) -> impl Iterator<Item = Watcher> {
-        // Not only ready ones: before an operator has written the first catalog
-        // none is, and each of a whole fleet would watch the store by itself.
+        // Not only ready ones: before an operator has written the first catalog no
+        // instance is ready, and each of a whole fleet would watch the store itself.
         let able = move |peer: &&Peer| {
-            peer.live(now) && peer.word.phase != Phase::Leaving && (peer.word.in_touch || !in_touch)
+            peer.is_live(now) && peer.word.phase != Phase::Leaving && (peer.word.in_touch || !in_touch)
         };
         self.known.values().filter(able).map(|peer| Watcher {
             news: peer.news,
             rank: Rank::new(peer.word.is_narrow, peer.word.cores, peer.hash),
-            near: peer.word.domain == self.domain,
+            is_near: peer.word.domain == self.domain,
         })
     }
 
-    /// Whether a session was on an old version at another instance a moment ago.
-    pub(super) fn settled(&self, session: u64, now: Duration, lasts: Duration) -> bool {
-        let told = |peer: &Peer| peer.heard.is_some_and(|heard| now < heard + lasts);
-        self.known.values().any(|peer| told(peer) && peer.word.sessions.contains(&session))
+    /// Whether a session ran on an old version at another instance within `lifetime`.
+    pub(super) fn ran_on_old_version(&self, session: u64, now: Duration, lifetime: Duration) -> bool {
+        let is_recent = |peer: &Peer| peer.last_heard.is_some_and(|last_heard| now < last_heard + lifetime);
+        self.known.values().any(|peer| is_recent(peer) && peer.word.sessions.contains(&session))
     }
 
-    /// What instances, gone ones too, say of a roll-out.
+    /// Returns the reports of other instances, including gone ones, about a roll-out.
     pub(super) fn reports(&self, order: u32) -> impl Iterator<Item = &Report> {
         self.known.values().flat_map(|peer| &peer.word.reports).filter(move |report| report.order == order)
     }
 }
 
 impl Peer {
-    fn live(&self, now: Duration) -> bool {
-        now < self.silent_at()
+    fn is_live(&self, now: Duration) -> bool {
+        now < self.expires_at()
     }
 
-    /// When it counts as gone unless it is heard before.
-    fn silent_at(&self) -> Duration {
-        let silent = SILENT.max((self.word.pause * MISSING).min(SILENT_TO_ALL));
-        self.heard.map_or(Duration::ZERO, |heard| heard + silent)
+    /// Returns the time at which it counts as gone unless it is heard from before.
+    fn expires_at(&self) -> Duration {
+        let silent = MIN_SILENCE.max((self.word.pause * MAX_MISSING_NEWS).min(MAX_SILENCE));
+        self.last_heard.map_or(Duration::ZERO, |last_heard| last_heard + silent)
     }
 }
 
 impl State {
-    /// Brings loads of other instances in step with what was heard and who has
-    /// fallen silent; the number of those that live.
-    pub(super) fn settle_peers(&mut self, now: Duration) -> usize {
-        self.peers.settle(now);
+    /// Updates the endpoints' loads from other instances by their news and their silence.
+    /// Returns the number of other instances that are alive.
+    pub(super) fn update_peer_loads(&mut self, now: Duration) -> usize {
+        self.peers.update_live(now);
         for endpoint in self.peers.sums.take_changed() {
-            self.fleet.bear(endpoint, self.peers.sums.of(endpoint));
+            self.fleet.set_peer_load(endpoint, self.peers.sums.of(endpoint));
         }
-        self.peers.live
+        self.peers.live_count
     }
 }
 
 impl Desk {
-    /// Notes who this instance is among its peers, and its failure domain.
+    /// Sets this instance's own identity and failure domain among its peers.
     pub fn settle_in(&self) {
         let peers = &mut self.lock().peers;
         peers.me = hash::stable(self.settings.instance.as_bytes());
         peers.domain.clone_from(&self.settings.domain);
     }
 
-    /// Notes where an instance hears news.
+    /// Records an instance and the address at which it receives news.
     pub fn meet(&self, name: &str, news: SocketAddr) {
         if name == self.settings.instance || news == self.settings.listeners.news {
             return;
@@ -269,30 +281,30 @@
         let Peers { known, by_hash, .. } = &mut state.peers;
         let peer = known.entry(name.to_owned()).or_insert_with(|| {
             by_hash.insert(short_hash(name), name.to_owned());
-            tracing::info!(instance = name, %news, "instance found");
+            tracing::info!(instance = name, %news, "instance discovered");
             let hash = hash::stable(name.as_bytes());
-            Peer { hash, news, found: now, heard: None, counts: false, word: Word::default() }
+            Peer { hash, news, found_at: now, last_heard: None, counts_as_live: false, word: Word::default() }
         });
         peer.news = news;
     }
 
-    /// Takes an instance's word in.
+    /// Applies the status that an instance reports in its news.
     pub fn hear(&self, name: &str, news: SocketAddr, word: Word) {
         self.meet(name, news);
         let now = clock::now();
         let catalog = word.catalog;
         let mut state = self.lock();
-        state.peers.take(name, word, now);
-        state.settle_peers(now);
-        if !state.peers.greeted.is_empty() {
-            self.greeting.notify_one();
+        state.peers.update(name, word, now);
+        state.update_peer_loads(now);
+        if !state.peers.to_greet.is_empty() {
+            self.peers_to_greet.notify_one();
         }
         drop(state);
         self.note_teller(news, catalog);
-        // The instance that keeps this one in step may itself be cut off from
-        // the store and not know it yet: it goes on to prove an old catalog,
-        // for seconds. Any other that has a newer one shows that by its news.
-        self.note_newer(catalog);
+        // The instance that this one synchronizes with may itself be cut off from the
+        // store without noticing yet, and prove an old catalog for seconds. The news of any
+        // other instance with a newer catalog reveals that.
+        self.note_catalog_version(catalog);
     }
 
     /// Forgets an instance that has left.
@@ -300,25 +312,25 @@
         self.lock().peers.forget(name);
     }
 
-    /// Whether another instance's knowledge of access keys is fresh.
+    /// Whether another live and ready instance has fresh access keys.
     #[must_use]
     pub fn fresh_elsewhere(&self) -> bool {
         let now = clock::now();
-        self.lock().peers.known.values().any(|peer| peer.live(now) && peer.word.fresh && peer.word.ready())
+        self.lock().peers.known.values().any(|peer| peer.is_live(now) && peer.word.fresh && peer.word.is_ready())
     }
 
-    /// Whether this instance's name comes first among the live and ready ones
-    /// that are in touch with the store.
+    /// Whether this instance's name sorts before those of all other live and ready
+    /// instances with fresh access keys.
     #[must_use]
     pub fn leads(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
         let mut others =
-            state.peers.known.iter().filter(|(_, peer)| peer.live(now) && peer.word.ready() && peer.word.fresh);
+            state.peers.known.iter().filter(|(_, peer)| peer.is_live(now) && peer.word.is_ready() && peer.word.fresh);
         others.all(|(name, _)| *name > self.settings.instance)
     }
 
-    /// Takes an instance's evidence on roll-outs in, ahead of its news.
+    /// Applies an instance's roll-out reports, which are sent ahead of its news.
     pub fn take_reports(&self, name: u32, reports: Vec<Report>) {
         let Peers { known, by_hash, .. } = &mut self.lock().peers;
         if let Some(peer) = by_hash.get(&name).and_then(|name| known.get_mut(name)) {
