--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -1,7 +1,8 @@
-//! Answers of this instance's own.
+//! Responses that this instance generates itself.
 //!
-//! A status that promises "not run" (503) is given only where nothing was, or
-//! will be, run; it says when to come back. What may have run gets 502 or 504.
+//! Callers take 503 as a promise that the request did not and will not run, so it
+//! is used only where that holds; where it helps, a `Retry-After` header goes with
+//! it. A request that may have run gets 502 or 504.
 
 use std::{fmt, io, time::Duration};
 
@@ -9,65 +10,65 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 
-/// A body on its way to a caller; an error ends its connection.
+/// Response body sent to a caller; an error closes the caller's connection.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Why a request has no endpoint's answer.
+/// Why a request gets no answer from an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// No catalog has been read yet.
+    /// This instance has not read a catalog yet.
     NotStarted,
-    /// What is known of access keys is too old.
+    /// The last confirmation of the access keys is too old to check a key.
     KeysStale {
-        /// Whether another instance knows better.
+        /// Whether another instance has a recent confirmation.
         elsewhere: bool,
     },
-    /// The catalog is known to be replaced, and this instance has not read the newer
-    /// one.
+    /// A newer catalog is known to exist and this instance has not read it.
     Replaced,
-    /// This instance ends before the request could.
+    /// This instance is shutting down and may stop before the request could complete.
     Leaving,
-    /// No route has its host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// Its access key is missing or unknown.
+    /// The access key is missing or unknown.
     NoKey,
-    /// Its body is longer than allowed.
+    /// The body is longer than allowed.
     TooLarge,
-    /// Its body ended early.
+    /// The body ended early or did not arrive in time.
     Truncated,
-    /// Waiting bodies take all the memory there is for them.
+    /// The memory for request bodies is used up.
     Memory,
-    /// The route's service has no endpoint that takes requests.
+    /// The route's service has no endpoint that accepts requests.
     NoEndpoint,
-    /// Every endpoint tried turned it away.
+    /// No try succeeded and no further one is allowed.
     TurnedAway,
-    /// Endpoints crash under it.
+    /// The request is quarantined because endpoints crashed while running it.
     Quarantined {
-        /// How much longer it is refused.
+        /// Time until the quarantine ends.
         left: Duration,
     },
-    /// No endpoint takes more requests now, by the limits that they name.
+    /// All endpoints are at the rate limits that they report.
     Throttled {
-        /// Time until one does.
+        /// Time until an endpoint accepts a request again.
         after: Duration,
     },
-    /// The time for it ran out before it was run.
+    /// The deadline passed before the request ran.
     Expired,
-    /// It may have run, and no answer came in time.
+    /// The request may have run, and no answer came in time.
     TimedOut,
-    /// It may have run, and the answer was lost or spoiled.
+    /// The request may have run, and its answer was lost or invalid.
     Lost,
 }
 
-/// Wait told where another instance can serve the request at once.
+/// `Retry-After` when another instance can serve the request at once.
 const ELSEWHERE: Duration = Duration::from_millis(20);
-/// Wait told while an instance starts or the store is away: a watch's length.
+/// `Retry-After` while the instance starts or the store is unreachable: about the
+/// duration of one watch.
 const STARTING: Duration = Duration::from_secs(1);
-/// Wait told when endpoints are missing or full: a queue's usual length.
+/// `Retry-After` when endpoints are missing or full: the usual queueing time.
 const BUSY: Duration = Duration::from_millis(400);
 
 impl Refusal {
-    /// Its status.
+    /// Returns the HTTP status of the response.
     #[must_use]
     pub fn status(&self) -> StatusCode {
         match self {
@@ -90,11 +91,11 @@
         }
     }
 
-    /// When the caller should come back.
+    /// Returns the time after which the caller should retry, before jitter.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            // Whoever told of the newer catalog has it.
+            // The instance that announced the newer catalog has it.
             Self::Leaving | Self::Replaced | Self::KeysStale { elsewhere: true } => Some(ELSEWHERE),
             Self::NotStarted | Self::KeysStale { elsewhere: false } => Some(STARTING),
             Self::Memory | Self::NoEndpoint | Self::TurnedAway | Self::Expired => Some(BUSY),
@@ -103,7 +104,8 @@
         }
     }
 
-    /// The answer; `spread` from 0 to 1 keeps callers from returning at once.
+    /// Builds the response; `spread` from 0 to 1 lengthens `Retry-After` by up to half, so
+    /// that callers do not all retry at once.
     #[must_use]
     pub fn answer(&self, spread: f64) -> Response<Body> {
         let mut response = Response::new(text(self.to_string()));
@@ -141,12 +143,12 @@
     }
 }
 
-/// A body of a known length.
+/// Returns a body that holds `bytes`.
 pub fn full(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer without a body.
+/// Returns a response with an empty body.
 #[must_use]
 pub fn empty(code: StatusCode) -> Response<Body> {
     let mut response = Response::new(full(Bytes::new()));
--- a/crates/relay/src/ask.rs
+++ b/crates/relay/src/ask.rs
@@ -1,4 +1,4 @@
-//! A caller's request, its headers decoded once.
+//! Headers of a caller's request, decoded once, and helpers for header values.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
 
 use crate::dialect::Names;
 
-/// What a request's headers ask for.
+/// Parameters that a caller's request gives in its headers.
 #[derive(Debug, Clone, Default)]
 pub struct Ask {
-    /// The caller's id of the request.
+    /// Request id that the caller chose.
     pub id: String,
-    /// Time the caller will wait, from the request's arrival.
+    /// Time that the caller waits, counted from the request's arrival.
     pub deadline: Option<Duration>,
-    /// The caller's access key.
+    /// Access key of the caller.
     pub key: Option<String>,
-    /// Prompt tokens and most output tokens.
+    /// Prompt length and maximum output length.
     pub tokens: Option<Tokens>,
-    /// Parts of the prompt in order.
+    /// Parts of the prompt, in order.
     pub parts: Vec<Part>,
     /// Hash of the caller's session.
     pub session: Option<u64>,
-    /// Last event the caller has.
+    /// Number of the last stream event that the caller has received.
     pub last_event: Option<u64>,
-    /// Whether the caller leaves the model to this instance.
+    /// Whether the caller lets this instance choose the model.
     pub any_model: bool,
 }
 
-/// Sizes of a generation, in tokens.
+/// Token counts of a generation request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Tokens {
-    /// Of the prompt.
+    /// Tokens in the prompt.
     pub prompt: u32,
-    /// Most that are generated.
+    /// Maximum number of tokens to generate.
     pub output: u32,
 }
 
 /// A part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// Hash of its id.
+    /// Hash of the part's id.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
 impl Ask {
-    /// Reads a request's headers.
+    /// Decodes the headers of a request.
     #[must_use]
     pub fn read(headers: &HeaderMap, names: &Names) -> Self {
         let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Hash of the longest part that other requests share, and its tokens,
-    /// with all parts before it; the last part belongs to this request.
+    /// Returns the longest prefix of the prompt that other requests share: the hash of its
+    /// last part, and the tokens of all its parts. The prompt's last part is never shared.
     #[must_use]
     pub fn shared(&self) -> Option<Part> {
         let (_, shared) = self.parts.split_last()?;
@@ -72,7 +72,7 @@
         Some(Part { id: last.id, tokens: shared.iter().map(|part| part.tokens).sum() })
     }
 
-    /// Prompt tokens in no shared part.
+    /// Returns the number of prompt tokens outside the shared prefix.
     #[must_use]
     pub fn own_tokens(&self) -> u32 {
         let prompt = self.tokens.map_or(0, |tokens| tokens.prompt);
@@ -93,7 +93,7 @@
     text.split(',').filter_map(part).collect()
 }
 
-/// Headers that concern one connection only; the library sets its own.
+/// Headers that apply to one connection only; the HTTP library sets its own.
 const HOP_BY_HOP: [HeaderName; 9] = [
     http::header::CONNECTION,
     http::header::CONTENT_LENGTH,
@@ -106,7 +106,7 @@
     http::header::EXPECT,
 ];
 
-/// Copies the headers that concern more than one connection.
+/// Copies the headers that are forwarded, leaving out hop-by-hop headers.
 #[must_use]
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
@@ -126,10 +126,11 @@
     copy
 }
 
-/// A header's value from a number or checked text.
+/// Returns a header value for `text`.
 ///
-/// Texts come from catalogs and headers that were read before; one that is no
-/// valid value becomes empty, which no endpoint takes for something else.
+/// `text` comes from a number, the catalog or a header that was already decoded. A text
+/// that is not a valid header value becomes empty, which no endpoint mistakes for
+/// another value.
 #[must_use]
 pub fn value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static(""))
--- a/crates/relay/src/caches.rs
+++ b/crates/relay/src/caches.rs
@@ -1,4 +1,4 @@
-//! Asks engines at the start what their prompt caches hold.
+//! Asks engines at startup which prompt parts they hold in their caches.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,17 +9,18 @@
 
 use crate::{clock, desk::Desk, source::Endpoint, upstream};
 
-/// Longest wait for an engine's list; most come within some milliseconds.
+/// Time limit for connecting to an engine and reading its list; most lists arrive
+/// within some milliseconds.
 const ANSWER: Duration = Duration::from_millis(250);
 
-/// Longest list that is read, in bytes: some forty thousand parts.
+/// Longest list that is read, in bytes: about forty thousand parts.
 const LONGEST: usize = 2 << 20;
 
-/// Engines asked at most. Each list is ten kilobytes, and an instance has little
-/// time and bandwidth at its start.
+/// Maximum number of engines asked. Each list takes ten kilobytes, and a starting
+/// instance has little time and bandwidth.
 const MOST_ASKED: usize = 16;
 
-/// Asks once, as soon as engines are known.
+/// Asks the engines once, as soon as the endpoints have been listed.
 pub async fn ask(desk: Arc<Desk>) {
     desk.started().await;
     let engines = nearest(&desk);
@@ -43,7 +44,7 @@
     tracing::info!(engines = count, parts, took_ms, "engines' caches known");
 }
 
-/// The engines of the own failure domain first.
+/// Returns the engines to ask, those in this instance's failure domain first.
 fn nearest(desk: &Desk) -> Vec<Endpoint> {
     let mut engines = desk.engines();
     engines.sort_by_key(|engine| engine.domain != desk.settings.domain);
--- a/crates/relay/src/catalog.rs
+++ b/crates/relay/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Routes, services and access keys, as one immutable value per version.
+//! The catalog of routes, services and access keys; each version is immutable.
 
 pub(crate) mod wire;
 
@@ -6,61 +6,62 @@
 
 use route::relay::ladder::Urgency;
 
-/// Everything an operator has configured, at one version.
+/// The operator's configuration at one version.
 #[derive(Debug, Clone, Default)]
 pub struct Catalog {
-    /// Its version; higher ones replace lower ones.
+    /// Version number; a higher version replaces a lower one.
     pub version: u64,
-    /// Routes by host, those with longer prefixes first.
+    /// Routes by host, longest prefix first.
     pub hosts: HashMap<String, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: HashMap<String, Arc<Service>>,
-    /// Teams by access key; nothing where keys are not used.
+    /// Customers by access key; `None` if access keys are not used.
     pub keys: Option<HashMap<String, Arc<Team>>>,
-    /// Bounds on what callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
-    /// Lowest and highest rank of the routes that have a ladder of models; kept
-    /// by [`Catalog::add`].
+    /// Lowest and highest rank among the routes that have a ladder of models; maintained by
+    /// [`Catalog::add`].
     pub ladder_ranks: Option<(u8, u8)>,
 }
 
 /// A route from a host and path prefix to services.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name, for logs.
     pub name: String,
-    /// Start of the paths it takes.
+    /// Path prefix that the route matches.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether and how requests may be repeated.
     pub kind: Kind,
-    /// Longest time a caller may be kept waiting.
+    /// Longest time that a request may take.
     pub timeout: Duration,
-    /// Time within which an answer (a stream's first event) is wanted.
+    /// Target time to the answer, or to the first event of a stream.
     pub goal: Duration,
-    /// Longest pause between events that is still on time.
+    /// Target for the longest pause between two events of a stream.
     pub pause: Option<Duration>,
-    /// Its rank, 0 first.
+    /// Rank; 0 is served first.
     pub rank: u8,
-    /// Most endpoints that one request is sent to.
+    /// Maximum number of endpoints to which one request is sent.
     pub attempts: u32,
-    /// Whether it takes requests without an access key.
+    /// Whether requests need no access key.
     pub public: bool,
-    /// Models to choose from, smallest first; none if the caller names one.
+    /// Models to choose from, smallest first; empty if the caller names the model.
     pub models: Vec<Model>,
-    /// Services it leads to, with their weights.
+    /// Services that requests are distributed over.
     pub targets: Vec<Target>,
 }
 
-/// A service that a route leads to.
+/// A service that a route sends requests to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
     /// The service's name.
     pub service: String,
-    /// Its share of the route, over the sum of all.
+    /// Weight of the service; its share of requests is the weight divided by the sum of all
+    /// weights of the route.
     pub weight: u32,
 }
 
-/// A model of a ladder.
+/// A model in a route's ladder of models.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Model {
     /// Its name.
@@ -69,61 +70,61 @@
     pub cost: f64,
 }
 
-/// What may be repeated of a request.
+/// How a route's requests are answered and whether they may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It runs once at most.
+    /// The request may run at most once.
     NonIdempotent,
-    /// Its answer is a stream of numbered events.
+    /// The answer is a stream of numbered events.
     Stream {
-        /// Whether another endpoint may go on after an event.
+        /// Whether another endpoint may continue the stream after any event.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether a second run does no harm before anything was answered.
+    /// Returns whether the request may run again while the caller has no part of an answer.
     #[must_use]
     pub fn repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 }
 
-/// A service of endpoints that are alike.
+/// A service, provided by interchangeable endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Tokens that an endpoint's memory holds; nothing for plain services.
+    /// Tokens that fit into an endpoint's prompt cache; `None` if the service is not an engine.
     pub memory_tokens: Option<u64>,
 }
 
-/// A customer as access keys name it.
+/// A customer that owns access keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Team {
     /// Its name.
     pub name: String,
-    /// Rank of its requests, before the route's.
+    /// Rank of the customer's requests; takes precedence over the route's rank.
     pub rank: Option<u8>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on what callers may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Longest request head, in bytes.
     pub header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Longest request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time to send a head.
+    /// Longest time for sending the request head.
     pub header_time: Duration,
-    /// Longest time a connection stays idle.
+    /// Longest time that a connection may stay idle.
     pub idle_time: Duration,
 }
 
 impl Default for Limits {
-    /// Bounds until a catalog gives others; those of common HTTP servers.
+    /// Returns the limits that common HTTP servers use; in force until a catalog sets others.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -135,21 +136,20 @@
 }
 
 impl Catalog {
-    /// The route of a request: the longest prefix of its path among the
-    /// routes of its host.
+    /// Returns the route with the longest matching path prefix among the routes of a host.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// How urgent a route is among those that have a ladder of models.
+    /// Returns how urgent a route is among those that have a ladder of models.
     #[must_use]
     pub fn urgency(&self, route: &Route) -> Urgency {
         self.ladder_ranks.map_or(Urgency::Usual, |(first, last)| Urgency::of(route.rank, first..=last))
     }
 
-    /// Adds a route, in its place among those of its host.
+    /// Adds a route to a host, keeping its routes sorted by prefix length.
     pub fn add(&mut self, host: String, route: Route) {
         if !route.models.is_empty() {
             let (first, last) = self.ladder_ranks.unwrap_or((route.rank, route.rank));
@@ -162,7 +162,8 @@
 }
 
 impl Route {
-    /// The service that a draw from 0 to 1 falls to.
+    /// Returns the service selected by `draw`, a random number from 0 to 1, according to the
+    /// weights.
     #[must_use]
     pub fn target(&self, draw: f64) -> Option<&str> {
         let sum: u32 = self.targets.iter().map(|target| target.weight).sum();
--- a/crates/relay/src/catalog/wire.rs
+++ b/crates/relay/src/catalog/wire.rs
@@ -1,4 +1,4 @@
-//! A catalog as instances pass it on to each other.
+//! Serialized form of a catalog, as instances send it to each other.
 
 #[cfg(test)]
 mod tests;
@@ -9,7 +9,7 @@
 
 use super::{Catalog, Kind, Limits, Model, Route, Service, Target, Team};
 
-/// A catalog on the wire.
+/// Serialized form of [`Catalog`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Copy {
     version: u64,
--- a/crates/relay/src/catalog/wire/tests.rs
+++ b/crates/relay/src/catalog/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Copies of a catalog say all that the catalog does.
+//! Round-trip tests: decoding an encoded catalog gives an equal catalog.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
--- a/crates/relay/src/clock.rs
+++ b/crates/relay/src/clock.rs
@@ -1,13 +1,13 @@
-//! A clock that also counts suspension.
+//! A clock that keeps counting while the machine is suspended.
 //!
-//! A suspended instance's monotonic clock stands still, so a lease counted on
-//! it would outlive its bound by the length of the sleep. This clock does not.
+//! The usual monotonic clock stops during suspension, so a lease measured with it
+//! would stay valid too long by the time spent suspended.
 
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Time since the instance's machine started, suspension included.
+/// Returns the time since the machine booted, including time spent suspended.
 #[must_use]
 pub fn now() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
@@ -16,7 +16,7 @@
     Duration::new(seconds, nanos)
 }
 
-/// A span in milliseconds, fractions included.
+/// Converts a duration to fractional milliseconds.
 #[must_use]
 pub fn millis(span: Duration) -> f64 {
     span.as_secs_f64() * 1_000.0
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -1,76 +1,76 @@
-//! Names of the wire, given from outside.
+//! Header names, paths and body formats, supplied by the embedding program.
 //!
-//! This crate knows what each header is for, not how a site spells it.
+//! This crate knows what each header is for, but not how a deployment names it.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use http::HeaderName;
 
-/// How callers, endpoints and this instance spell what they say.
+/// Names and formats in the HTTP messages of callers, endpoints and this instance.
 #[derive(Debug, Clone)]
 pub struct Dialect {
-    /// Headers.
+    /// Header names.
     pub names: Names,
-    /// Path that tells whether this instance takes requests.
+    /// Path of the readiness check.
     pub ready_path: &'static str,
-    /// Path that callers ask for addresses at.
+    /// Path at which callers request the addresses of instances.
     pub addresses_path: &'static str,
-    /// The caller's failure domain, from the query of such a question.
+    /// Reads the caller's failure domain from the query of an address request.
     pub asking_domain: fn(&str) -> Option<String>,
-    /// Body that lists addresses and says for how many seconds to keep them.
+    /// Builds the body that lists addresses and for how many seconds to cache them.
     pub addresses: fn(&[SocketAddr], u32) -> Bytes,
     /// Path at which an engine lists its prompt cache.
     pub cache_path: &'static str,
-    /// Reads such a list; entries that do not read are left out.
+    /// Parses such a list, skipping invalid entries.
     pub cached: fn(&[u8]) -> Vec<Cached>,
 }
 
-/// A part of a prompt that an engine keeps.
+/// A part of a prompt that an engine holds in its cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cached {
-    /// The part's id, as callers spell it.
+    /// Id of the part, as callers write it.
     pub part: String,
-    /// Name of the model that has read it.
+    /// Name of the model that processed the part.
     pub model: String,
 }
 
-/// Names of headers.
+/// Header names.
 #[derive(Debug, Clone)]
 pub struct Names {
-    /// Caller's id of a request, echoed by answers.
+    /// Request id chosen by the caller and echoed in the answer.
     pub request: HeaderName,
-    /// Milliseconds that are left for the answer.
+    /// Milliseconds left until the answer is due.
     pub deadline: HeaderName,
-    /// Caller's access key; never passed on.
+    /// Access key of the caller; never forwarded.
     pub key: HeaderName,
-    /// The key's team, as endpoints hear it.
+    /// Customer that owns the access key, sent to endpoints.
     pub team: HeaderName,
-    /// Endpoint that alone may run the request.
+    /// Name of the only endpoint that may run the request.
     pub expect_endpoint: HeaderName,
-    /// Model asked for.
+    /// Requested model.
     pub model: HeaderName,
-    /// Prompt tokens and most output tokens, by a comma.
+    /// Prompt tokens and maximum output tokens, separated by a comma.
     pub tokens: HeaderName,
-    /// Parts of the prompt in order, `ID:TOKENS` by commas.
+    /// Parts of the prompt in order, as `ID:TOKENS` separated by commas.
     pub parts: HeaderName,
-    /// Caller's session.
+    /// Session of the caller.
     pub session: HeaderName,
-    /// Rank at the engine, 0 first.
+    /// Rank of the request at the engine; 0 is served first.
     pub rank: HeaderName,
-    /// Last event that the receiver of a stream has.
+    /// Number of the last event that the receiver of a stream has.
     pub last_event: HeaderName,
-    /// Says that the endpoint did not and will not run the request.
+    /// Present if the endpoint did not and will not run the request.
     pub not_run: HeaderName,
-    /// Endpoint's signature over its answer.
+    /// Signature of the endpoint over its answer.
     pub signature: HeaderName,
-    /// Model's own opinion of its answer, 0 to 100.
+    /// Confidence of the model in its answer, 0 to 100.
     pub confidence: HeaderName,
-    /// Requests a second that the endpoint takes from all instances together, while it
-    /// says so.
+    /// Rate limit of the endpoint, in requests per second over all instances; in force until
+    /// an answer comes without it.
     pub limit: HeaderName,
-    /// Endpoint from whose memory a shared part is to be copied first.
+    /// Endpoint from whose prompt cache the shared prefix is to be copied first.
     pub fetch: HeaderName,
-    /// Set by this instance alone; a caller's are dropped.
+    /// Headers that only this instance sets; they are removed from callers' requests.
     pub reserved: Vec<HeaderName>,
 }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which instances callers should use, and whether this one takes requests.
+//! Answers address requests (which instances callers should use) and readiness checks.
 
 use std::sync::Arc;
 
@@ -11,12 +11,14 @@
     front::Origin,
 };
 
-/// How long callers may keep an answer, in seconds. Some keep it three times
-/// as long, so this bounds how long an instance that has left is still tried;
-/// each answer costs a request's worth of processor time.
+/// Longest time that callers may cache a list of addresses, in seconds.
+///
+/// Some callers keep it three times as long, so a longer time means that an instance
+/// that has left is still tried for longer. A shorter time costs more CPU: an address
+/// request takes as much as any other request.
 pub const KEEP_S: u32 = 2;
 
-/// Answers a question for addresses.
+/// Answers an address request.
 pub fn addresses(desk: &Arc<Desk>, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != desk.dialect.addresses_path {
         return answer::empty(StatusCode::NOT_FOUND);
@@ -31,7 +33,7 @@
     response
 }
 
-/// Answers whether this instance takes requests.
+/// Answers a readiness check: 200 if this instance accepts requests, otherwise 503.
 pub fn ready(desk: &Arc<Desk>, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != desk.dialect.ready_path {
         return answer::empty(StatusCode::NOT_FOUND);
@@ -39,7 +41,7 @@
     answer::empty(if desk.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
-/// Who asks, as far as the question and its connection tell.
+/// Returns the failure domain and IP address of the caller, as far as known.
 fn asking(desk: &Desk, request: &Request<Incoming>) -> Asking {
     let domain = request.uri().query().and_then(desk.dialect.asking_domain);
     Asking { domain, from: request.extensions().get().map(|Origin(address)| *address) }
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -1,16 +1,16 @@
-//! Splitting a stream of events where one ends and the next begins.
+//! Splits a stream of server-sent events into whole events.
 //!
-//! A server may stop in the middle of an event. Only whole events go to the
-//! caller, so that another server can go on after the last of them, and an
-//! event whose number the caller has already is left out.
+//! A server may stop in the middle of an event. Only whole events are passed on to
+//! the caller, so that another server can continue after the last of them. Events
+//! whose number the caller already has are dropped.
 
 #[cfg(test)]
 mod tests;
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event kept while it is incomplete, in bytes; an endless one would
-/// otherwise take all memory.
+/// Longest incomplete event that is buffered, in bytes. Without a limit, an event that
+/// never ends would take all memory.
 pub const LONGEST: usize = 1 << 20;
 
 /// Cuts a byte stream into whole events.
@@ -22,35 +22,35 @@
 }
 
 impl Splitter {
-    /// A splitter whose caller has the event `last` already.
+    /// Creates a splitter for a caller that already has the events up to number `last`.
     #[must_use]
     pub fn new(last: Option<u64>) -> Self {
         Self { last, ..Self::default() }
     }
 
-    /// Number of the last event that was handed out.
+    /// Returns the number of the last event that the caller has.
     #[must_use]
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether part of an event is left.
+    /// Returns whether the buffer holds an incomplete event.
     #[must_use]
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Drops the part of an event that is left, before another run goes on.
+    /// Drops the incomplete event, before another run continues the stream.
     pub fn restart(&mut self) {
         self.buffer.clear();
         self.scanned = 0;
     }
 
-    /// Takes bytes in and returns the whole events they complete.
+    /// Adds received bytes and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// When an event is longer than [`LONGEST`].
+    /// Returns [`TooLong`] if an incomplete event is longer than [`LONGEST`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, TooLong> {
         self.buffer.extend_from_slice(bytes);
         let mut whole = BytesMut::new();
@@ -70,7 +70,7 @@
         Ok((!whole.is_empty()).then(|| whole.freeze()))
     }
 
-    /// Where the first whole event ends: after an empty line.
+    /// Returns the offset after the first whole event; an empty line ends an event.
     fn end(&mut self) -> Option<usize> {
         let mut line_start = self.scanned;
         while let Some(length) = self.buffer[line_start..].iter().position(|&byte| byte == b'\n') {
@@ -86,11 +86,11 @@
     }
 }
 
-/// An event that is too long to keep.
+/// Error: an event is too long to buffer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooLong;
 
-/// An event's number.
+/// Returns the number in the event's `id` field.
 fn number(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|&byte| byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/relay/src/events/tests.rs
+++ b/crates/relay/src/events/tests.rs
@@ -1,4 +1,4 @@
-//! Streams cut anywhere, resumed anywhere.
+//! Tests of streams that are cut into pieces and resumed at any offset.
 
 use proptest::prelude::*;
 
@@ -12,7 +12,7 @@
     (from..=to).map(event).collect()
 }
 
-/// Pushes a text in pieces cut at the given places; what came out.
+/// Pushes `text` in pieces cut at the given offsets and returns the output.
 fn push(splitter: &mut Splitter, text: &str, cuts: &[usize]) -> String {
     let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (text.len() + 1)).chain([0, text.len()]).collect();
     places.sort_unstable();
@@ -30,8 +30,8 @@
         prop_assert_eq!(splitter.last(), Some(last));
     }
 
-    /// The first server breaks off anywhere; the next one goes on after the
-    /// last whole event, or repeats some: each event comes out once, in order.
+    /// The first server stops at any byte; the next one continues after the last whole
+    /// event or repeats some events. Each event must come out once and in order.
     #[test]
     fn broken_and_resumed_anywhere_is_one_stream(
         last in 2_u64..20,
@@ -57,7 +57,7 @@
     }
 }
 
-/// A server sends an event without an end: it must not take all memory.
+/// An event that never ends must not take all memory.
 #[test]
 fn endless_event_is_refused() {
     let mut splitter = Splitter::new(None);
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -1,10 +1,11 @@
-//! The life of one request: admitted, tried, answered.
+//! Handles one request: admits it, tries endpoints and answers the caller.
 //!
 //! A request is tried until an answer may go to the caller, within the route's
-//! attempts, the retry allowance and its time. What may not be repeated is
-//! sent again only after an endpoint has said that it did not run. Nothing
-//! goes to the caller before an answer is decided on; from then on a stream
-//! may change endpoints after a whole event, under the first one's headers.
+//! attempts, the retry allowance and the deadline. A request that must not run
+//! twice is sent again only after an endpoint has said that it did not run it.
+//! Nothing is sent to the caller before an answer is accepted. After that, a stream
+//! may continue at another endpoint after a whole event, under the headers of the
+//! first one.
 
 mod admit;
 mod plan;
@@ -23,7 +24,7 @@
     desk::Desk,
 };
 
-/// Serves one request.
+/// Serves one request and returns the response to the caller.
 pub async fn serve(desk: Arc<Desk>, request: Request<Incoming>) -> Response<Body> {
     let mut exchange = match admit::admit(&desk, request).await {
         Ok(exchange) => exchange,
@@ -45,6 +46,7 @@
     response
 }
 
+/// Logs and counts a refused request and builds the response.
 fn refuse(desk: &Desk, ask: &Ask, refusal: &Refusal, exchange: Option<&tries::Exchange>) -> Response<Body> {
     let age = desk.keys_age().map(clock::millis);
     let catalog = desk.catalog().map(|catalog| catalog.version);
@@ -65,14 +67,13 @@
     metrics::counter!("relay_refusals_total", "status" => refusal.status().as_str().to_owned()).increment(1);
     let mut response = refusal.answer(rand::random());
     if matches!(refusal, Refusal::TooLarge | Refusal::Truncated | Refusal::Memory) || desk.draining() {
-        // Part of the body may still be on the way; it must not be taken for
-        // the next request.
+        // The rest of the body may still arrive and must not be read as the next request.
         response.headers_mut().insert(header::CONNECTION, http::HeaderValue::from_static("close"));
     }
     response
 }
 
-/// Headers of an endpoint's answer that go on to the caller.
+/// Returns the headers of an endpoint's answer that are forwarded to the caller.
 fn passed_on(response: &Response<Incoming>) -> http::HeaderMap {
     end_to_end(response.headers())
 }
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be served at all, and its body.
+//! Decides whether a request may be served, and reads its body.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,26 +18,26 @@
     desk::{Desk, Held},
 };
 
-/// Kept back of a request's time for the way of its answer.
+/// Part of a request's time that is reserved for sending the answer to the caller.
 const ANSWER_TIME: Duration = Duration::from_millis(15);
 
-/// Longest wait for a caller that says nothing of its deadline.
+/// Deadline of a request that gives none.
 const NO_DEADLINE: Duration = Duration::from_mins(1);
 
-/// What a request may use, under one catalog.
+/// The result of checking a request against one version of the catalog.
 #[derive(Debug, Clone)]
 pub struct Pass {
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// Whose key it has.
+    /// Customer that owns the request's access key; `None` if no key is needed.
     pub team: Option<Arc<Team>>,
-    /// How urgent the route is among those that have a ladder.
+    /// Urgency of the route among those that have a ladder of models.
     pub urgency: Urgency,
-    /// The catalog's version.
+    /// Version of the catalog.
     pub version: u64,
 }
 
-/// Admits a request and reads its body.
+/// Checks a request and reads its body.
 pub async fn admit(desk: &Arc<Desk>, request: Request<Incoming>) -> Result<Exchange, (Ask, Refusal)> {
     let started = clock::now();
     let flight = desk.enter();
@@ -53,7 +53,8 @@
         return Err((ask, Refusal::Leaving));
     }
     if ask.tokens.is_some() {
-        // A prompt that is sent before it is known who has read it is read again.
+        // Without knowing which engine has the prompt cached, it would be sent to one that
+        // has to process it again.
         desk.caches_known().await;
     }
     let time = ask.deadline.unwrap_or(NO_DEADLINE).min(pass.route.timeout);
@@ -98,22 +99,22 @@
     })
 }
 
-/// Checks a request against the catalog and keys in force now.
+/// Checks a request against the catalog and access keys in force now.
 pub fn check(desk: &Desk, host: &str, path: &str, ask: &Ask) -> Result<Pass, Refusal> {
     let catalog = desk.catalog().ok_or(Refusal::NotStarted)?;
-    // An operator may have moved or dropped the route seconds ago, and a request
-    // without a key would go on to where it led for good.
+    // An operator may have moved or deleted the route. Requests without a key would
+    // otherwise be forwarded by the old route indefinitely.
     if !desk.catalog_holds() {
         return Err(Refusal::Replaced);
     }
-    // What a replaced catalog lacks the newer one may have: callers that are told
-    // 404 or 401 do not come back.
+    // A newer catalog may have the route or key that this one lacks, and callers that
+    // get 404 or 401 do not retry.
     let unknown = |refusal| if desk.behind() { Refusal::Replaced } else { refusal };
     let route = catalog.route(host, path).ok_or_else(|| unknown(Refusal::NoRoute))?;
     let team = match &catalog.keys {
         Some(keys) if !route.public => {
-            // A key that was taken away while this instance was out of touch
-            // must not work: with old knowledge no key is believed.
+            // A key may have been revoked while this instance had no contact with the store,
+            // so no key is accepted without a recent confirmation.
             if !desk.fresh() {
                 return Err(Refusal::KeysStale { elsewhere: desk.fresh_elsewhere() });
             }
@@ -126,12 +127,14 @@
     Ok(Pass { route: Arc::clone(route), team, urgency, version: catalog.version })
 }
 
+/// Returns the request's host in lower case, without the port.
 fn host(headers: &http::HeaderMap, uri: &http::Uri) -> String {
     let named = headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = named.or_else(|| uri.authority().map(http::uri::Authority::as_str)).unwrap_or_default();
     host.split(':').next().unwrap_or_default().to_ascii_lowercase()
 }
 
+/// Reads a body of up to `longest` bytes and accounts for its memory in `held`.
 async fn read(mut body: Incoming, longest: usize, held: &mut Held) -> Result<Bytes, Refusal> {
     if body.size_hint().lower() > u64::try_from(longest).unwrap_or(u64::MAX) {
         return Err(Refusal::TooLarge);
@@ -142,8 +145,8 @@
         if whole.len() + data.len() > longest {
             return Err(Refusal::TooLarge);
         }
-        // Thousands of slow callers with long bodies would otherwise take all
-        // memory, and the process would be killed with everything it runs.
+        // Thousands of slow callers with long bodies could otherwise use up the memory and
+        // get the process killed, with all requests in flight.
         if !held.grow(data.len()) {
             return Err(Refusal::Memory);
         }
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -1,4 +1,4 @@
-//! What a request asks of its next try: which model, how long, which headers.
+//! Prepares a request's next try: the model, the time limit and the headers.
 
 use std::time::Duration;
 
@@ -19,11 +19,12 @@
     upstream::Answer,
 };
 
-/// Part of the goal up to which a prompt's reading at an idle endpoint counts as
-/// short: later than the goal it begins because of others.
+/// Fraction of the route's goal up to which processing a prompt at an idle endpoint counts
+/// as short. If a short prompt misses the goal, it is because of queueing.
 const SHORT: f64 = 0.25;
 
 impl Exchange {
+    /// Returns the job to place, for a model, at the request's service.
     pub(super) fn job(&self, model: Option<usize>) -> Job<'_> {
         self.job_at(&self.service, model)
     }
@@ -46,18 +47,20 @@
         }
     }
 
-    /// Hash of the whole prompt as a model reads it.
+    /// Returns a hash of the whole prompt and the model that processes it.
     fn prompt_key(&self, model: Option<usize>) -> Option<u64> {
         Some(affinity(self.ask.parts.last()?.id, model))
     }
 
-    /// A model's cost over the largest one's.
+    /// Returns the model's cost relative to that of the largest model.
     fn size(&self, model: Option<usize>) -> f64 {
         let models = &self.pass.route.models;
         let largest = models.last().map_or(1.0, |model| model.cost.max(f64::MIN_POSITIVE));
         model.and_then(|index| models.get(index)).map_or(1.0, |model| model.cost / largest)
     }
 
+    /// Returns the index of the model to ask first; `None` if the route has no models or the
+    /// caller chose one.
     pub(super) fn start_model(&self) -> Option<usize> {
         let models = self.pass.route.models.len();
         if models == 0 || !self.ask.any_model {
@@ -67,8 +70,7 @@
             return Some(model);
         }
         if self.desk.suspects(self.content) {
-            // A smaller model's run, dropped for a larger one's, may crash an endpoint
-            // more.
+            // Trying a smaller model first adds a run, which may crash one more endpoint.
             return Some(models - 1);
         }
         let service = self.pass.route.target(self.draw).unwrap_or_default();
@@ -84,17 +86,18 @@
         Some(ladder::start(room, &times))
     }
 
-    /// The model that has read the prompt of a stream which its caller resumes.
+    /// Returns the largest model that has processed the prompt of a stream that the caller
+    /// resumes.
     ///
-    /// What came before was that model's answer, or it was asked for in vain: the
-    /// largest that has read the prompt goes on at once, without a smaller one's
-    /// opinion that was dropped before.
+    /// That model wrote the beginning of the stream, or was asked for it without success.
+    /// It continues at once: a smaller model was already rejected for its low confidence
+    /// and is not asked again.
     fn model_before(&self, models: usize) -> Option<usize> {
         self.ask.last_event?;
         self.desk.model_that_read(|model| self.prompt_key(Some(model)), models)
     }
 
-    /// How long a run may take to its first byte.
+    /// Returns how long a run may take to its first byte.
     pub(super) fn patience(&self, run: &Run) -> Duration {
         let route = &self.pass.route;
         let last = self.sent >= route.attempts || !self.desk.affords(&self.service, Purpose::Repair);
@@ -104,6 +107,7 @@
         patience(run.expected_ms(), route.goal)
     }
 
+    /// Builds the request to send to the endpoint of a run.
     pub(super) fn request(
         &self,
         run: &Run,
@@ -140,7 +144,7 @@
         request
     }
 
-    /// The larger model that an answer should be dropped for, if any.
+    /// Returns the larger model to ask instead of accepting an answer, if any.
     pub(super) fn escalation(&self, answer: &Answer, model: Option<usize>) -> Option<usize> {
         let index = model?;
         let confidence = self.confidence(answer);
@@ -159,13 +163,13 @@
         }
     }
 
-    /// A model's own opinion of its answer.
+    /// Returns the model's confidence in its answer.
     pub(super) fn confidence(&self, answer: &Answer) -> Option<u32> {
         let value = answer.response.headers().get(&self.desk.dialect.names.confidence)?;
         value.to_str().ok()?.trim().parse().ok()
     }
 
-    /// Whether a model's first event would still come in time.
+    /// Predicts whether a model's first event would still come in time.
     fn outlook(&self, model: usize) -> Outlook {
         let job = self.job(Some(model));
         let Some(expected_ms) = self.desk.expect(&job) else { return Outlook::Never };
--- a/crates/relay/src/exchange/stream.rs
+++ b/crates/relay/src/exchange/stream.rs
@@ -1,4 +1,4 @@
-//! A stream on its way to the caller, resumed where its endpoint breaks.
+//! Forwards a stream to the caller and resumes it at another endpoint if a run breaks.
 
 use std::{io, time::Duration};
 
@@ -13,29 +13,29 @@
 };
 use crate::{answer::Body, catalog::Kind, clock, desk::fleet::Ended, events::Splitter, upstream::Outcome};
 
-/// Pauses over the route's wanted one after which a run is doubted.
+/// A run has stalled after this many times the route's target pause between events.
 const STALL: f64 = 2.0;
 
-/// Least pause after which a run is doubted: engines that read long prompts in
-/// between pause for about a second.
+/// Shortest pause that counts as a stall: engines pause for about a second while they
+/// process long prompts of other runs.
 const LEAST_STALL: Duration = Duration::from_millis(1_200);
 
-/// Silence of the whole endpoint that confirms the doubt. An endpoint that
-/// still sends on other runs is only overloaded; to start its runs anew
-/// elsewhere would make all of them wait longer.
+/// Silence of the whole endpoint after which a stalled run is abandoned. An endpoint that
+/// still sends on other runs is only overloaded, and restarting its runs elsewhere would
+/// make all of them wait longer.
 const DARK: Duration = Duration::from_secs(1);
 
-/// Doubts after which a run is given up whatever else the endpoint sends.
+/// Stalls after which a run is abandoned even if the endpoint still sends on other runs.
 const MOST_DOUBTS: u32 = 4;
 
-/// What came of waiting for the next bytes.
+/// Result of waiting for the next bytes of a stream.
 enum Next {
     Bytes(Bytes),
     End,
     Failed(Outcome),
 }
 
-/// The answer to a caller whose stream has begun.
+/// Returns the response to a caller whose stream has begun.
 pub fn relay(exchange: Exchange, live: Live) -> Response<Body> {
     let mut response = Response::new(());
     *response.status_mut() = live.answer.response.status();
@@ -45,7 +45,8 @@
     response.map(|()| StreamBody::new(events(exchange, live)).boxed_unsync())
 }
 
-/// Whole events until the stream's end; an error ends the caller's connection.
+/// Returns the stream's whole events as body frames. If the stream cannot be resumed, it
+/// ends with an error, which closes the caller's connection.
 fn events(mut exchange: Exchange, mut live: Live) -> impl futures::Stream<Item = io::Result<Frame<Bytes>>> {
     async_stream::stream! {
         let mut splitter = Splitter::new(exchange.ask.last_event);
@@ -63,7 +64,7 @@
                     live.run.ended(Ended::Good);
                     break;
                 }
-                Next::End => Outcome::Broken("ended within an event".into()),
+                Next::End => Outcome::Broken("the stream ended within an event".into()),
                 Next::Failed(outcome) => outcome,
             };
             exchange.note(&mut live.run, &outcome);
@@ -78,7 +79,7 @@
                     took_ms = clock::millis(clock::now().saturating_sub(exchange.started)),
                     "stream broken off"
                 );
-                yield Err(io::Error::other("the stream broke off"));
+                yield Err(io::Error::other("the stream was interrupted and not resumed"));
                 break;
             };
             live = next;
@@ -87,6 +88,7 @@
     }
 }
 
+/// Waits for the next bytes of the stream, or until the run has to be abandoned.
 async fn next(exchange: &Exchange, live: &mut Live) -> Next {
     let pause = exchange.pass.route.pause.unwrap_or(LEAST_STALL);
     let stall = pause.mul_f64(STALL).max(LEAST_STALL);
@@ -107,7 +109,8 @@
     Next::Failed(Outcome::Unknown("no event in time".into()))
 }
 
-/// Goes on at another endpoint, with the same model and, if possible, version.
+/// Resumes the stream at another endpoint, with the same model and, if possible, the same
+/// version; `None` if that is not allowed or no try succeeds.
 async fn resume(exchange: &mut Exchange, broken: &Live, last: Option<u64>) -> Option<Live> {
     if !matches!(exchange.pass.route.kind, Kind::Stream { resumable: true }) {
         return None;
--- a/crates/relay/src/exchange/tries.rs
+++ b/crates/relay/src/exchange/tries.rs
@@ -1,4 +1,4 @@
-//! Tries of a request until an answer is decided on.
+//! Sends a request to endpoints until an answer is accepted.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,29 +25,28 @@
     upstream::{self, Answer, Outcome, Tried, Unreachable},
 };
 
-/// Unreachable endpoints after which a request is given up.
+/// Number of unreachable endpoints after which a request is refused.
 ///
-/// Nothing has run by then, and a closed port answers within a round trip: of
-/// endpoints that crash together about half may still be listed. With half of
-/// them gone, one request in 65,000 finds this many closed; with four it was
-/// one in 16.
+/// These tries are cheap: nothing has run, and a closed port answers within a round trip.
+/// When endpoints crash together, about half of those listed may be gone. Then one request
+/// in 65,000 finds 16 closed ports in a row; with a limit of four it would be one in 16.
 const MOST_UNREACHABLE: u32 = 16;
 
-/// Least time in which a further try makes sense.
+/// Minimum time left for another try.
 const WORTH_A_TRY: Duration = Duration::from_millis(30);
 
-/// Longest answer that is read whole, in bytes: several times the longest
-/// request; an endless one would take all memory.
+/// Longest answer that is buffered, in bytes: several times the longest request. Without
+/// a limit, an answer that never ends would take all memory.
 const LONGEST_ANSWER: usize = 16 << 20;
 
-/// Longest wait for the check of an endpoint where a try broke off; one that has crashed
-/// refuses connections within a round trip.
+/// Longest wait for the crash check of an endpoint; one that has crashed refuses
+/// connections within a round trip.
 const CHECK_WAIT: Duration = Duration::from_millis(50);
 
-/// How long a request waits for a service that has no endpoint at all.
+/// Longest wait for an endpoint if none of the service accepts the request.
 const WAIT_FOR_ENDPOINT: Duration = Duration::from_millis(250);
 
-/// A request under way.
+/// A request being served.
 #[derive(Debug)]
 pub struct Exchange {
     pub(super) desk: Arc<Desk>,
@@ -71,31 +70,31 @@
     pub(super) cause: String,
     pub(super) draw: f64,
     pub(super) version: Option<String>,
-    /// Checks whether the endpoint still listens where the last try broke off.
+    /// Running crash check of the endpoint that broke off the last try.
     pub(super) check: Option<JoinHandle<()>>,
 }
 
-/// An answer that is decided on.
+/// An answer that is accepted for the caller.
 #[derive(Debug)]
 pub enum Won {
-    /// A whole answer.
+    /// A complete answer.
     Whole(Response<Body>),
     /// A stream that has begun.
     Stream(Box<Live>),
 }
 
-/// A stream under way at an endpoint.
+/// A stream that an endpoint is sending.
 #[derive(Debug)]
 pub struct Live {
     /// The endpoint's answer.
     pub answer: Answer,
-    /// Its place there.
+    /// The run at the endpoint.
     pub run: Run,
-    /// Index of the model that answers.
+    /// Index of the answering model in the route's ladder.
     pub model: Option<usize>,
 }
 
-/// A failure that an endpoint answered with.
+/// An answer with a server error.
 struct Failure {
     response: Response<Body>,
     status: StatusCode,
@@ -103,21 +102,21 @@
     choice: Choice,
 }
 
-/// What becomes of the request after one try.
+/// What to do with the request after one try.
 enum Next {
     Won(Won),
-    /// A failure of the endpoint's own; the answer to give if no better comes.
+    /// A server error; it is returned to the caller if no later try gives a better answer.
     Failed(Failure),
     Again,
 }
 
 impl Exchange {
-    /// Time that is left.
+    /// Returns the time left until the deadline.
     pub fn left(&self) -> Duration {
         self.limit.saturating_sub(clock::now())
     }
 
-    /// Tries until an answer is decided on.
+    /// Tries endpoints until an answer is accepted or no further try is allowed.
     pub async fn run(&mut self) -> Result<Won, Refusal> {
         let mut model = self.start_model();
         let mut failed: Option<Failure> = None;
@@ -141,14 +140,14 @@
         }
     }
 
-    /// A place for the next try, if there may be one.
+    /// Places the next try at an endpoint, or returns why no further try is possible.
     pub(super) async fn next_run(&mut self, model: Option<usize>) -> Result<Run, Refusal> {
         self.await_check().await;
         if let Some(left) = self.desk.quarantined(self.content) {
             return Err(self.given_up(Refusal::Quarantined { left }));
         }
-        // The catalog may have changed while the request waited or was tried:
-        // a withdrawn key or a moved route must not be used once more.
+        // The catalog may have changed since the last check: a revoked key or an old route
+        // must not be used again.
         self.pass = admit::check(&self.desk, &self.host, self.uri.path(), &self.ask).map_err(|r| self.given_up(r))?;
         if self.left() < WORTH_A_TRY {
             return Err(self.given_up(Refusal::Expired));
@@ -172,15 +171,16 @@
         Ok(run)
     }
 
-    /// Waits until it is known whether the endpoint of the last try has crashed: the
-    /// request may be the cause, and the next endpoint would be lost as well.
+    /// Waits until it is known whether the endpoint of the last try has crashed. If the
+    /// request is the cause, it would crash the next endpoint as well.
     async fn await_check(&mut self) {
         let Some(check) = self.check.take() else { return };
         if tokio::time::timeout(CHECK_WAIT, check).await.is_err() {
-            tracing::debug!(request = self.ask.id, "tried again before the endpoint was checked");
+            tracing::debug!(request = self.ask.id, "retrying before the crash check of the last endpoint has ended");
         }
     }
 
+    /// Retries placement until an endpoint accepts the request or the wait is over.
     async fn wait_for_place(&self, model: Option<usize>) -> Result<Run, Refusal> {
         let until = clock::now() + WAIT_FOR_ENDPOINT.min(self.left());
         while clock::now() < until {
@@ -197,7 +197,8 @@
         Err(self.given_up(Refusal::NoEndpoint))
     }
 
-    /// The refusal that is true of this request.
+    /// Returns the refusal for the caller, which must not claim that a request did not run
+    /// if it may have run.
     pub(super) fn given_up(&self, refusal: Refusal) -> Refusal {
         if !self.may_have_run {
             return refusal;
@@ -208,11 +209,12 @@
         }
     }
 
+    /// Places a run at an endpoint; `None` if no endpoint accepts the request.
     fn place(&self, model: Option<usize>) -> Option<Run> {
         self.desk.place(&self.job(model))
     }
 
-    /// Sends the request once and weighs the answer.
+    /// Sends the request once and decides what to do with the answer.
     async fn try_at(&mut self, mut run: Run, model: &mut Option<usize>, last_event: Option<u64>) -> Next {
         let outcome = self.send(&mut run, *model, last_event).await;
         let answer = match outcome {
@@ -247,7 +249,7 @@
         self.whole(answer, run).await
     }
 
-    /// Notes a try that brought no answer.
+    /// Records a try that gave no usable answer.
     pub(super) fn note(&mut self, run: &mut Run, outcome: &Outcome) {
         self.tried.push(run.key);
         let (ended, cause) = match outcome {
@@ -270,7 +272,7 @@
         self.fail(run, ended, cause);
     }
 
-    /// Notes and logs that a try failed.
+    /// Records and logs a failed try.
     fn fail(&mut self, run: &mut Run, ended: Ended, cause: String) {
         run.ended(ended);
         tracing::info!(
@@ -293,8 +295,8 @@
         self.sent += 1;
         run.sent(self.content);
         let patience = self.patience(run).min(left);
-        // The caller's time may run out while the try is under way; what may
-        // have run by then must not be called not run.
+        // The deadline may pass and cancel this call while the try is in flight. From here
+        // on the caller must not be told that the request did not run.
         let ran_before = std::mem::replace(&mut self.may_have_run, true);
         let Tried { outcome, limit } =
             upstream::send(run.endpoint.address, request, &self.ask.id, &self.desk.dialect.names, patience).await;
@@ -305,14 +307,13 @@
         outcome
     }
 
-    /// Reads a whole answer; a lost end may be repaired like a lost answer.
+    /// Reads an answer to its end. One that breaks off may be retried like a lost answer.
     async fn whole(&mut self, answer: Answer, mut run: Run) -> Next {
         let headers = passed_on(&answer.response);
         let status = answer.response.status();
         if promises(status) {
-            // A signed answer has run; passed on, this status would tell the
-            // caller that it had not, and with another one the signature
-            // would be false.
+            // A signed answer shows that the request ran. This status would tell the caller
+            // that it did not, and changing it would invalidate the signature.
             self.note(&mut run, &Outcome::Unknown(format!("answered {status} without saying that it did not run")));
             return Next::Again;
         }
@@ -340,7 +341,7 @@
         Next::Won(Won::Whole(response))
     }
 
-    /// Logs the answer that was decided on.
+    /// Logs and measures an accepted answer.
     pub(super) fn log(
         &self,
         endpoint: &Endpoint,
@@ -372,14 +373,14 @@
     }
 }
 
-/// Checks whether an endpoint still listens where a run broke off.
+/// Reports a crash of an endpoint if it refuses connections.
 async fn check_endpoint(desk: Arc<Desk>, key: Key, address: SocketAddr) {
     if upstream::is_refused(address).await {
         desk.note_crash(key);
     }
 }
 
-/// Whether callers take a status for a promise that nothing was run.
+/// Returns whether callers understand a status as a promise that the request did not run.
 fn promises(status: StatusCode) -> bool {
     matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT)
 }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,9 +1,12 @@
-//! Keeping what the instance believes in step with the store.
+//! Synchronizes this instance's state with the store.
 //!
-//! Each kind of record is listed, then watched from the listing's revision.
-//! No call may stay silent for long, since a connection may do so for good;
-//! after any doubt the kind is listed again, because a watch that was cut may
-//! have missed changes.
+//! Each kind of record is listed, then watched from the revision of the listing. A
+//! call that stays silent for too long is cancelled, since a dead connection may
+//! never report an error. After any failure the kind is listed again, because an
+//! interrupted watch may have missed changes.
+//!
+//! While another instance keeps this one synchronized ([`crate::desk::track`]), the
+//! store is called only for what that instance cannot provide.
 
 mod intake;
 mod lapses;
@@ -21,63 +24,67 @@
     source::{Fault, Kind, Progress, Read, Source},
 };
 
-/// Longest wait of a watch on the catalog, and so the oldest that the proof of
-/// access keys gets while the store answers.
+/// Longest wait of a watch on the catalog. It also bounds the age of the proof of access
+/// keys while the store answers.
 const CATALOG_WAIT: Duration = Duration::from_millis(900);
 
-/// The same while the catalog is too long to be read after each watch: a watch
-/// proves a second less than a reading, and shorter ones make up for half of it.
+/// Longest wait of a watch on a catalog that takes too long to be read after each watch.
+/// The proof of a watch is a second older than that of a read; the shorter wait makes up
+/// for half of it.
 const PROVING_WAIT: Duration = Duration::from_millis(450);
 
-/// Longest wait of a watch on endpoints: one that went silent must be noticed
-/// before a leaving endpoint may get no more work.
+/// Longest wait of a watch on endpoints. A watch that hangs must be noticed before the
+/// time at which a leaving endpoint may get no more requests.
 const ENDPOINTS_WAIT: Duration = Duration::from_millis(1_200);
 
-/// Longest wait of a watch on roll-outs; other instances tell of them sooner.
+/// Longest wait of a watch on the other kinds; other instances announce rollouts sooner.
 const ROLLOUTS_WAIT: Duration = Duration::from_secs(4);
 
-/// First and longest wait after a call that failed.
+/// First and longest backoff after a failed call.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
 
-/// Longest wait between looks for a lost store of an instance that will hear
-/// of its return from others: each look is paid for, by every instance.
+/// Pause between probes of an unreachable store by an instance that other instances will
+/// notify of its return. Each probe is a call that is paid for, at every instance.
 const LOOK: Duration = Duration::from_millis(1_500);
 
-/// Looks for a lost store of a large fleet, over all of it: an instance a pause of this
-/// times the instances. Those that look first are heard of sooner than a look brings.
+/// Probe pause per instance of the fleet: in a large fleet the pause grows with the number
+/// of instances, which bounds the rate of all probes together. The instances that probe
+/// first announce the store's return sooner than a probe would find it.
 const LOOK_EACH: Duration = Duration::from_millis(20);
 
-/// The same while another instance keeps it in step.
+/// Pause between probes of an unreachable store while another instance keeps this one
+/// synchronized.
 const LED_LOOK: Duration = Duration::from_secs(4);
 
-/// Outage of the store after which a missing endpoint may only have lapsed.
+/// Length of a store outage after which the registration of a missing endpoint may merely
+/// have expired.
 const OUTAGE: Duration = Duration::from_secs(1);
 
-/// Pause after a watch that brought changes to endpoints. Servers start, crash
-/// and leave by the dozen within seconds; one call for each of them is paid
-/// for, while a leaving one may get work for seconds.
+/// Pause after a watch that returned changes to endpoints, so that the next call collects
+/// several. Dozens of endpoints may start, crash or leave within seconds and each call is
+/// paid for, while a leaving endpoint may get requests for some seconds.
 const TOGETHER: Duration = Duration::from_millis(150);
 
-/// Wait of a watch while lapsed endpoints have still to register again.
+/// Longest wait of a watch on endpoints while lapsed endpoints may register again.
 const LAPSED_WAIT: Duration = Duration::from_millis(300);
 
-/// Time after its first listing in which an instance expects to meet others
-/// that keep it in step: at 74 instances a round of news takes 1.25 s, and a
-/// question 0.35 s. When a whole fleet starts, each instance watching by itself
-/// until then made half of the calls of its start.
+/// Time after the first listing in which an instance waits to discover others that keep it
+/// synchronized: with 74 instances a round of news takes 1.25 s and a question 0.35 s.
+/// Without the wait, half of the store calls of a starting fleet come from instances that
+/// watch the store by themselves until then.
 const MEETING: Duration = Duration::from_secs(2);
 
-/// The same of an instance that ranks among those that watch the store: until
-/// it has heard of others, by a round of greetings, each seems to.
+/// The same wait for an instance that ranks among those that watch the store. Every
+/// instance seems to until it has received the greetings of others.
 const RANKING: Duration = Duration::from_millis(700);
 
-/// Longest rest before a look whether somebody still keeps this one in step.
+/// Pause between checks whether another instance still keeps this one synchronized.
 const REST: Duration = Duration::from_millis(200);
 
-/// Least time between readings that other instances' word brings about.
+/// Pause after a read of the store that another instance's message triggered.
 const APART: Duration = Duration::from_millis(300);
 
-/// Follows one kind for good.
+/// Keeps one kind of record synchronized; never returns.
 pub async fn follow(desk: Arc<Desk>, source: Arc<dyn Source>, kind: Kind) {
     let progress = if kind == Kind::Catalog { desk.catalog_progress() } else { Arc::default() };
     let mut follower = Follower {
@@ -106,7 +113,7 @@
     source: Arc<dyn Source>,
     kind: Kind,
     progress: Arc<Progress>,
-    /// How often the catalog may be read.
+    /// Decides when the catalog may be read again.
     cadence: Cadence,
     revision: Option<u64>,
     listed: bool,
@@ -115,13 +122,14 @@
     failures: u32,
     lapses: Lapses,
     first_listed: Option<Duration>,
-    /// Pause before the next call.
+    /// Pause before the next store call.
     pause: Option<Duration>,
-    /// Whether the first look for a doubted store was left to others.
+    /// Whether the first probe of a store that others seem to have lost was deferred.
     has_left_look: bool,
 }
 
 impl Follower {
+    /// Makes one call to the store, or waits if none is due.
     async fn step(&mut self) {
         if self.listed && self.desk.led() {
             self.rest().await;
@@ -130,7 +138,7 @@
         if self.listed && (self.meeting() || self.waits_for_catalog()) {
             self.expire();
             if self.kind == Kind::Catalog {
-                // What was read before the wait proves little by now.
+                // The last read proves little by now, so the catalog is listed again after the wait.
                 self.revision = None;
             }
             sleep(REST).await;
@@ -158,7 +166,7 @@
         self.note_touch(false);
         self.revision = None;
         if matches!(fault, Fault::Compacted | Fault::Unreadable) {
-            tracing::info!(kind = ?self.kind, %fault, "listing again");
+            tracing::info!(kind = ?self.kind, %fault, "listing all records again");
             return;
         }
         if self.lost_since.is_none() {
@@ -174,27 +182,27 @@
         sleep(wait.mul_f64(0.7 + 0.6 * rand::random::<f64>())).await;
     }
 
-    /// Wait after the calls that have failed in a row.
+    /// Returns the backoff for the current number of consecutive failed calls.
     fn backoff(&self, longest: Duration) -> Duration {
         BACKOFF.0.saturating_mul(2_u32.saturating_pow(self.failures.min(8))).min(longest)
     }
 
-    /// Whether others that could keep this instance in step have had no time
-    /// to be met, or to see that this one is to keep them in step.
+    /// Returns whether it is too early after the start to know which instances watch the
+    /// store and keep the others synchronized.
     fn meeting(&self) -> bool {
         let Some(since) = self.first_listed.map(|first| clock::now().saturating_sub(first)) else { return false };
         since < RANKING || (since < MEETING && !self.desk.watches_store())
     }
 
-    /// Whether a store that is lost or doubted is left to the catalog's follower to
-    /// look for: the kinds are lost and regained together, and each look is paid for.
+    /// Returns whether to leave probing of an unreachable store to the catalog's follower:
+    /// all kinds are lost and regained together, and each probe is paid for.
     fn waits_for_catalog(&self) -> bool {
         let is_lost = self.lost_since.is_some() && !self.desk.touched();
         self.kind != Kind::Catalog && (is_lost || self.desk.doubts_store())
     }
 
-    /// Whether a store that others seem to have lost is left to them for a moment:
-    /// all of a fleet hear of it at once, and mostly it is lost to all.
+    /// Returns whether to wait before probing a store that others seem to have lost. The
+    /// whole fleet learns of it at once, and usually the store is lost to all instances.
     fn leaves_first_look(&mut self) -> bool {
         let doubts = self.kind == Kind::Catalog && self.desk.doubts_store() && !self.desk.looks_first();
         let is_first = doubts && !self.has_left_look;
@@ -202,8 +210,8 @@
         is_first
     }
 
-    /// While another instance keeps this one in step there is nothing to ask
-    /// the store, but for what that one cannot tell.
+    /// Waits while another instance keeps this one synchronized, and reads from the store
+    /// only what that instance cannot provide.
     async fn rest(&mut self) {
         self.revision = None;
         self.expire();
@@ -212,9 +220,9 @@
         let wanted = asked_for && (self.kind != Kind::Catalog || self.desk.behind());
         let asked = clock::now();
         let look = self.kind == Kind::Catalog && !self.desk.touched() && asked > self.last_lost + LED_LOOK;
-        // A store that turns this instance away may serve all others, whose news
-        // tells of the newer catalog sixteen times a second: without a wait each
-        // piece made two more refused calls, a quarter of what a day's calls cost.
+        // The store may reject this instance and serve all others, which then announce the
+        // newer catalog sixteen times a second. Without a wait, each announcement causes two
+        // more rejected calls, which made up a quarter of the cost of a day's calls.
         let waits = self.failures > 0 && asked < self.last_lost + self.backoff(LOOK);
         if waits && wanted && self.kind == Kind::Catalog {
             self.copy().await;
@@ -232,34 +240,34 @@
         } else {
             self.read_latest(asked).await;
         }
-        // Versions in quick succession are read once.
+        // Reads several versions in quick succession only once.
         sleep(APART).await;
     }
 
-    /// Takes a newer catalog over from an instance that has told of it; whether it
-    /// did.
+    /// Copies a newer catalog from an instance that announced it; returns whether it was
+    /// installed.
     ///
-    /// A store that turns this instance away may serve the others. It is asked first
-    /// all the same: callers are told of instances that are in touch with it.
+    /// This helps when the store rejects this instance and serves the others. The store is
+    /// still asked first, because callers are directed to instances in contact with it.
     async fn copy(&self) -> bool {
         let Some(teller) = self.desk.teller() else { return false };
         match share::fetch(teller).await {
             Ok(catalog) => self.desk.install(catalog),
             Err(cause) => {
-                tracing::info!(%teller, cause, "catalog not copied");
+                tracing::info!(%teller, cause, "copying the catalog from another instance failed");
                 false
             }
         }
     }
 
-    /// Reads a catalog of which another instance has told.
+    /// Gets a newer catalog that another instance announced.
     ///
-    /// A change makes each instance of the fleet read it. A listing of any age
-    /// costs a tenth, and in two of three cases it was young enough on a day of
-    /// 74 instances; where it shows nothing new, the other instance's copy is taken,
-    /// or the latest is read. It proves nothing of access keys. A catalog that takes
-    /// long to arrive is not read twice: half a second more without the change, and
-    /// a full link.
+    /// Every instance of the fleet reads each change. A listing of any age costs a tenth of
+    /// a linearizable one and proves nothing about access keys; with 74 instances it is
+    /// recent enough in two of three cases. If it shows nothing new, the catalog is copied
+    /// from the other instance, or else read with a linearizable call. A catalog that takes
+    /// long to transfer is not read twice: that would delay the change by half a second and
+    /// fill the link.
     async fn catch_up(&mut self, asked: Duration) {
         if self.cadence.is_long() {
             self.read_latest(asked).await;
@@ -284,6 +292,7 @@
         }
     }
 
+    /// Lists the kind with a linearizable read.
     async fn read_latest(&mut self, asked: Duration) {
         match self.list(Read::Latest, asked).await {
             Ok(()) => {
@@ -294,36 +303,38 @@
         }
     }
 
+    /// Logs and records a read that failed.
     fn not_read(&mut self, asked: Duration, fault: &Fault) {
         tracing::info!(kind = ?self.kind, %fault, failures = self.failures, "store not read");
         self.note_touch(false);
         self.note_failed(asked);
     }
 
-    /// Notes a call that failed, as of a time.
+    /// Records a failed call at time `at`.
     fn note_failed(&mut self, at: Duration) {
         self.last_lost = at;
         self.failures += 1;
     }
 
-    /// Tells the desk whether the store answers; the catalog's follower speaks
-    /// for all.
+    /// Records whether this instance's calls to the store succeed. Only the catalog's
+    /// follower does so, on behalf of all kinds.
     fn note_touch(&self, succeeded: bool) {
         if self.kind == Kind::Catalog {
             self.desk.note_touch(succeeded);
         }
     }
 
-    /// A first listing of endpoints may be old: the watch from its revision, or
-    /// whoever keeps this instance in step, brings what came after it.
+    /// Returns how to list. The first listing of endpoints may be old: the watch from its
+    /// revision, or the instance that synchronizes this one, delivers the later changes.
     fn first_read(&self) -> Read {
         if self.kind == Kind::Endpoints && !self.listed { Read::AnyAge } else { Read::Latest }
     }
 
+    /// Lists the kind and applies the listing.
     async fn list(&mut self, read: Read, asked: Duration) -> Result<(), Fault> {
         let call = self.source.list(self.kind, read, &self.progress);
         let listing = silence::bounded(&self.progress, Duration::ZERO, call).await?;
-        // Before the first catalog an empty listing proves that there is none.
+        // An empty listing is a proof only while no catalog has been read: then there is none.
         let shows = !listing.records.is_empty() || self.desk.catalog().is_none();
         let proves = self.kind == Kind::Catalog && read == Read::Latest && shows;
         if self.kind == Kind::Catalog {
@@ -337,6 +348,7 @@
         Ok(())
     }
 
+    /// Watches the kind from a revision and applies the changes.
     async fn watch(&mut self, from: u64, asked: Duration) -> Result<(), Fault> {
         let wait = self.watch_wait(asked);
         let call = self.source.watch(self.kind, from, wait, &self.progress);
@@ -344,10 +356,10 @@
         self.take_batch(batch);
         if self.kind == Kind::Catalog {
             self.desk.renew(asked, Proof::Quiet);
-            // A quiet watch proves little: it may have been deaf. A read after
-            // each keeps the proof young enough for callers to be served for
-            // three fifths of the bound once the store is lost; where a long
-            // catalog is not read after each, a third is left.
+            // A watch without changes proves less than a read, since it may have missed
+            // one. With a read after each watch, callers are still served for three fifths
+            // of the bound on revoked keys once the store is lost; for a long catalog, which
+            // is not read after each watch, it is a third.
             if self.cadence.is_due(clock::now()) {
                 self.revision = None;
             }
@@ -355,7 +367,7 @@
         Ok(())
     }
 
-    /// How long a watch that begins at `asked` may be quiet.
+    /// Returns how long the store may hold back its answer to a watch that starts at `asked`.
     fn watch_wait(&self, asked: Duration) -> Duration {
         match self.kind {
             Kind::Catalog if !self.cadence.is_due(asked + CATALOG_WAIT) => PROVING_WAIT,
@@ -366,6 +378,7 @@
         }
     }
 
+    /// Records a successful call, and logs it if the store was lost before.
     fn regained(&mut self) {
         self.failures = 0;
         if let Some(since) = self.lost_since.take() {
@@ -373,6 +386,7 @@
         }
     }
 
+    /// Removes lapsed endpoints that did not register again in time.
     fn expire(&mut self) {
         for lapse in self.lapses.expire(clock::now()) {
             if self.desk.delist_lapsed(&lapse.id, lapse.since) {
--- a/crates/relay/src/follow/intake.rs
+++ b/crates/relay/src/follow/intake.rs
@@ -1,4 +1,4 @@
-//! Taking what the store tells into what is believed.
+//! Applies listings and changes from the store to this instance's state.
 
 use std::collections::HashSet;
 
@@ -10,11 +10,11 @@
 };
 
 impl Follower {
-    /// Takes a whole listing in; what it lacks is gone, at once unless the
-    /// store was away so long that endpoints may only have lapsed there.
+    /// Applies a whole listing. Endpoints that it lacks are removed, at once unless the store
+    /// was unreachable for so long that their registrations may merely have expired.
     pub(super) fn take_all(&mut self, listing: Listing) {
-        // Another instance's word may have come first, and be newer: what it
-        // added would be dropped here, and nobody would tell of it again.
+        // Another instance may already have delivered newer changes. This listing would
+        // undo them, and they would not be delivered again.
         if self.kind == Kind::Endpoints && listing.revision < self.desk.endpoints_revision() {
             self.revision = Some(listing.revision);
             return;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes the changes of a watch in.
+    /// Applies the changes that a watch returned.
     pub(super) fn take_batch(&mut self, batch: Batch) {
         let Batch { revision, changes } = batch;
         if self.kind == Kind::Endpoints {
@@ -56,16 +56,17 @@
         self.revision = Some(revision);
     }
 
-    /// Compares the known endpoints with a listing: forgets those it lacks,
-    /// and keeps the differences for the instances that ask this one.
+    /// Compares the known endpoints with a listing, removes those that it lacks, and records
+    /// the differences for the instances that this one keeps synchronized.
     ///
-    /// Without the differences each of those would have to list as well,
-    /// whenever the store has forgotten its history or was away.
+    /// Without the recorded differences, each of those instances would have to list the
+    /// endpoints too whenever the store has compacted its history or was unreachable.
     fn compare(&mut self, listing: &Listing) {
         let now = clock::now();
         let outage = self.lost_since.is_some_and(|since| now.saturating_sub(since) > OUTAGE);
         let listed: Vec<&Endpoint> = listing.records.iter().filter_map(listed_endpoint).collect();
-        // One that is listed and does not read has not lapsed: it is gone at once.
+        // An endpoint whose record is listed but unreadable has not lapsed; it is removed at
+        // once.
         let stands: HashSet<&str> =
             listed.iter().map(|other| other.id.as_str()).chain(listing.unreadable.iter().map(String::as_str)).collect();
         let is_missing = |id: &String| !stands.contains(id.as_str());
@@ -85,6 +86,7 @@
         }
     }
 
+    /// Applies one change.
     fn take(&mut self, change: Change) {
         match change.record {
             Some(Record::Catalog(catalog)) => {
@@ -102,7 +104,7 @@
                 Kind::Rollouts => self.desk.withdraw_order(&change.name),
                 Kind::Instances => self.desk.part(&change.name),
                 Kind::Quarantine => {}
-                Kind::Catalog => tracing::warn!("the catalog was deleted; the last one stays in force"),
+                Kind::Catalog => tracing::warn!("catalog deleted in the store; the last one stays in force"),
             },
         }
     }
--- a/crates/relay/src/follow/lapses.rs
+++ b/crates/relay/src/follow/lapses.rs
@@ -1,10 +1,10 @@
-//! Endpoints that may only have lapsed while the store was away.
+//! Endpoints whose registrations may have expired only because the store was unreachable.
 //!
-//! The store forgets an endpoint that it has not heard from, also when it was
-//! the store that could not be reached. One that lives registers again within
-//! seconds of the store's return; one that does not is gone, and since no
-//! revision of the store stands for that moment, the instances that are kept in
-//! step have to be told of it with the next change.
+//! The store drops the registration of an endpoint that it has not heard from, even
+//! if the store itself could not be reached. An endpoint that is alive registers
+//! again within seconds of the store's return; one that does not is gone. The store
+//! has no revision for that moment, so the removal is passed on to the instances
+//! that this one keeps synchronized together with the next change.
 
 #[cfg(test)]
 mod tests;
@@ -13,19 +13,19 @@
 
 use crate::desk::track::Change;
 
-/// Time that endpoints which lapsed during an outage take to register again.
+/// Time that endpoints get to register again after an outage of the store.
 pub(super) const RETURN: Duration = Duration::from_millis(2_300);
 
-/// An endpoint that a listing lacked.
+/// An endpoint that was missing in a listing after an outage.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Lapse {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub id: String,
     /// When the listing was read.
     pub since: Duration,
 }
 
-/// Endpoints waited for, and those given up that others do not know of yet.
+/// Lapsed endpoints that may still register again, and removals to announce.
 #[derive(Debug, Default)]
 pub(super) struct Lapses {
     waiting: Vec<Lapse>,
@@ -33,44 +33,44 @@
 }
 
 impl Lapses {
-    /// Whether any endpoint is waited for.
+    /// Returns whether any lapsed endpoint may still register again.
     pub fn waits(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Waits for an endpoint to register again.
+    /// Adds a lapsed endpoint that may register again.
     pub fn lapse(&mut self, id: String, now: Duration) {
         if !self.waiting.iter().any(|lapse| lapse.id == id) {
             self.waiting.push(Lapse { id, since: now });
         }
     }
 
-    /// Notes that an endpoint has registered.
+    /// Records that an endpoint has registered.
     ///
-    /// It may have been given up before: told of as gone now, a living endpoint
-    /// would get no more work from the instances that hear of it from here.
+    /// Drops a pending removal of it as well: the instances that are synchronized from
+    /// here would stop sending requests to an endpoint that is alive.
     pub fn back(&mut self, id: &str) {
         self.waiting.retain(|lapse| lapse.id != id);
         self.untold.retain(|change| !matches!(change, Change::Gone(other) if other == id));
     }
 
-    /// Those that were waited for long enough; they are waited for no more.
+    /// Takes out and returns the endpoints that did not register again in time.
     pub fn expire(&mut self, now: Duration) -> Vec<Lapse> {
         self.waiting.extract_if(.., |lapse| lapse.since + RETURN <= now).collect()
     }
 
-    /// Notes that an endpoint was given up.
+    /// Records that an endpoint was removed, for other instances.
     pub fn gone(&mut self, id: String) {
         self.untold.push(Change::Gone(id));
     }
 
-    /// What others have to be told.
+    /// Takes the removals that other instances have to be notified of.
     pub fn tell(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.untold)
     }
 
-    /// Leaves the telling to another instance, which keeps this one in step and
-    /// knows of later registrations than this one does.
+    /// Drops the pending removals, because another instance now keeps this one synchronized
+    /// and knows of later registrations.
     pub fn leave(&mut self) {
         self.untold.clear();
     }
--- a/crates/relay/src/follow/lapses/tests.rs
+++ b/crates/relay/src/follow/lapses/tests.rs
@@ -1,4 +1,4 @@
-//! What others are told of endpoints that lapsed.
+//! Tests of which removals other instances are notified of after an outage.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const OUTAGE_ENDS: Duration = Duration::from_secs(10);
 
-/// Endpoint "e0" lapsed during an outage and was given up.
+/// Returns lapses in which endpoint "e0" lapsed during an outage and was removed.
 fn given_up() -> Lapses {
     let mut lapses = Lapses::default();
     lapses.lapse("e0".into(), OUTAGE_ENDS);
@@ -26,9 +26,9 @@
     assert_eq!(lapses.tell(), []);
 }
 
-/// An endpoint registers just after it was given up, before anybody else was
-/// told. Instances that heard "gone" with a later change than its registration
-/// would send it nothing until it changes once more.
+/// An endpoint registers just after it was removed, before other instances were notified.
+/// An instance that is told "gone" together with a change later than the registration
+/// would send it nothing until its registration changes again.
 #[test]
 fn endpoint_that_came_back_is_not_told_as_gone() {
     let mut lapses = given_up();
@@ -39,9 +39,9 @@
     assert_eq!(lapses.tell(), []);
 }
 
-/// After it gave an endpoint up, this instance is kept in step by another one,
-/// from which it hears that the endpoint has registered again, and later
-/// watches the store anew: what it once had to tell is out of date.
+/// After removing an endpoint, this instance is synchronized by another one, which may
+/// deliver a new registration of the endpoint, and later watches the store again. The
+/// removal is out of date by then and must not be announced.
 #[test]
 fn old_word_is_not_told_after_another_has_led() {
     let mut lapses = given_up();
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -1,4 +1,4 @@
-//! Listening for HTTP, one task a connection.
+//! Accepts HTTP connections and serves each in a task of its own.
 
 use std::{
     convert::Infallible,
@@ -16,30 +16,30 @@
 
 use crate::answer::Body;
 
-/// Connections waiting to be accepted: a returning herd's worth, so that none
-/// of its first packets is dropped and sent again a second later.
+/// Maximum number of connections waiting to be accepted. When many callers reconnect at
+/// once, a full queue would drop first packets, which are resent only a second later.
 const BACKLOG: i32 = 1_024;
 
-/// Longest time a connection stays without a request. Callers reuse theirs
-/// within the operator's limit, which may grow while a connection is open, so
-/// this only sweeps up what was left behind.
+/// Longest time that a connection may stay without a request. Callers reuse connections
+/// within the operator's limit, which may grow while a connection is open, so this limit
+/// only cleans up abandoned ones.
 const IDLE: Duration = Duration::from_mins(2);
 
-/// Largest head a connection buffers, in bytes; the catalog's bound is lower.
+/// Largest request head that a connection buffers, in bytes; the catalog's limit is lower.
 const HEAD: usize = 64 << 10;
 
-/// Pause after a failed accept, which would fail again at once.
+/// Pause after a failed accept, since the next one would fail at once as well.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Time until a silent caller's connection is probed, and between probes: a
-/// caller that lost power would else hold its place for hours.
+/// Idle time before TCP keepalive probes, and the interval between them. Without probes,
+/// the connection of a caller that lost power would stay open for hours.
 const PROBE: Duration = Duration::from_secs(10);
 
-/// Where a request's connection comes from, among its extensions.
+/// Request extension that holds the IP address of the caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Origin(pub IpAddr);
 
-/// Binds a listener.
+/// Binds a TCP listener.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -49,7 +49,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Accepts connections for good and serves each with `serve`.
+/// Accepts connections and passes their requests to `serve`; never returns.
 pub async fn accept<S, F>(listener: TcpListener, serve: S)
 where
     S: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -60,13 +60,13 @@
         let (stream, origin) = match listener.accept().await {
             Ok((stream, address)) => (stream, Origin(address.ip())),
             Err(error) => {
-                tracing::warn!(%error, "connection not accepted");
+                tracing::warn!(%error, "accepting a connection failed");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         if let Err(error) = prepare(&stream) {
-            tracing::debug!(%error, "connection closed before it was served");
+            tracing::debug!(%error, "setting socket options failed; connection dropped");
             continue;
         }
         let serve = Arc::clone(&serve);
--- a/crates/relay/src/handle.rs
+++ b/crates/relay/src/handle.rs
@@ -1,4 +1,4 @@
-//! Starting the relay, and leaving in order.
+//! Starts the relay and shuts it down gracefully.
 
 use std::{fmt, io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,23 +17,24 @@
     source::{Kind, Source},
 };
 
-/// Time kept back of the grace for the process to end in.
+/// Part of the grace period that is reserved for ending the process.
 const LAST: Duration = Duration::from_millis(600);
 
-/// Quiet after which nobody is expected to come any more.
+/// Time without requests in flight after which no further callers are expected. Also the
+/// time limit for deregistering.
 const QUIET: Duration = Duration::from_millis(400);
 
-/// How many times as long as told some callers keep an answer about addresses.
+/// Factor by which some callers exceed the cache time of a list of addresses.
 const KEPT: u32 = 3;
 
 /// Why the relay could not start.
 #[derive(Debug)]
 pub struct Error {
-    /// Which listener.
+    /// Name of the listener in the settings.
     pub listener: &'static str,
-    /// Its address.
+    /// Address that could not be bound.
     pub address: SocketAddr,
-    /// The system's words.
+    /// Error of the operating system.
     pub cause: io::Error,
 }
 
@@ -46,7 +47,7 @@
 
 impl std::error::Error for Error {}
 
-/// A running relay; dropping it ends it.
+/// A running relay; dropping it stops it.
 #[derive(Debug)]
 pub struct Handle {
     desk: Arc<Desk>,
@@ -54,11 +55,11 @@
     tasks: JoinSet<()>,
 }
 
-/// Starts the relay; returns once it listens.
+/// Starts the relay and returns once it listens.
 ///
 /// # Errors
 ///
-/// [`Error`] when an address cannot be bound.
+/// Returns [`Error`] if an address cannot be bound.
 pub async fn spawn(mut settings: Settings, dialect: Dialect, source: Arc<dyn Source>) -> Result<Handle, Error> {
     let at = settings.listeners;
     let failed = |listener, address| move |cause| Error { listener, address, cause };
@@ -97,14 +98,14 @@
 }
 
 impl Handle {
-    /// What the instance believes.
+    /// Returns the state of the instance.
     #[must_use]
     pub fn desk(&self) -> &Arc<Desk> {
         &self.desk
     }
 
-    /// Leaves in order: told to others at once, open to callers that still
-    /// have the address, until every answer is out or the grace is over.
+    /// Shuts down gracefully: other instances are notified at once, and callers that still
+    /// have the address are served until all answers are sent or the grace period is over.
     pub async fn shutdown(mut self) {
         let started = Instant::now();
         let grace = self.desk.settings.grace.saturating_sub(LAST);
--- a/crates/relay/src/join.rs
+++ b/crates/relay/src/join.rs
@@ -1,4 +1,4 @@
-//! This instance's registration, and the first sight of the others.
+//! Registers this instance in the store and discovers the other instances.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,17 +10,17 @@
     source::{Instance, Kind, Progress, Read, Record, Source},
 };
 
-/// Pause between listings of this system's instances, by any of them: news spreads membership,
-/// the listing only joins parts that have lost each other.
+/// Average pause between listings of the instances, counted over the whole fleet. Membership
+/// spreads by news; listings only reconnect parts of the fleet that have lost each other.
 const INSTANCES_PAUSE: Duration = Duration::from_secs(5);
 
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const AGAIN: Duration = Duration::from_millis(700);
 
-/// Pause between looks whether a seed has answered.
+/// Pause between checks whether a seed has answered.
 const HEARD_LOOK: Duration = Duration::from_millis(20);
 
-/// Registers this instance and finds the others.
+/// Registers this instance, discovers the others and lists them now and then.
 pub async fn join(desk: Arc<Desk>, source: Arc<dyn Source>) {
     let me = Instance { name: desk.settings.instance.clone(), news: desk.settings.listeners.news };
     let progress = Progress::default();
@@ -28,9 +28,8 @@
     let mut found = found_by_seeds(&desk).await;
     loop {
         if !found {
-            // All instances of a fleet start at once: an old first listing would
-            // show none of the others, and each would watch the store by itself
-            // until the next one.
+            // When a whole fleet starts at once, an old listing shows none of the others,
+            // and each instance would watch the store by itself until the next listing.
             found = list(&desk, &*source, Read::Latest, &progress).await;
         }
         if registered && found {
@@ -44,18 +43,19 @@
     loop {
         sleep(spread(INSTANCES_PAUSE)).await;
         let members = u32::try_from(desk.members()).unwrap_or(u32::MAX);
-        // One of them looks: which, is drawn by each for itself.
+        // On average one instance of the fleet lists; each decides at random.
         if rand::random_ratio(1, members) {
             list(&desk, &*source, Read::AnyAge, &progress).await;
         }
     }
 }
 
-/// A pause that differs between instances.
+/// Returns the pause with random jitter.
 fn spread(pause: Duration) -> Duration {
     pause.mul_f64(0.8 + 0.4 * rand::random::<f64>())
 }
 
+/// Registers this instance; returns whether it succeeded.
 async fn register(source: &dyn Source, me: &Instance) -> bool {
     match timeout(SILENCE, source.register(me)).await {
         Ok(Ok(())) => return true,
@@ -65,8 +65,9 @@
     false
 }
 
-/// Whether a seed has answered; the others are heard of from it. A listing is a
-/// call for each fifty instances, made by each of them.
+/// Waits for an answer of a seed and returns whether one came; the seed then names the other
+/// instances. That saves a listing by each instance, which takes one call per fifty
+/// instances.
 async fn found_by_seeds(desk: &Desk) -> bool {
     while desk.awaits_seeds() && desk.members() == 1 {
         sleep(HEARD_LOOK).await;
@@ -74,6 +75,7 @@
     desk.members() > 1 && !desk.settings.seeds.is_empty()
 }
 
+/// Lists the instances and adds them to the known ones; returns whether it succeeded.
 async fn list(desk: &Desk, source: &dyn Source, read: Read, progress: &Progress) -> bool {
     match silence::bounded(progress, Duration::ZERO, source.list(Kind::Instances, read, progress)).await {
         Ok(listing) => {
@@ -85,7 +87,7 @@
             true
         }
         Err(fault) => {
-            tracing::info!(%fault, "instances not listed");
+            tracing::info!(%fault, "listing instances failed");
             false
         }
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,21 +1,22 @@
-//! Requests passed through unchanged, by host and path.
+//! An HTTP relay that forwards requests to endpoints by host and path.
 //!
-//! Callers ask any instance for addresses, connect and send requests; the
-//! instance finds the route in the catalog, chooses an endpoint of the route's
-//! service, forwards the request and hands the answer back as the endpoint
-//! gave it. [`spawn`] starts it all:
+//! Callers get instance addresses from any instance, connect and send requests.
+//! The instance looks up the route in the catalog, chooses an endpoint of the
+//! route's service, forwards the request and returns the endpoint's answer
+//! unchanged. [`spawn`] starts these tasks:
 //!
-//! - `follow` keeps the catalog, the endpoints and roll-outs in step with a
-//!   [`source::Source`]; `join` registers this instance and finds the others,
-//!   `report` moves roll-outs on;
-//! - `news` exchanges loads, evidence and membership with other instances;
-//! - `quarantine` keeps requests under which endpoints crash in the source;
-//! - `share` passes the catalog on to instances that cannot read it themselves;
-//! - `front` and `directory` listen; `exchange` is the life of one request,
-//!   `upstream` one try of it, `events` a stream of events resumed on the way.
+//! - `follow` synchronizes the catalog, endpoints and rollouts with a
+//!   [`source::Source`]; `join` registers this instance and discovers the others;
+//!   `report` advances rollouts;
+//! - `news` exchanges loads, rollout evidence and membership with other instances;
+//! - `quarantine` stores the requests that are refused because they crash endpoints;
+//! - `share` serves the catalog to instances that cannot read it from the store;
+//! - `front` and `directory` accept connections; `exchange` handles one request,
+//!   `upstream` sends it to one endpoint, `events` splits event streams so that
+//!   they can be resumed at another endpoint.
 //!
-//! Decisions are made in [`route::relay`]. Names of headers, paths and formats
-//! on the wire come from outside as a [`dialect::Dialect`].
+//! Decisions are made in [`route::relay`]. The names of headers, paths and body
+//! formats are passed in as a [`dialect::Dialect`].
 
 mod answer;
 pub mod ask;
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -1,7 +1,9 @@
-//! News between instances: datagrams, small, lost now and then.
+//! News: gossip between instances in small UDP datagrams, some of which are lost.
 //!
-//! Each piece holds an instance's whole word, so a lost one is made good by
-//! the next. Nothing that must not be lost travels here.
+//! Each news message holds the full state that an instance reports, so the next
+//! message makes up for a lost one. Nothing that must not be lost is sent this way.
+//! Besides news, instances that do not watch the store ask one that does for
+//! changes, and urgent items are broadcast at once (`spread`).
 
 mod spread;
 mod wire;
@@ -37,55 +39,59 @@
     wire::{Finding, Limit, Notice, Order, Packet, Piece, Question, Reply, Seen, short, short_ms},
 };
 
-/// Pause between pieces of news. Loads change within a run's length, some
-/// hundred milliseconds; a shorter pause costs wake-ups at every instance.
+/// Pause between news messages. Loads change within the length of a run, some hundred
+/// milliseconds; a shorter pause costs wake-ups at every instance.
 const PAUSE: Duration = Duration::from_millis(250);
 
-/// Instances that a piece goes to, in turn. At a few all hear each piece; at
-/// many this bounds what news costs, and each hears each other less often.
+/// Maximum number of receivers of a news message; the known instances take turns. In a
+/// small fleet all receive each message. In a large one this bounds the cost of news, and
+/// each instance receives another's news less often.
 const AUDIENCE: usize = 16;
 
-/// Pause between questions to an instance that watches the store. A change
-/// must be in force well within the operator's bound of a few seconds.
+/// Pause between questions to an instance that watches the store. A change must be in
+/// force well within the operator's bound of a few seconds.
 const ASK: Duration = Duration::from_millis(350);
 
-/// Changes in a reply at most; about a datagram's worth.
+/// Maximum number of changes in a reply; about as many as fit into a datagram.
 const CHANGES: usize = 60;
 
-/// Turns of news, on average, of which one brings reminders along: they only make up for
-/// datagrams that were lost and instances that were cut off.
+/// Reminders are sent with one in this many news messages, on average. They only make up
+/// for lost datagrams and for instances that were cut off.
 const REMINDED: u32 = 4;
 
-/// Limits of endpoints that go out with a piece of news: drawn anew each time, so that
-/// instances that missed the word of one hear of it within a few.
+/// Maximum number of endpoint limits in a reminder. They are drawn at random each time, so
+/// that instances that missed a limit receive it within a few reminders.
 const LIMITS_REMINDED: usize = 16;
 
-/// Other instances named in a piece, so that strangers meet.
+/// Other instances named in a news message, so that instances discover each other.
 const NAMED: usize = 4;
 
-/// The same in a brief piece.
+/// Other instances named in a brief news message.
 const NAMED_IN_BRIEF: usize = 1;
 
-/// The same in a piece for an instance that was heard for the first time.
+/// Other instances named in a greeting to a newly discovered instance.
 const NAMED_TO_STRANGERS: usize = 24;
 
-/// Time in which those heard for the first time are gathered.
+/// Time for which newly discovered instances are collected before they are greeted
+/// together.
 const GREETING: Duration = Duration::from_millis(10);
 
-/// Sightings in a piece: with 300 instances, eight pieces each quarter of a second
-/// tell four times a second of each.
+/// Maximum number of sightings in a news message. With 300 instances, an instance that
+/// receives eight messages each quarter of a second gets four sightings of each other
+/// instance per second.
 const SIGHTED: usize = 40;
 
-/// Free ports tried until one is free for connections as well.
+/// Number of free UDP ports tried until one is free for TCP as well.
 const PORTS_TRIED: u32 = 16;
 
-/// Largest piece; a larger one would be split on the way and lost more often.
+/// Largest datagram that is received, in bytes. Larger ones would be fragmented and lost
+/// more often.
 const LARGEST: usize = 16 << 10;
 
-/// Sends and hears news for good.
+/// Sends and receives datagrams; never returns.
 pub async fn exchange(desk: Arc<Desk>, socket: Arc<UdpSocket>) {
-    // Wall time only orders the starts of one instance. Time since the machine's
-    // start would begin anew when it loses power, and nobody would hear it.
+    // Wall-clock time is only used to order the starts of one instance. Time since boot
+    // would restart after a power loss, and others would ignore the instance as outdated.
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let run = u64::try_from(since_epoch.as_nanos()).unwrap_or(0);
     let (asked, lanes) = (Mutex::default(), Lanes::new());
@@ -97,10 +103,10 @@
     );
 }
 
-/// The last question and when it was sent; nothing once it was answered.
+/// Number of the last question and the time at which it was sent; `None` once answered.
 type Asked = Mutex<Option<(u64, Duration)>>;
 
-/// Asks an instance that watches the store what has changed.
+/// Periodically asks an instance that watches the store for changes.
 async fn ask(desk: &Desk, socket: &UdpSocket, asked: &Asked) {
     let (mut number, mut turn) = (rand::random(), 0);
     loop {
@@ -118,10 +124,10 @@
     }
 }
 
-/// Brings evidence on roll-outs together at the instances that watch the store.
+/// Sends this instance's evidence on rollouts to the instances that watch the store.
 ///
-/// In a large fleet each instance sees a few of a bad version's runs, and by news
-/// alone it took many seconds until anybody knew of enough of them.
+/// In a large fleet each instance sees only a few runs of a bad version. By news alone it
+/// takes many seconds until any instance has seen enough of them.
 fn report(desk: &Desk, socket: &UdpSocket) {
     let orders: Vec<Order> = desk.trial_reports().iter().map(Order::from).collect();
     if orders.is_empty() {
@@ -133,10 +139,11 @@
     }
 }
 
+/// Announces this start to the seeds, then periodically sends news.
 async fn tell(desk: &Desk, socket: &UdpSocket, run: u64) {
-    // A new socket takes nothing before it has been waited for once.
+    // `try_send_to` fails on a new socket until its readiness was awaited once.
     if let Err(error) = socket.writable().await {
-        tracing::warn!(%error, "seeds are not told of this start");
+        tracing::warn!(%error, "cannot announce this start to the seeds");
     }
     for seed in &desk.settings.seeds {
         send(socket, *seed, &encode(&Packet::News(piece(desk, run, PAUSE, NAMED))));
@@ -146,7 +153,8 @@
         let Turn { near, far } = desk.audience(turn, AUDIENCE);
         let pause_told = PAUSE * u32::try_from(near.rounds).unwrap_or(u32::MAX);
         let bytes = encode(&Packet::News(piece(desk, run, pause_told, NAMED)));
-        // Drawn, not counted: by a count the same instances would be left out each round.
+        // Random, because with a counter the same instances would miss the reminders in each
+        // round.
         let reminders = if rand::random_ratio(1, REMINDED) { reminders(desk) } else { Vec::new() };
         for news in near.news.into_iter().chain(desk.strangers()) {
             send_news(socket, news, &bytes, &reminders);
@@ -170,8 +178,8 @@
     }
 }
 
-/// Tells instances that were heard for the first time at once: one that starts
-/// finds the others by that. When a fleet starts, those of a moment together.
+/// Sends news to newly discovered instances at once, so that a starting instance discovers
+/// the others. When a fleet starts, those found at about the same time are greeted together.
 async fn greet(desk: &Desk, socket: &UdpSocket, run: u64, pause: Duration) {
     sleep(GREETING).await;
     let bytes = encode(&Packet::News(piece(desk, run, pause, NAMED_TO_STRANGERS)));
@@ -181,8 +189,8 @@
     }
 }
 
-/// Requests that are refused and limits of endpoints, for instances that were not told
-/// or started later; nothing where there are none.
+/// Returns encoded datagrams with quarantined requests and endpoint limits, for instances
+/// that missed them or started later; empty if there are none.
 fn reminders(desk: &Desk) -> Vec<Vec<u8>> {
     let findings: Vec<Finding> = desk.refused_requests(BATCHED).into_iter().map(Finding::from).collect();
     let limits: Vec<Limit> = desk.limits(LIMITS_REMINDED).into_iter().map(Limit::from).collect();
@@ -193,11 +201,11 @@
 
 fn send(socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
     if let Err(error) = socket.try_send_to(bytes, to) {
-        tracing::debug!(%to, %error, "news not sent; the next piece makes up for it");
+        tracing::debug!(%to, %error, "sending a datagram failed; a later one makes up for it");
     }
 }
 
-/// Sends a piece of news, and reminders after it.
+/// Sends a news message and then reminders.
 fn send_news(socket: &UdpSocket, to: SocketAddr, piece: &[u8], reminders: &[Vec<u8>]) {
     send(socket, to, piece);
     for reminder in reminders {
@@ -205,7 +213,7 @@
     }
 }
 
-/// Takes notices in but for this instance's own, which relays send back as well.
+/// Applies notices, except this instance's own, which relays send back.
 fn take_notices(desk: &Desk, notices: Vec<Notice>) {
     let me = short_hash(&desk.settings.instance);
     for notice in notices.into_iter().filter(|notice| notice.origin != me) {
@@ -217,13 +225,14 @@
     desk.take_findings(findings.iter().copied().map(quarantine::Finding::from));
 }
 
+/// Receives datagrams, applies them and answers questions.
 async fn hear(desk: &Desk, socket: &UdpSocket, asked: &Asked, lanes: &Lanes) {
     let mut buffer = vec![0; LARGEST];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                tracing::debug!(%error, "news not received");
+                tracing::debug!(%error, "receiving a datagram failed");
                 sleep(Duration::from_millis(5)).await;
                 continue;
             }
@@ -260,19 +269,21 @@
             }
             Ok(Packet::Reply(reply)) => {
                 let mut asked = asked.lock().unwrap_or_else(PoisonError::into_inner);
-                // Only the reply to the last question: an older one would
-                // prove less than its age says.
+                // Only a reply to the last question counts: the proof in an earlier one is
+                // older than computed from the last question's time.
                 if let Some((_, at)) = asked.take_if(|(number, _)| *number == reply.number) {
                     drop(asked);
                     desk.note_teller(from, reply.catalog);
                     desk.take_reply(at, reply.into());
                 }
             }
-            Err(error) => tracing::warn!(%from, %error, "news does not read; instances of another build?"),
+            Err(error) => tracing::warn!(%from, %error, "received datagram is invalid; are other instances of another build?"),
         }
     }
 }
 
+/// Builds a news message; `pause` is the time until the receiver gets the next one, and
+/// `named` the number of other instances to name.
 fn piece(desk: &Desk, run: u64, pause: Duration, named: usize) -> Piece {
     Piece {
         name: desk.settings.instance.clone(),
@@ -298,12 +309,13 @@
     }
 }
 
-/// A piece without what would be old before the next one comes.
+/// Builds a news message without the parts that would be outdated before the next one.
 fn brief(desk: &Desk, run: u64, pause: Duration) -> Piece {
     Piece { loads: Vec::new(), sightings: Vec::new(), ..piece(desk, run, pause, NAMED_IN_BRIEF) }
 }
 
-/// Where a round of news takes several turns, when others were heard.
+/// Returns when other instances were last heard from, if a round of news takes several
+/// messages.
 fn sightings(desk: &Desk, pause: Duration) -> Vec<Seen> {
     if pause <= PAUSE {
         return Vec::new();
@@ -313,13 +325,13 @@
 
 fn encode(packet: &Packet) -> Vec<u8> {
     postcard::to_allocvec(packet).unwrap_or_else(|error| {
-        tracing::error!(%error, "news not encoded");
+        tracing::error!(%error, "encoding a datagram failed");
         Vec::new()
     })
 }
 
-/// Binds the socket that news comes by, and a listener for copies of the catalog
-/// at the same port.
+/// Binds the UDP socket for news and, at the same port, a TCP listener that serves copies
+/// of the catalog.
 pub async fn bind(address: SocketAddr) -> io::Result<(Arc<UdpSocket>, TcpListener)> {
     let mut left = if address.port() == 0 { PORTS_TRIED } else { 1 };
     loop {
@@ -327,9 +339,9 @@
         let socket = UdpSocket::bind(address).await?;
         match front::bind(socket.local_addr()?) {
             Ok(listener) => return Ok((Arc::new(socket), listener)),
-            // A free port for datagrams may be taken for connections.
+            // A port that is free for UDP may be in use for TCP.
             Err(error) if left == 0 => return Err(error),
-            Err(error) => tracing::debug!(%error, "another port is tried"),
+            Err(error) => tracing::debug!(%error, "port is not free for TCP; trying another one"),
         }
     }
 }
--- a/crates/relay/src/news/spread.rs
+++ b/crates/relay/src/news/spread.rs
@@ -1,7 +1,8 @@
-//! What all instances are told at once: long prompts, crashes, limits of endpoints.
+//! Broadcasts urgent items to all instances: long prompts, crashes, endpoint limits.
 //!
-//! In a large fleet a word goes to a relay in each failure domain, which passes it
-//! on to its neighbours with others of the same moment.
+//! In a large fleet an item is sent to one relay instance in each failure domain,
+//! which passes it on to its neighbours together with other items that arrive at
+//! about the same time.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -16,25 +17,25 @@
 };
 use crate::desk::{Desk, fleet::short_hash, peers::Audience};
 
-/// Time in which a relay gathers what it passes on.
+/// Time for which a relay collects items before it passes them on.
 const BATCH: Duration = Duration::from_millis(30);
 
-/// Words in a datagram at most.
+/// Maximum number of items in a datagram.
 pub(super) const BATCHED: usize = 64;
 
-/// Lanes of what is told at once.
+/// The broadcasts, one for each kind of item.
 #[derive(Debug)]
 pub(super) struct Lanes {
-    /// Long prompts.
+    /// Notices of long prompts.
     pub(super) notices: Lane<Notice>,
-    /// Requests under which endpoints crash.
+    /// Findings about requests that crash endpoints.
     pub(super) findings: Lane<Finding>,
-    /// Limits that endpoints name.
+    /// Rate limits that endpoints report.
     pub(super) limits: Lane<Limit>,
 }
 
 impl Lanes {
-    /// Lanes on which nothing is told yet.
+    /// Creates broadcasts without queued items.
     pub(super) fn new() -> Self {
         Self {
             notices: Lane::new(Packet::Notices, Packet::PassOn),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Tells what this instance has to tell, and passes on what others do, for good.
+    /// Broadcasts this instance's items and passes on those of others; never returns.
     pub(super) async fn serve(&self, desk: &Desk, socket: &UdpSocket) {
         tokio::join!(
             self.tell_notices(desk, socket),
@@ -80,7 +81,7 @@
     }
 }
 
-/// Words of one kind, and what waits to be passed on.
+/// Broadcast of items of one kind, with the items that wait to be passed on.
 #[derive(Debug)]
 pub(super) struct Lane<T> {
     waiting: Mutex<Vec<T>>,
@@ -94,13 +95,13 @@
         Self { waiting: Mutex::default(), added: Notify::new(), to_all, to_relays }
     }
 
-    /// Has words passed on with the next datagrams.
+    /// Queues items to be passed on.
     pub(super) fn add(&self, words: impl IntoIterator<Item = T>) {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner).extend(words);
         self.added.notify_one();
     }
 
-    /// Sends words to all instances, in a large fleet by way of relays.
+    /// Sends items to all instances; in a large fleet, to the relays.
     fn tell(&self, desk: &Desk, socket: &UdpSocket, words: &[T]) {
         let me = desk.settings.listeners.news;
         for words in words.chunks(BATCHED) {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Passes on to the neighbours what other instances tell, some at a time.
+    /// Passes queued items on to the neighbours, in batches; never returns.
     async fn pass_on(&self, desk: &Desk, socket: &UdpSocket) {
         loop {
             let words = self.next().await;
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Waits for the first word and for those that come right after it.
+    /// Waits for an item and for those that follow within the collecting time, and takes them.
     async fn next(&self) -> Vec<T> {
         loop {
             self.added.notified().await;
--- a/crates/relay/src/news/wire.rs
+++ b/crates/relay/src/news/wire.rs
@@ -1,4 +1,4 @@
-//! News as datagrams carry it, and its conversions.
+//! Serialized datagrams between instances, and their conversions.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -21,29 +21,32 @@
     source::Endpoint,
 };
 
-/// A datagram.
+/// Contents of a datagram.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Packet {
+    /// What an instance reports about itself.
     News(Piece),
+    /// Question for changes, to an instance that watches the store.
     Question(Question),
+    /// Answer to a question.
     Reply(Reply),
-    /// Word of long prompts.
+    /// Notices of long prompts.
     Notices(Vec<Notice>),
-    /// The same, for the receiver's neighbours as well.
+    /// Notices that the receiver passes on to its neighbours.
     PassOn(Vec<Notice>),
-    /// An instance's evidence on roll-outs, by the hash of its name.
+    /// Evidence of an instance on rollouts, with the hash of the instance's name.
     Evidence(u32, Vec<Order>),
-    /// What was found of requests under which endpoints crash.
+    /// Findings about requests that crash endpoints.
     Findings(Vec<Finding>),
-    /// The same, for the receiver's neighbours as well.
+    /// Findings that the receiver passes on to its neighbours.
     PassOnFindings(Vec<Finding>),
-    /// Limits that endpoints name.
+    /// Rate limits that endpoints report.
     Limits(Vec<Limit>),
-    /// The same, for the receiver's neighbours as well.
+    /// Limits that the receiver passes on to its neighbours.
     PassOnLimits(Vec<Limit>),
 }
 
-/// Word of an endpoint's limit on the wire.
+/// Serialized form of [`fleet::Limit`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(super) struct Limit {
     start: u32,
@@ -64,7 +67,7 @@
     }
 }
 
-/// A finding on the wire; a request by its team and its work.
+/// Serialized form of [`quarantine::Finding`]; `team` and `work` identify the request.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(super) enum Finding {
     Crash { team: u32, work: u64, start: u32 },
@@ -96,7 +99,7 @@
     }
 }
 
-/// Word of a long prompt on the wire.
+/// Serialized form of [`fleet::Notice`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct Notice {
     /// Hash of the name of the instance that sent the prompt.
@@ -106,14 +109,14 @@
     pub(super) part: Option<u32>,
 }
 
-/// A question on the wire; the number ties the reply to it.
+/// Serialized form of [`track::Question`]; the reply repeats the number.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Question {
     pub(super) number: u64,
     pub(super) revision: u64,
 }
 
-/// A reply on the wire.
+/// Serialized form of [`track::Reply`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Reply {
     pub(super) number: u64,
@@ -126,7 +129,7 @@
     pub(super) rollouts: Vec<Ordered>,
 }
 
-/// A change to an endpoint on the wire.
+/// Serialized form of [`track::Change`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Change {
     Known {
@@ -144,7 +147,7 @@
     Gone(String),
 }
 
-/// An order for a roll-out on the wire.
+/// Serialized form of [`Rollout`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Ordered {
     pub(super) service: String,
@@ -154,7 +157,7 @@
     pub(super) revision: u64,
 }
 
-/// Where an instance stands, on the wire.
+/// Serialized form of [`peers::Phase`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(super) enum Phase {
     Starting,
@@ -182,7 +185,7 @@
     }
 }
 
-/// A piece of news on the wire.
+/// A news message: what an instance reports about itself and others.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Piece {
     pub(super) name: String,
@@ -203,7 +206,7 @@
     pub(super) catalog: u64,
 }
 
-/// When an instance was heard, on the wire.
+/// Serialized form of [`Sighting`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Seen {
     name: u32,
@@ -224,7 +227,7 @@
     }
 }
 
-/// A version's record on the wire.
+/// Serialized form of [`Tally`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Counts {
     pub(super) runs: u32,
@@ -248,7 +251,7 @@
     }
 }
 
-/// A roll-out on the wire.
+/// Serialized form of [`Report`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Order {
     pub(super) hash: u32,
@@ -258,6 +261,7 @@
     pub(super) old: Counts,
 }
 
+/// Returns the number that stands for a stage in datagrams.
 pub(super) fn number(stage: Stage) -> u8 {
     match stage {
         Stage::Trial => 0,
@@ -267,6 +271,7 @@
     }
 }
 
+/// Returns the stage that a number in a datagram stands for.
 pub(super) fn stage(number: u8) -> Stage {
     match number {
         1 => Stage::Shift,
@@ -276,12 +281,13 @@
     }
 }
 
-/// A value as news carries it, cut to the type's range.
+/// Converts to an integer, clamped to the range of `u16`.
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped to the type's range")]
 pub(super) fn short(value: f64) -> u16 {
     value.clamp(0.0, f64::from(u16::MAX)) as u16
 }
 
+/// Converts to whole milliseconds, at most `u32::MAX`.
 pub(super) fn short_ms(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! Refused requests in the store, for when all instances are lost.
+//! Persists quarantined requests in the store, in case all instances are lost.
 //!
-//! Instances tell each other what they refuse. The store is written to when a
-//! request comes to be refused or is cleared, seldom enough for it, and read once at
-//! a start.
+//! Instances notify each other of the requests that they refuse. The store is written
+//! only when a request enters or leaves quarantine, which is rare enough, and read
+//! once at startup.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,22 +14,22 @@
     source::{Fault, Kind, Progress, Read, Record, Refused, Source},
 };
 
-/// Pause after a call that failed; doubles with each further one.
+/// Pause after a failed call; doubles with each further failure.
 const AGAIN: Duration = Duration::from_millis(700);
 
-/// Longest pause after calls that failed.
+/// Longest pause after failed calls.
 const LONGEST_AGAIN: Duration = Duration::from_secs(8);
 
-/// What the store has to be told of a request.
+/// A change of a request's quarantine that has to be written to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It is refused.
+    /// The request is refused.
     Refuse(Refused),
-    /// It is refused no more.
+    /// The request is no longer refused.
     Allow(Refused),
 }
 
-/// Reads what was refused before, then keeps the store in step.
+/// Reads the stored quarantine once and writes changes to the store; never returns.
 pub async fn keep(desk: Arc<Desk>, source: Arc<dyn Source>) {
     tokio::join!(restore(&desk, &*source), write(&desk, &*source));
 }
@@ -40,7 +40,7 @@
         let list = source.list(Kind::Quarantine, Read::AnyAge, &progress);
         match silence::bounded(&progress, Duration::ZERO, list).await {
             Ok(listing) => break listing,
-            Err(fault) => tracing::info!(%fault, "refused requests not read yet"),
+            Err(fault) => tracing::info!(%fault, "reading quarantined requests failed; retrying"),
         }
         pause(&mut again).await;
     };
@@ -56,7 +56,7 @@
         let change = desk.quarantine_change().await;
         let mut again = AGAIN;
         while let Err(fault) = send(source, change).await {
-            tracing::info!(%fault, ?change, "refused request not written yet");
+            tracing::info!(%fault, ?change, "writing quarantine change failed; retrying");
             pause(&mut again).await;
             if !desk.is_due(change) {
                 break;
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -1,4 +1,4 @@
-//! Roll-outs moved on, and their stages reported to the store.
+//! Advances rollouts and reports their stages to the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,18 +6,18 @@
 
 use crate::{desk::Desk, silence::SILENCE, source::Source};
 
-/// Pause between looks at roll-outs.
+/// Pause between checks of the rollouts.
 const ROLLOUT_PAUSE: Duration = Duration::from_millis(250);
 
-/// Looks after which any instance reports a stage that the store does not show,
-/// the one whose duty it is having failed to.
+/// Number of checks after which any instance reports a stage that the store does not show
+/// yet, because the instances that should report it have failed to.
 const OTHERS_TURN: u32 = 8;
 
-/// Moves roll-outs on and reports their stages to the store.
+/// Advances rollouts and reports their stages to the store; never returns.
 ///
-/// Every instance does; the one whose name comes first and those that watch the
-/// store report, and the others if they fail to. Reports are conditional writes, so whoever is late changes
-/// nothing.
+/// Every instance advances rollouts. The instance whose name sorts first and those that
+/// watch the store report the stages, and the others if these fail to. Reports are
+/// conditional writes, so a late one changes nothing.
 pub async fn roll_out(desk: Arc<Desk>, source: Arc<dyn Source>) {
     let mut unsaid_for = 0;
     loop {
@@ -28,7 +28,7 @@
             continue;
         }
         unsaid_for += 1;
-        // Those that watch the store have the most evidence and know first.
+        // Instances that watch the store have the most evidence and see a stage end first.
         if !desk.leads() && !desk.watches_store() && unsaid_for < OTHERS_TURN {
             continue;
         }
--- a/crates/relay/src/rollout.rs
+++ b/crates/relay/src/rollout.rs
@@ -4,17 +4,17 @@
 
 use route::relay::canary::Stage;
 
-/// An order and how far it has come.
+/// A rollout order and its progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rollout {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Version to move to.
+    /// Version to roll out.
     pub target: String,
-    /// Time it may take.
+    /// Time that the rollout may take.
     pub over: Duration,
-    /// How far the status says it has come; nothing before the first write.
+    /// Stage in the stored status; `None` before the first report.
     pub stage: Option<Stage>,
-    /// Revision of the object, for conditional writes.
+    /// Revision of the stored object, for conditional writes.
     pub revision: u64,
 }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,48 +1,48 @@
-//! What the relay is told at its start.
+//! Settings that the relay gets at startup.
 
 use std::{net::SocketAddr, time::Duration};
 
 use route::relay::allowance;
 
-/// Everything the relay is told at its start.
+/// Settings of the relay.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The instance's name.
+    /// Name of this instance.
     pub instance: String,
-    /// The failure domain it stands in.
+    /// Failure domain of this instance.
     pub domain: String,
-    /// Where it listens.
+    /// Addresses to listen at.
     pub listeners: Listeners,
-    /// Addresses at which other instances may hear news.
+    /// News addresses of instances to contact at startup.
     pub seeds: Vec<SocketAddr>,
-    /// Longest time that a withdrawn key may go on working; nothing where
-    /// withdrawal has no strict bound.
+    /// Longest time for which a revoked access key may still work; `None` if revocation has
+    /// no strict bound.
     pub revoke: Option<Duration>,
-    /// Longest time that a catalog may be served by after the operator's
-    /// confirmation of a newer one; nothing where that has no bound.
+    /// Longest time for which a catalog may be used after a newer one was confirmed to the
+    /// operator; `None` if there is no bound.
     pub replace: Option<Duration>,
-    /// Bound on repeated dispatches.
+    /// Limit on retries and other extra dispatches.
     pub allowance: allowance::Policy,
-    /// Share of a service's requests that a bad version may get.
+    /// Fraction of a service's requests that a bad version may get.
     pub exposure: f64,
-    /// Longest pause between two requests of a session.
+    /// Longest pause between two requests of one session.
     pub session: Duration,
-    /// Longest time that requests in flight get when leaving.
+    /// Grace period for requests in flight at shutdown.
     pub grace: Duration,
-    /// Longest time that callers keep an answer about addresses.
+    /// Longest time that callers may cache a list of addresses.
     pub keep_addresses: Duration,
-    /// Processor that this instance has.
+    /// CPU capacity of this instance.
     pub cores: Cores,
-    /// Memory that waiting bodies may take, in bytes.
+    /// Memory that request bodies may take in total, in bytes.
     pub body_memory: usize,
 }
 
-/// Processor that an instance has, in hundredths of a core, as news carries it.
+/// CPU capacity of an instance, in hundredths of a core, as sent in news.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cores(pub u32);
 
 impl Cores {
-    /// So many cores.
+    /// Converts a number of cores, rounding to hundredths.
     #[must_use]
     pub fn new(cores: f64) -> Self {
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped to the type's range")]
@@ -50,7 +50,7 @@
         Self(hundredths)
     }
 
-    /// The same in cores.
+    /// Returns the number of cores.
     #[must_use]
     pub fn get(self) -> f64 {
         f64::from(self.0) / 100.0
@@ -58,21 +58,21 @@
 }
 
 impl Default for Cores {
-    /// Instances of which nothing is said count as alike.
+    /// Returns one core, so that instances with unknown capacity count as equal.
     fn default() -> Self {
         Self(100)
     }
 }
 
-/// Where the relay listens.
+/// Addresses that the relay listens at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Listeners {
-    /// Requests.
+    /// Callers' requests.
     pub front: SocketAddr,
-    /// The question whether it takes requests.
+    /// Readiness checks.
     pub ready: SocketAddr,
-    /// Questions for addresses.
+    /// Address requests.
     pub directory: SocketAddr,
-    /// News of other instances, datagrams; and copies of the catalog, connections.
+    /// News of other instances over UDP, and copies of the catalog over TCP.
     pub news: SocketAddr,
 }
--- a/crates/relay/src/share.rs
+++ b/crates/relay/src/share.rs
@@ -1,9 +1,10 @@
-//! Passing the catalog on between instances.
+//! Passes the catalog on between instances.
 //!
-//! An instance that the store turns away learns from others that there is a newer
-//! catalog. Without a copy of theirs it could only refuse its callers once the
-//! operators' bound is over, and ask the store again and again. A copy proves
-//! nothing of its age: what others say of the version in force does.
+//! An instance that the store rejects learns from others that there is a newer
+//! catalog. Without a copy from one of them it would have to refuse its callers once
+//! the operator's bound has passed, and would ask the store again and again. A copy
+//! does not prove that it is recent; replies of other instances about the version in
+//! force do.
 
 use std::{
     net::SocketAddr,
@@ -27,31 +28,32 @@
     upstream,
 };
 
-/// Path of the catalog in force.
+/// HTTP path of the catalog.
 const PATH: &str = "/catalog";
 
-/// Copies that an instance sends at once; whoever finds it busy asks the store.
+/// Maximum number of copies that an instance sends at the same time. An instance that gets
+/// none asks the store instead.
 const MOST_AT_ONCE: usize = 8;
 
-/// Longest wait for a copy: a megabyte over a link of 10 Mbit/s.
+/// Time limit for fetching a copy: enough for a megabyte over a link of 10 Mbit/s.
 const COPY: Duration = Duration::from_millis(1_200);
 
-/// Longest copy that is read, in bytes; the store keeps no larger ones.
+/// Longest copy that is read, in bytes; the store holds no larger catalog.
 const LONGEST: usize = 4 << 20;
 
-/// Part of a copy that is handed to its connection at a time, in bytes.
+/// Size of the chunks in which a copy is sent, in bytes.
 const PIECE: usize = 32 << 10;
 
-/// Sends the catalog in force to other instances.
+/// Serves the catalog in force to other instances.
 #[derive(Debug)]
 pub struct Sharer {
     room: Arc<Semaphore>,
-    /// The last copy sent and the version it is of.
+    /// Encoded catalog of the last request, with its version.
     copy: Mutex<Option<(u64, Bytes)>>,
 }
 
 impl Sharer {
-    /// A sharer that sends nothing yet.
+    /// Creates a server that has nothing encoded yet.
     #[must_use]
     pub fn new() -> Self {
         Self { room: Arc::new(Semaphore::new(MOST_AT_ONCE)), copy: Mutex::default() }
@@ -70,19 +72,21 @@
         }
     }
 
+    /// Returns the encoded catalog, from the cache if it is of the same version.
     fn copy(&self, catalog: &Catalog) -> Option<Bytes> {
         let mut kept = self.copy.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((_, copy)) = kept.as_ref().filter(|(version, _)| *version == catalog.version) {
             return Some(copy.clone());
         }
         let copy = postcard::to_allocvec(&wire::Copy::from(catalog)).map(Bytes::from);
-        let copy = copy.inspect_err(|error| tracing::error!(%error, "catalog not encoded")).ok()?;
+        let copy = copy.inspect_err(|error| tracing::error!(%error, "encoding the catalog failed")).ok()?;
         *kept = Some((catalog.version, copy.clone()));
         Some(copy)
     }
 }
 
-/// A copy in pieces; its place is free once the last has gone out.
+/// Returns a body that sends the copy in chunks and holds the permit until the last is
+/// sent.
 fn send(mut copy: Bytes, place: OwnedSemaphorePermit) -> Body {
     let pieces = async_stream::stream! {
         let _place = place;
@@ -94,13 +98,13 @@
     StreamBody::new(pieces).boxed_unsync()
 }
 
-/// Fetches the catalog that another instance has.
+/// Fetches the catalog of another instance.
 ///
 /// # Errors
 ///
-/// The cause, in words for a log line.
+/// Returns the cause as text for a log line.
 pub async fn fetch(from: SocketAddr) -> Result<Catalog, String> {
-    timeout(COPY, receive(from)).await.map_err(|_| "no copy in time".to_owned())?
+    timeout(COPY, receive(from)).await.map_err(|_| "timed out".to_owned())?
 }
 
 async fn receive(from: SocketAddr) -> Result<Catalog, String> {
--- a/crates/relay/src/silence.rs
+++ b/crates/relay/src/silence.rs
@@ -1,11 +1,10 @@
-//! Giving up calls to the store that have fallen silent.
+//! Cancels calls to the store that have gone silent.
 //!
-//! A connection may go silent for good, without a reset. What tells that from a
-//! long answer is not the time since the call began but the time since something
-//! of its answer came: a catalog of a megabyte takes most of a second over a link
-//! of 10 Mbit/s, and longer beside callers' requests. A limit on the whole call
-//! would drop it midway, each time anew, and fill the link with what is thrown
-//! away.
+//! A connection may go silent for good without a reset. The sign of that is not the
+//! time since the call began but the time since a part of its answer last arrived: a
+//! catalog of a megabyte takes most of a second over a link of 10 Mbit/s, and longer
+//! beside callers' requests. A limit on the whole call would cancel it midway, again
+//! on every retry, and fill the link with data that is thrown away.
 
 use std::{pin::pin, time::Duration};
 
@@ -16,18 +15,18 @@
     source::{Fault, Progress},
 };
 
-/// Silence after which a call is given up: many round trips, a store that is
-/// slow by fifty times.
+/// Silence after which a call is cancelled: many round trips, enough for a store that is
+/// fifty times slower than usual.
 pub const SILENCE: Duration = Duration::from_millis(600);
 
-/// Waits for a call until it is answered or has been silent for too long.
+/// Awaits a call and cancels it if it is silent for too long.
 ///
-/// `wait` is how long the store was asked to hold the answer back. An answer that
-/// comes in is waited for to its end, however long that takes.
+/// `wait` is how long the store was asked to hold back its answer. An answer that keeps
+/// arriving is awaited to its end, however long that takes.
 ///
 /// # Errors
 ///
-/// The call's own, and [`Fault::Lost`] when it fell silent.
+/// Returns the error of the call, or [`Fault::Lost`] if it went silent.
 pub async fn bounded<T>(
     progress: &Progress,
     wait: Duration,
@@ -41,7 +40,7 @@
         if let Ok(result) = timeout(left, &mut call).await {
             return result;
         }
-        // What an earlier call brought came too long ago to count here.
+        // A last arrival that belongs to an earlier call is too old to extend the limit.
         let heard_until = progress.last() + SILENCE;
         if heard_until <= until {
             return Err(Fault::Lost("no answer in time".into()));
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -1,4 +1,4 @@
-//! The one trait between the relay and the store that keeps its state.
+//! The trait through which the relay uses the store that keeps its state.
 
 use std::{
     fmt,
@@ -12,172 +12,171 @@
 
 use crate::{catalog::Catalog, clock, rollout::Rollout};
 
-/// What is kept.
+/// Kinds of records in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// The catalog, one record.
+    /// The catalog, a single record.
     Catalog,
     /// Endpoints of all services.
     Endpoints,
-    /// Operators' orders to move a service to another version.
+    /// Rollouts: operators' orders to move a service to another version.
     Rollouts,
-    /// This system's instances.
+    /// Instances of this system.
     Instances,
-    /// Requests that are refused because endpoints crash under them.
+    /// Requests that are refused because they crash endpoints.
     Quarantine,
 }
 
-/// One record.
+/// A record of any kind.
 #[derive(Debug, Clone)]
 pub enum Record {
     /// The catalog.
     Catalog(Box<Catalog>),
     /// An endpoint.
     Endpoint(Endpoint),
-    /// An order.
+    /// A rollout.
     Rollout(Rollout),
     /// An instance.
     Instance(Instance),
-    /// A refused request.
+    /// A quarantined request.
     Refused(Refused),
 }
 
-/// An endpoint as it has registered itself.
+/// An endpoint, as it registered itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// Its name; it may start again under it, knowing nothing of before.
+    /// Name. A restarted endpoint may use the same name, without its earlier state.
     pub id: String,
-    /// Its service's name.
+    /// Name of its service.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens at.
     pub address: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain in which it runs.
     pub domain: String,
-    /// Version of its software.
+    /// Software version.
     pub version: String,
-    /// Runs it takes at a time.
+    /// Maximum number of concurrent runs.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is shutting down and should get no new requests.
     pub draining: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which it is slow after its start.
     pub cold: Duration,
-    /// When it started, in Unix milliseconds by its own clock; nothing if it
-    /// does not say.
+    /// Start time in Unix milliseconds by its own clock, if it reports one.
     pub born: Option<u64>,
-    /// The store's revision of the registration.
+    /// Revision of the registration in the store.
     pub revision: u64,
 }
 
-/// An instance as it has registered itself.
+/// An instance, as it registered itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it hears news.
+    /// Address at which it receives news.
     pub news: SocketAddr,
 }
 
-/// A request that is refused.
+/// A quarantined request, which is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refused {
-    /// The request.
+    /// Identity of the request.
     pub content: Content,
-    /// When an endpoint last crashed under it, in Unix milliseconds.
+    /// Time of the last crash that it caused, in Unix milliseconds.
     pub since: u64,
 }
 
-/// A record's name, and the record unless it was deleted.
+/// A record that was listed, written or deleted.
 #[derive(Debug, Clone)]
 pub struct Change {
-    /// The record's name.
+    /// Name of the record.
     pub name: String,
-    /// The record; nothing when it was deleted.
+    /// The record; `None` if it was deleted.
     pub record: Option<Record>,
 }
 
-/// Records of a kind.
+/// All records of a kind.
 #[derive(Debug, Clone)]
 pub struct Listing {
-    /// The store's revision of this answer.
+    /// Revision of the store that the listing shows.
     pub revision: u64,
-    /// Every record that reads.
+    /// Every record that could be decoded.
     pub records: Vec<Change>,
-    /// Names of those that do not.
+    /// Names of the records that could not be decoded.
     pub unreadable: Vec<String>,
 }
 
-/// What a listing must show.
+/// Consistency of a listing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Read {
-    /// Everything that was written before the call (linearizable).
+    /// Shows everything that was written before the call (linearizable).
     Latest,
-    /// The records as of some moment, seconds ago perhaps; costs the store less.
+    /// Shows the records as of some earlier time, possibly seconds ago; costs the store less.
     AnyAge,
 }
 
 /// Changes to records of a kind.
 #[derive(Debug, Clone)]
 pub struct Batch {
-    /// The store's revision up to which changes are here.
+    /// Revision of the store up to which the changes are complete.
     pub revision: u64,
     /// Changes, oldest first.
     pub changes: Vec<Change>,
 }
 
-/// Why there is no answer.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// The history asked for is gone; list again.
+    /// The store no longer has the requested history; list again.
     Compacted,
-    /// A change does not tell what it is of; list again.
+    /// A change does not name the record that changed; list again.
     Unreadable,
-    /// Another write came first, or the object is gone.
+    /// The object was changed by another write, or is gone.
     Conflict,
-    /// Not taken; certainly not done.
+    /// The store rejected the call, which certainly had no effect.
     Refused(String),
-    /// No answer; a write may or may not be done.
+    /// No answer came; a write may or may not have taken effect.
     Lost(String),
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Compacted => f.write_str("history is gone; list again"),
-            Self::Unreadable => f.write_str("a change does not read; list again"),
-            Self::Conflict => f.write_str("another write came first; read again"),
-            Self::Refused(cause) => write!(f, "refused: {cause}; try again later"),
-            Self::Lost(cause) => write!(f, "no answer: {cause}; ask again"),
+            Self::Compacted => f.write_str("the store has compacted its history; list again"),
+            Self::Unreadable => f.write_str("a change cannot be decoded; list again"),
+            Self::Conflict => f.write_str("the object was changed by another write; read it again"),
+            Self::Refused(cause) => write!(f, "the store rejected the call: {cause}; try again later"),
+            Self::Lost(cause) => write!(f, "no answer from the store: {cause}; try again"),
         }
     }
 }
 
-/// When answers brought something; a call notes it, whoever waits reads it.
+/// Arrival times of answers: calls record them, and the task that awaits a call reads them.
 ///
-/// Times are microseconds of [`clock::now`]; zero is never.
+/// Times are microseconds of [`clock::now`]; zero means never.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// When the last call's answer began to come.
+    /// When the first part of the current call's answer arrived.
     first: AtomicU64,
-    /// When something last came, of whichever call.
+    /// When a part of any call's answer last arrived.
     last: AtomicU64,
 }
 
 impl Progress {
-    /// Notes that a call begins.
+    /// Records the start of a call.
     pub fn start(&self) {
         self.first.store(0, Ordering::Relaxed);
     }
 
-    /// Notes that something of an answer has come: its beginning, or a piece of
-    /// it. A refusal is none.
+    /// Records the arrival of a part of an answer. The answer of a rejected call does not
+    /// count.
     pub fn note(&self) {
         let now = u64::try_from(clock::now().as_micros()).unwrap_or(u64::MAX);
         self.first.compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed).ok();
         self.last.store(now, Ordering::Relaxed);
     }
 
-    /// Time from the beginning of the last answer to the last that came of it: what
-    /// it took of the link, without the store's own time.
+    /// Returns the time from the first to the last part of the last answer: its transfer
+    /// time, without the processing time of the store.
     #[must_use]
     pub fn transfer(&self) -> Duration {
         match self.first.load(Ordering::Relaxed) {
@@ -186,7 +185,7 @@
         }
     }
 
-    /// When something last came; zero before the first time.
+    /// Returns when a part of an answer last arrived; zero before the first.
     #[must_use]
     pub fn last(&self) -> Duration {
         Duration::from_micros(self.last.load(Ordering::Relaxed))
@@ -195,12 +194,12 @@
 
 /// A store with revisions, conditional writes and watches.
 ///
-/// Calls have no time limit of their own: the caller drops a call to end it.
-/// Those whose answers may be long note what comes of them.
+/// Calls have no time limit of their own; the caller cancels a call by dropping it. Calls
+/// with long answers record their [`Progress`].
 pub trait Source: fmt::Debug + Send + Sync {
-    /// Lists a kind's records.
+    /// Lists the records of a kind.
     fn list<'a>(&'a self, kind: Kind, read: Read, progress: &'a Progress) -> BoxFuture<'a, Result<Listing, Fault>>;
-    /// Waits for changes after a revision.
+    /// Waits up to `wait` for changes after the revision `from`.
     fn watch<'a>(
         &'a self,
         kind: Kind,
@@ -208,14 +207,15 @@
         wait: Duration,
         progress: &'a Progress,
     ) -> BoxFuture<'a, Result<Batch, Fault>>;
-    /// Writes a roll-out's status if its revision still is the one read.
+    /// Writes a rollout's stage to its status, unless the object has changed since it was
+    /// read.
     fn report<'a>(&'a self, rollout: &'a Rollout, stage: Stage) -> BoxFuture<'a, Result<(), Fault>>;
-    /// Registers this instance; its name may be registered already.
+    /// Registers this instance; the name may already be registered.
     fn register<'a>(&'a self, instance: &'a Instance) -> BoxFuture<'a, Result<(), Fault>>;
-    /// Takes this instance's registration back.
+    /// Removes the registration of this instance.
     fn deregister<'a>(&'a self, name: &'a str) -> BoxFuture<'a, Result<(), Fault>>;
-    /// Writes a refused request; it may be there already.
+    /// Stores a quarantined request; it may already be stored.
     fn refuse<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>>;
-    /// Takes a refused request back; it may be gone already.
+    /// Deletes a quarantined request; it may already be gone.
     fn allow<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>>;
 }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,9 +1,9 @@
-//! One try of a request at one endpoint, on a connection of its own.
+//! Sends a request once to one endpoint, on a connection of its own.
 //!
-//! A connection serves one try. A kept one would save a round trip, but what
-//! a server sends after a complete answer, or a close that crosses the next
-//! request, then spoils that request, and one that must not run twice cannot
-//! be sent again. A new connection rules both out.
+//! A connection serves one try. Reusing connections would save a round trip, but
+//! then data that a server sends after a complete answer, or a close that crosses
+//! the next request, breaks that request, and one that must not run twice cannot be
+//! sent again. A new connection rules both out.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -17,53 +17,53 @@
 
 use crate::{desk::fleet::Said, dialect::Names};
 
-/// Longest wait for a connection: many round trips, and well below the wait
-/// for a lost first packet's repetition.
+/// Time limit for connecting: many round trips, and well below the time after which TCP
+/// resends a lost first packet.
 const CONNECT: Duration = Duration::from_millis(400);
 
-/// How a try ended.
+/// Outcome of a try.
 #[derive(Debug)]
 pub enum Outcome {
-    /// No connection; nothing was sent.
+    /// No connection was made, so nothing was sent.
     Unreachable(Unreachable),
-    /// The endpoint said that it did not and will not run it.
+    /// The endpoint said that it did not and will not run the request.
     NotRun(StatusCode),
-    /// It may have run; no trustworthy answer came.
+    /// The request may have run; no trustworthy answer came.
     Unknown(String),
-    /// It may have run; the endpoint's side ended the connection before the answer's
-    /// end.
+    /// The request may have run; the endpoint closed the connection before the answer was
+    /// complete.
     Broken(String),
-    /// An answer; its body is still on the way.
+    /// An answer whose body is still being received.
     Answer(Box<Answer>),
 }
 
-/// What a try brought.
+/// Outcome of a try, with the endpoint's rate limit.
 #[derive(Debug)]
 pub struct Tried {
-    /// How it ended.
+    /// Outcome of the try.
     pub outcome: Outcome,
-    /// What the endpoint said of its limit.
+    /// What the endpoint said about its rate limit.
     pub limit: Said,
 }
 
 impl From<Outcome> for Tried {
-    /// A try of which the endpoint said nothing.
+    /// Converts the outcome of a try in which the endpoint said nothing about its limit.
     fn from(outcome: Outcome) -> Self {
         Self { outcome, limit: Said::Nothing }
     }
 }
 
-/// Why there is no connection.
+/// Why no connection was made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unreachable {
-    /// In words for a log line.
+    /// Cause, as text for a log line.
     pub cause: String,
-    /// Whether nobody listens there: the endpoint's process is gone, while a lost
-    /// path or a long queue of connections is silent.
+    /// Whether the connection was refused, which means that the endpoint's process is gone. A
+    /// broken network path or a full accept queue causes a timeout instead.
     pub is_refused: bool,
 }
 
-/// An answer whose body is still on the way; dropping it ends the run.
+/// An answer whose body is still being received; dropping it cancels the run.
 #[derive(Debug)]
 pub struct Answer {
     /// Status, headers and body.
@@ -72,7 +72,7 @@
 }
 
 impl Answer {
-    /// The body, and the connection that it comes by.
+    /// Returns the body and the task that drives its connection.
     pub fn into_body(self) -> (Incoming, AbortOnDropHandle<()>) {
         (self.response.into_body(), self.connection)
     }
@@ -80,7 +80,7 @@
 
 /// Sends a request to an endpoint and waits for the head of its answer.
 ///
-/// `id` is the caller's id of the request, as the answer has to echo it.
+/// `id` is the caller's id of the request, which the answer has to echo.
 pub async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -108,13 +108,13 @@
     let limit = match (per_s, &outcome) {
         (Some(per_s), _) => Said::Limit(per_s),
         (None, Outcome::Answer(_)) => Said::NoLimit,
-        // Who turns a request away may leave its limit out.
+        // An endpoint that rejects a request need not name its limit.
         (None, _) => Said::Nothing,
     };
     Tried { outcome, limit }
 }
 
-/// The limit that an answer names, if it names one that reads.
+/// Returns the rate limit in an answer's headers, if it is valid.
 fn limit(response: &Response<Incoming>, names: &Names) -> Option<f64> {
     let text = response.headers().get(&names.limit)?.to_str().ok()?;
     let per_s = text.trim().parse().ok().filter(|per_s: &f64| per_s.is_finite() && *per_s >= 0.0);
@@ -124,11 +124,11 @@
     per_s
 }
 
-/// Connects to an endpoint; the connection ends with the returned task.
+/// Connects to an endpoint; dropping the returned handle closes the connection.
 ///
 /// # Errors
 ///
-/// [`Unreachable`], with the cause.
+/// Returns [`Unreachable`] with the cause.
 pub async fn connect(
     address: SocketAddr,
     patience: Duration,
@@ -145,11 +145,12 @@
     Ok((sender, connection))
 }
 
-/// Whether nobody listens at an endpoint's address.
+/// Returns whether an endpoint's address refuses connections.
 pub async fn is_refused(address: SocketAddr) -> bool {
     open(address, CONNECT).await.is_err_and(|unreachable| unreachable.is_refused)
 }
 
+/// Opens a TCP connection to an endpoint.
 async fn open(address: SocketAddr, patience: Duration) -> Result<TcpStream, Unreachable> {
     match tokio::time::timeout(CONNECT.min(patience), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(stream),
@@ -167,22 +168,23 @@
     }
 }
 
+/// Checks an answer's headers to find whether the request ran and the answer is valid.
 fn judge(response: Response<Incoming>, id: &str, names: &Names, connection: AbortOnDropHandle<()>) -> Outcome {
     let headers = response.headers();
     let status = response.status();
     if headers.contains_key(&names.not_run) || status == StatusCode::MISDIRECTED_REQUEST {
         return Outcome::NotRun(status);
     }
-    // The answer of an earlier request on a server's confused connection would
-    // reach the wrong caller; its id tells.
+    // A faulty server may send the answer of another request; without this check it would
+    // reach the wrong caller.
     if headers.get(&names.request).is_none_or(|echo| echo.as_bytes() != id.as_bytes()) {
-        return Outcome::Unknown("the answer is another request's".into());
+        return Outcome::Unknown("the answer belongs to another request".into());
     }
     if !headers.contains_key(&names.signature) {
         return Outcome::Unknown("the answer is not signed".into());
     }
     if headers.contains_key(header::CONTENT_ENCODING) {
-        return Outcome::Unknown("the answer is encoded, which nobody asked for".into());
+        return Outcome::Unknown("the answer has a content encoding that was not requested".into());
     }
     Outcome::Answer(Box::new(Answer { response, connection }))
 }
