--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -60,12 +60,12 @@
 }
 
 /// `Retry-After` when another instance can serve the request at once.
-const ELSEWHERE: Duration = Duration::from_millis(20);
+const RETRY_AFTER_ELSEWHERE: Duration = Duration::from_millis(20);
 /// `Retry-After` while the instance starts or the store is unreachable: about the
 /// duration of one watch.
-const STARTING: Duration = Duration::from_secs(1);
+const RETRY_AFTER_STARTING: Duration = Duration::from_secs(1);
 /// `Retry-After` when endpoints are missing or full: the usual queueing time.
-const BUSY: Duration = Duration::from_millis(400);
+const RETRY_AFTER_BUSY: Duration = Duration::from_millis(400);
 
 impl Refusal {
     /// Returns the HTTP status of the response.
@@ -96,9 +96,9 @@
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             // The instance that announced the newer catalog has it.
-            Self::Leaving | Self::Replaced | Self::KeysStale { elsewhere: true } => Some(ELSEWHERE),
-            Self::NotStarted | Self::KeysStale { elsewhere: false } => Some(STARTING),
-            Self::Memory | Self::NoEndpoint | Self::TurnedAway | Self::Expired => Some(BUSY),
+            Self::Leaving | Self::Replaced | Self::KeysStale { elsewhere: true } => Some(RETRY_AFTER_ELSEWHERE),
+            Self::NotStarted | Self::KeysStale { elsewhere: false } => Some(RETRY_AFTER_STARTING),
+            Self::Memory | Self::NoEndpoint | Self::TurnedAway | Self::Expired => Some(RETRY_AFTER_BUSY),
             Self::Quarantined { left: after } | Self::Throttled { after } => Some(*after),
             _ => None,
         }
@@ -107,14 +107,14 @@
     /// Builds the response; `spread` from 0 to 1 lengthens `Retry-After` by up to half, so
     /// that callers do not all retry at once.
     #[must_use]
-    pub fn answer(&self, spread: f64) -> Response<Body> {
+    pub fn to_response(&self, spread: f64) -> Response<Body> {
         let mut response = Response::new(text(self.to_string()));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
         if let Some(after) = self.retry_after() {
             let seconds = after.as_secs_f64() * (1.0 + 0.5 * spread);
-            headers.insert(header::RETRY_AFTER, crate::ask::value(&format!("{seconds:.2}")));
+            headers.insert(header::RETRY_AFTER, crate::request_params::value(&format!("{seconds:.2}")));
         }
         response
     }
@@ -144,18 +144,18 @@
 }
 
 /// Returns a body that holds `bytes`.
-pub fn full(bytes: Bytes) -> Body {
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// Returns a response with an empty body.
 #[must_use]
-pub fn empty(code: StatusCode) -> Response<Body> {
-    let mut response = Response::new(full(Bytes::new()));
+pub fn empty_response(code: StatusCode) -> Response<Body> {
+    let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = code;
     response
 }
 
-fn text(words: String) -> Body {
-    full(Bytes::from(words))
+fn text(content: String) -> Body {
+    full_body(Bytes::from(content))
 }
--- a/crates/relay/src/caches.rs
+++ b/crates/relay/src/caches.rs
@@ -11,24 +11,24 @@
 
 /// Time limit for connecting to an engine and reading its list; most lists arrive
 /// within some milliseconds.
-const ANSWER: Duration = Duration::from_millis(250);
+const LIST_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Longest list that is read, in bytes: about forty thousand parts.
-const LONGEST: usize = 2 << 20;
+const MAX_LIST_BYTES: usize = 2 << 20;
 
 /// Maximum number of engines asked. Each list takes ten kilobytes, and a starting
 /// instance has little time and bandwidth.
-const MOST_ASKED: usize = 16;
+const MAX_ENGINES_ASKED: usize = 16;
 
 /// Asks the engines once, as soon as the endpoints have been listed.
-pub async fn ask(desk: Arc<Desk>) {
+pub async fn ask_engines(desk: Arc<Desk>) {
     desk.started().await;
-    let engines = nearest(&desk);
+    let engines = nearest_engines(&desk);
     let started = clock::now();
     let (mut asking, mut parts, count) = (JoinSet::new(), 0, engines.len());
     for engine in engines {
         let path = desk.dialect.cache_path;
-        asking.spawn(async move { (timeout(ANSWER, list(&engine, path)).await, engine) });
+        asking.spawn(async move { (timeout(LIST_TIMEOUT, fetch_list(&engine, path)).await, engine) });
     }
     while let Some(Ok((answer, engine))) = asking.join_next().await {
         let Ok(Some(body)) = answer else {
@@ -45,20 +45,20 @@
 }
 
 /// Returns the engines to ask, those in this instance's failure domain first.
-fn nearest(desk: &Desk) -> Vec<Endpoint> {
+fn nearest_engines(desk: &Desk) -> Vec<Endpoint> {
     let mut engines = desk.engines();
     engines.sort_by_key(|engine| engine.domain != desk.settings.domain);
-    engines.truncate(MOST_ASKED);
+    engines.truncate(MAX_ENGINES_ASKED);
     engines
 }
 
-async fn list(engine: &Endpoint, path: &'static str) -> Option<Bytes> {
-    let (mut sender, _connection) = upstream::connect(engine.address, ANSWER).await.ok()?;
+async fn fetch_list(engine: &Endpoint, path: &'static str) -> Option<Bytes> {
+    let (mut sender, _connection) = upstream::connect(engine.address, LIST_TIMEOUT).await.ok()?;
     let host = engine.address.to_string();
     let request = Request::get(path).header(header::HOST, host).body(Full::default()).ok()?;
     let response = sender.send_request(request).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
-    Some(Limited::new(response.into_body(), LONGEST).collect().await.ok()?.to_bytes())
+    Some(Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await.ok()?.to_bytes())
 }
--- a/crates/relay/src/catalog.rs
+++ b/crates/relay/src/catalog.rs
@@ -54,7 +54,7 @@
 /// A service that a route sends requests to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
     /// Weight of the service; its share of requests is the weight divided by the sum of all
     /// weights of the route.
@@ -64,7 +64,7 @@
 /// A model in a route's ladder of models.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Model {
-    /// Its name.
+    /// Name.
     pub name: String,
     /// Price of 1,000 generated tokens.
     pub cost: f64,
@@ -95,7 +95,7 @@
 /// A service, provided by interchangeable endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name.
     pub name: String,
     /// Tokens that fit into an endpoint's prompt cache; `None` if the service is not an engine.
     pub memory_tokens: Option<u64>,
@@ -104,7 +104,7 @@
 /// A customer that owns access keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Team {
-    /// Its name.
+    /// Name.
     pub name: String,
     /// Rank of the customer's requests; takes precedence over the route's rank.
     pub rank: Option<u8>,
--- a/crates/relay/src/catalog/wire.rs
+++ b/crates/relay/src/catalog/wire.rs
@@ -11,7 +11,7 @@
 
 /// Serialized form of [`Catalog`].
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Copy {
+pub struct CatalogCopy {
     version: u64,
     hosts: Vec<(String, Vec<RouteCopy>)>,
     services: Vec<(String, Option<u64>)>,
@@ -50,7 +50,7 @@
     rank: Option<u8>,
 }
 
-impl From<&Catalog> for Copy {
+impl From<&Catalog> for CatalogCopy {
     fn from(catalog: &Catalog) -> Self {
         let routes = |routes: &Vec<Arc<Route>>| routes.iter().map(|route| RouteCopy::from(&**route)).collect();
         let team = |team: &Team| TeamCopy { name: team.name.clone(), rank: team.rank };
@@ -68,8 +68,8 @@
     }
 }
 
-impl From<Copy> for Catalog {
-    fn from(copy: Copy) -> Self {
+impl From<CatalogCopy> for Catalog {
+    fn from(copy: CatalogCopy) -> Self {
         let size = |bytes: u64| usize::try_from(bytes).unwrap_or(usize::MAX);
         let service =
             |(name, memory_tokens): (String, Option<u64>)| (name.clone(), Arc::new(Service { name, memory_tokens }));
--- a/crates/relay/src/catalog/wire/tests.rs
+++ b/crates/relay/src/catalog/wire/tests.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-use super::Copy;
+use super::CatalogCopy;
 use crate::catalog::{Catalog, Kind, Limits, Model, Route, Service, Target, Team};
 
 fn route(prefix: &str, kind: Kind) -> Route {
@@ -38,18 +38,18 @@
     catalog
 }
 
-fn check(catalog: &Catalog) {
-    let bytes = postcard::to_allocvec(&Copy::from(catalog)).unwrap();
-    let copied = Catalog::from(postcard::from_bytes::<Copy>(&bytes).unwrap());
+fn assert_round_trip(catalog: &Catalog) {
+    let bytes = postcard::to_allocvec(&CatalogCopy::from(catalog)).unwrap();
+    let copied = Catalog::from(postcard::from_bytes::<CatalogCopy>(&bytes).unwrap());
     assert_eq!(format!("{copied:?}"), format!("{catalog:?}"));
 }
 
 macro_rules! copies {
-    ($($name:ident: $keys:expr;)*) => { $(#[test] fn $name() { check(&catalog($keys)); })* };
+    ($($name:ident: $keys:expr;)*) => { $(#[test] fn $name() { assert_round_trip(&catalog($keys)); })* };
 }
 
 copies! {
     without_keys: None;
-    with_no_key_left: Some(HashMap::new());
-    with_a_team: Some(HashMap::from([("key".into(), Arc::new(Team { name: "club".into(), rank: Some(1) }))]));
+    with_an_empty_key_set: Some(HashMap::new());
+    with_a_customer: Some(HashMap::from([("key".into(), Arc::new(Team { name: "club".into(), rank: Some(1) }))]));
 }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -8,7 +8,7 @@
 use crate::{
     answer::{self, Body},
     desk::{Desk, peers::Asking},
-    front::Origin,
+    front::CallerIp,
 };
 
 /// Longest time that callers may cache a list of addresses, in seconds.
@@ -16,19 +16,20 @@
 /// Some callers keep it three times as long, so a longer time means that an instance
 /// that has left is still tried for longer. A shorter time costs more CPU: an address
 /// request takes as much as any other request.
-pub const KEEP_S: u32 = 2;
+pub const ADDRESS_CACHE_S: u32 = 2;
 
 /// Answers an address request.
 pub fn addresses(desk: &Arc<Desk>, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != desk.dialect.addresses_path {
-        return answer::empty(StatusCode::NOT_FOUND);
+        return answer::empty_response(StatusCode::NOT_FOUND);
     }
-    let fronts = desk.fronts(&asking(desk, request));
+    let fronts = desk.fronts(&asking_caller(desk, request));
     if fronts.is_empty() {
-        return answer::empty(StatusCode::SERVICE_UNAVAILABLE);
+        return answer::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let longest = u32::try_from(desk.settings.keep_addresses.as_secs()).unwrap_or(KEEP_S);
-    let mut response = Response::new(answer::full((desk.dialect.addresses)(&fronts, KEEP_S.min(longest.max(1)))));
+    let longest = u32::try_from(desk.settings.keep_addresses.as_secs()).unwrap_or(ADDRESS_CACHE_S);
+    let mut response =
+        Response::new(answer::full_body((desk.dialect.addresses)(&fronts, ADDRESS_CACHE_S.min(longest.max(1)))));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
@@ -36,13 +37,13 @@
 /// Answers a readiness check: 200 if this instance accepts requests, otherwise 503.
 pub fn ready(desk: &Arc<Desk>, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != desk.dialect.ready_path {
-        return answer::empty(StatusCode::NOT_FOUND);
+        return answer::empty_response(StatusCode::NOT_FOUND);
     }
-    answer::empty(if desk.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+    answer::empty_response(if desk.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
 /// Returns the failure domain and IP address of the caller, as far as known.
-fn asking(desk: &Desk, request: &Request<Incoming>) -> Asking {
+fn asking_caller(desk: &Desk, request: &Request<Incoming>) -> Asking {
     let domain = request.uri().query().and_then(desk.dialect.asking_domain);
-    Asking { domain, from: request.extensions().get().map(|Origin(address)| *address) }
+    Asking { domain, from: request.extensions().get().map(|CallerIp(address)| *address) }
 }
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -11,7 +11,7 @@
 
 /// Longest incomplete event that is buffered, in bytes. Without a limit, an event that
 /// never ends would take all memory.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Cuts a byte stream into whole events.
 #[derive(Debug, Default)]
@@ -50,28 +50,28 @@
     ///
     /// # Errors
     ///
-    /// Returns [`TooLong`] if an incomplete event is longer than [`LONGEST`].
+    /// Returns [`TooLong`] if an incomplete event is longer than [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, TooLong> {
         self.buffer.extend_from_slice(bytes);
         let mut whole = BytesMut::new();
-        while let Some(end) = self.end() {
+        while let Some(end) = self.find_event_end() {
             let event = self.buffer.split_to(end);
             self.scanned = 0;
-            let number = number(&event);
+            let number = event_number(&event);
             if number.is_some() && number <= self.last {
                 continue;
             }
             self.last = number.or(self.last);
             whole.extend_from_slice(&event);
         }
-        if self.buffer.len() > LONGEST {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(TooLong);
         }
         Ok((!whole.is_empty()).then(|| whole.freeze()))
     }
 
     /// Returns the offset after the first whole event; an empty line ends an event.
-    fn end(&mut self) -> Option<usize> {
+    fn find_event_end(&mut self) -> Option<usize> {
         let mut line_start = self.scanned;
         while let Some(length) = self.buffer[line_start..].iter().position(|&byte| byte == b'\n') {
             let line = &self.buffer[line_start..line_start + length];
@@ -91,7 +91,7 @@
 pub struct TooLong;
 
 /// Returns the number in the event's `id` field.
-fn number(event: &[u8]) -> Option<u64> {
+fn event_number(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|&byte| byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/crates/relay/src/events/tests.rs
+++ b/crates/relay/src/events/tests.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use super::{LONGEST, Splitter, TooLong};
+use super::{MAX_EVENT_BYTES, Splitter, TooLong};
 
 fn event(number: u64) -> String {
     format!("id: {number}\ndata: {}\n\n", "x".repeat(usize::try_from(number % 7).unwrap()))
@@ -14,16 +14,16 @@
 
 /// Pushes `text` in pieces cut at the given offsets and returns the output.
 fn push(splitter: &mut Splitter, text: &str, cuts: &[usize]) -> String {
-    let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (text.len() + 1)).chain([0, text.len()]).collect();
-    places.sort_unstable();
-    let pieces = places.windows(2).map(|pair| &text.as_bytes()[pair[0]..pair[1]]);
+    let mut offsets: Vec<usize> = cuts.iter().map(|cut| cut % (text.len() + 1)).chain([0, text.len()]).collect();
+    offsets.sort_unstable();
+    let pieces = offsets.windows(2).map(|pair| &text.as_bytes()[pair[0]..pair[1]]);
     let whole = pieces.filter_map(|piece| splitter.push(piece).expect("events are short"));
     whole.map(|bytes| String::from_utf8(bytes.to_vec()).unwrap()).collect()
 }
 
 proptest! {
     #[test]
-    fn pieces_cut_anywhere_come_out_whole(last in 1_u64..20, cuts in prop::collection::vec(any::<usize>(), 0..12)) {
+    fn stream_cut_into_pieces_comes_out_whole(last in 1_u64..20, cuts in prop::collection::vec(any::<usize>(), 0..12)) {
         let mut splitter = Splitter::new(None);
         prop_assert_eq!(push(&mut splitter, &stream(1, last), &cuts), stream(1, last));
         prop_assert!(!splitter.is_partial());
@@ -33,7 +33,7 @@
     /// The first server stops at any byte; the next one continues after the last whole
     /// event or repeats some events. Each event must come out once and in order.
     #[test]
-    fn broken_and_resumed_anywhere_is_one_stream(
+    fn interrupted_and_resumed_stream_comes_out_once(
         last in 2_u64..20,
         broken in any::<usize>(),
         repeated in 0_u64..5,
@@ -49,9 +49,9 @@
     }
 
     #[test]
-    fn noise_is_passed_or_kept_and_never_panics(noise in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_accepted(input in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut splitter = Splitter::new(Some(3));
-        for piece in noise.chunks(7) {
+        for piece in input.chunks(7) {
             prop_assert!(splitter.push(piece).is_ok());
         }
     }
@@ -59,7 +59,7 @@
 
 /// An event that never ends must not take all memory.
 #[test]
-fn endless_event_is_refused() {
+fn endless_event_is_rejected() {
     let mut splitter = Splitter::new(None);
-    assert_eq!(splitter.push(&vec![b'x'; LONGEST + 1]), Err(TooLong));
+    assert_eq!(splitter.push(&vec![b'x'; MAX_EVENT_BYTES + 1]), Err(TooLong));
 }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -19,25 +19,25 @@
 
 use crate::{
     answer::{Body, Refusal},
-    ask::{Ask, end_to_end},
     clock,
     desk::Desk,
+    request_params::{RequestParams, end_to_end},
 };
 
 /// Serves one request and returns the response to the caller.
 pub async fn serve(desk: Arc<Desk>, request: Request<Incoming>) -> Response<Body> {
     let mut exchange = match admit::admit(&desk, request).await {
         Ok(exchange) => exchange,
-        Err((ask, refusal)) => return refuse(&desk, &ask, &refusal, None),
+        Err((params, refusal)) => return refuse(&desk, &params, &refusal, None),
     };
     let limit = tokio::time::Instant::now() + exchange.left();
     let mut response = match tokio::time::timeout_at(limit, exchange.run()).await {
-        Ok(Ok(tries::Won::Whole(response))) => response,
-        Ok(Ok(tries::Won::Stream(live))) => stream::relay(exchange, *live),
-        Ok(Err(refusal)) => refuse(&desk, &exchange.ask, &refusal, Some(&exchange)),
+        Ok(Ok(tries::AcceptedAnswer::Whole(response))) => response,
+        Ok(Ok(tries::AcceptedAnswer::Stream(active))) => stream::forward(exchange, *active),
+        Ok(Err(refusal)) => refuse(&desk, &exchange.params, &refusal, Some(&exchange)),
         Err(_) => {
-            let refusal = exchange.given_up(Refusal::Expired);
-            refuse(&desk, &exchange.ask, &refusal, Some(&exchange))
+            let refusal = exchange.refusal_for_caller(Refusal::Expired);
+            refuse(&desk, &exchange.params, &refusal, Some(&exchange))
         }
     };
     if desk.draining() {
@@ -47,15 +47,20 @@
 }
 
 /// Logs and counts a refused request and builds the response.
-fn refuse(desk: &Desk, ask: &Ask, refusal: &Refusal, exchange: Option<&tries::Exchange>) -> Response<Body> {
+fn refuse(
+    desk: &Desk,
+    params: &RequestParams,
+    refusal: &Refusal,
+    exchange: Option<&tries::Exchange>,
+) -> Response<Body> {
     let age = desk.keys_age().map(clock::millis);
     let catalog = desk.catalog().map(|catalog| catalog.version);
     tracing::info!(
-        request = ask.id,
+        request = params.id,
         content = exchange.map(|e| e.content.to_string()),
         refused = ?refusal,
         status = refusal.status().as_u16(),
-        route = exchange.map(|e| e.pass.route.name.as_str()),
+        route = exchange.map(|e| e.admission.route.name.as_str()),
         service = exchange.map(|e| e.service.as_str()),
         tries = exchange.map(|e| e.sent),
         cause = exchange.map(|e| e.cause.as_str()),
@@ -65,7 +70,7 @@
         "request refused"
     );
     metrics::counter!("relay_refusals_total", "status" => refusal.status().as_str().to_owned()).increment(1);
-    let mut response = refusal.answer(rand::random());
+    let mut response = refusal.to_response(rand::random());
     if matches!(refusal, Refusal::TooLarge | Refusal::Truncated | Refusal::Memory) || desk.draining() {
         // The rest of the body may still arrive and must not be read as the next request.
         response.headers_mut().insert(header::CONNECTION, http::HeaderValue::from_static("close"));
@@ -74,6 +79,6 @@
 }
 
 /// Returns the headers of an endpoint's answer that are forwarded to the caller.
-fn passed_on(response: &Response<Incoming>) -> http::HeaderMap {
+fn forwarded_headers(response: &Response<Incoming>) -> http::HeaderMap {
     end_to_end(response.headers())
 }
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -12,21 +12,21 @@
 use super::tries::Exchange;
 use crate::{
     answer::Refusal,
-    ask::{Ask, end_to_end},
     catalog::{Route, Team},
     clock,
     desk::{Desk, Held},
+    request_params::{RequestParams, end_to_end},
 };
 
 /// Part of a request's time that is reserved for sending the answer to the caller.
-const ANSWER_TIME: Duration = Duration::from_millis(15);
+const ANSWER_TIME_RESERVE: Duration = Duration::from_millis(15);
 
 /// Deadline of a request that gives none.
-const NO_DEADLINE: Duration = Duration::from_mins(1);
+const DEFAULT_DEADLINE: Duration = Duration::from_mins(1);
 
 /// The result of checking a request against one version of the catalog.
 #[derive(Debug, Clone)]
-pub struct Pass {
+pub struct Admission {
     /// Route of the request.
     pub route: Arc<Route>,
     /// Customer that owns the request's access key; `None` if no key is needed.
@@ -38,35 +38,35 @@
 }
 
 /// Checks a request and reads its body.
-pub async fn admit(desk: &Arc<Desk>, request: Request<Incoming>) -> Result<Exchange, (Ask, Refusal)> {
+pub async fn admit(desk: &Arc<Desk>, request: Request<Incoming>) -> Result<Exchange, (RequestParams, Refusal)> {
     let started = clock::now();
     let flight = desk.enter();
     let (head, body) = request.into_parts();
-    let ask = Ask::read(&head.headers, &desk.dialect.names);
+    let params = RequestParams::read(&head.headers, &desk.dialect.names);
     let host = host(&head.headers, &head.uri);
     desk.started().await;
-    let pass = match check(desk, &host, head.uri.path(), &ask) {
-        Ok(pass) => pass,
-        Err(refusal) => return Err((ask, refusal)),
+    let admission = match check(desk, &host, head.uri.path(), &params) {
+        Ok(admission) => admission,
+        Err(refusal) => return Err((params, refusal)),
     };
-    if desk.leaves_within(pass.route.timeout) {
-        return Err((ask, Refusal::Leaving));
+    if desk.leaves_within(admission.route.timeout) {
+        return Err((params, Refusal::Leaving));
     }
-    if ask.tokens.is_some() {
+    if params.tokens.is_some() {
         // Without knowing which engine has the prompt cached, it would be sent to one that
         // has to process it again.
         desk.caches_known().await;
     }
-    let time = ask.deadline.unwrap_or(NO_DEADLINE).min(pass.route.timeout);
-    let limit = started + time.saturating_sub(ANSWER_TIME);
+    let time = params.deadline.unwrap_or(DEFAULT_DEADLINE).min(admission.route.timeout);
+    let limit = started + time.saturating_sub(ANSWER_TIME_RESERVE);
     let longest = desk.catalog().map_or(0, |catalog| catalog.limits.body_bytes);
     let mut memory = desk.hold_none();
-    let body = match timeout(time, read(body, longest, &mut memory)).await {
+    let body = match timeout(time, read_body(body, longest, &mut memory)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(refusal)) => return Err((ask, refusal)),
-        Err(_) => return Err((ask, Refusal::Truncated)),
+        Ok(Err(refusal)) => return Err((params, refusal)),
+        Err(_) => return Err((params, Refusal::Truncated)),
     };
-    let team = pass.team.as_ref().map(|team| team.name.as_str());
+    let team = admission.team.as_ref().map(|team| team.name.as_str());
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = Content::of(team, head.method.as_str(), &host, path, &body);
     let mut headers = end_to_end(&head.headers);
@@ -76,7 +76,7 @@
     Ok(Exchange {
         desk: Arc::clone(desk),
         flight: Some(flight),
-        _held: memory,
+        _body_memory: memory,
         content,
         service: String::new(),
         host,
@@ -91,16 +91,16 @@
         unreachable: 0,
         may_have_run: false,
         cause: String::new(),
-        draw: rand::random(),
+        target_draw: rand::random(),
         version: None,
-        check: None,
-        pass,
-        ask,
+        crash_check: None,
+        admission,
+        params,
     })
 }
 
 /// Checks a request against the catalog and access keys in force now.
-pub fn check(desk: &Desk, host: &str, path: &str, ask: &Ask) -> Result<Pass, Refusal> {
+pub fn check(desk: &Desk, host: &str, path: &str, params: &RequestParams) -> Result<Admission, Refusal> {
     let catalog = desk.catalog().ok_or(Refusal::NotStarted)?;
     // An operator may have moved or deleted the route. Requests without a key would
     // otherwise be forwarded by the old route indefinitely.
@@ -109,8 +109,8 @@
     }
     // A newer catalog may have the route or key that this one lacks, and callers that
     // get 404 or 401 do not retry.
-    let unknown = |refusal| if desk.behind() { Refusal::Replaced } else { refusal };
-    let route = catalog.route(host, path).ok_or_else(|| unknown(Refusal::NoRoute))?;
+    let or_replaced = |refusal| if desk.behind() { Refusal::Replaced } else { refusal };
+    let route = catalog.route(host, path).ok_or_else(|| or_replaced(Refusal::NoRoute))?;
     let team = match &catalog.keys {
         Some(keys) if !route.public => {
             // A key may have been revoked while this instance had no contact with the store,
@@ -118,13 +118,13 @@
             if !desk.fresh() {
                 return Err(Refusal::KeysStale { elsewhere: desk.fresh_elsewhere() });
             }
-            let team = ask.key.as_deref().and_then(|key| keys.get(key));
-            Some(Arc::clone(team.ok_or_else(|| unknown(Refusal::NoKey))?))
+            let team = params.key.as_deref().and_then(|key| keys.get(key));
+            Some(Arc::clone(team.ok_or_else(|| or_replaced(Refusal::NoKey))?))
         }
         _ => None,
     };
     let urgency = catalog.urgency(route);
-    Ok(Pass { route: Arc::clone(route), team, urgency, version: catalog.version })
+    Ok(Admission { route: Arc::clone(route), team, urgency, version: catalog.version })
 }
 
 /// Returns the request's host in lower case, without the port.
@@ -135,7 +135,7 @@
 }
 
 /// Reads a body of up to `longest` bytes and accounts for its memory in `held`.
-async fn read(mut body: Incoming, longest: usize, held: &mut Held) -> Result<Bytes, Refusal> {
+async fn read_body(mut body: Incoming, longest: usize, held: &mut Held) -> Result<Bytes, Refusal> {
     if body.size_hint().lower() > u64::try_from(longest).unwrap_or(u64::MAX) {
         return Err(Refusal::TooLarge);
     }
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -14,14 +14,15 @@
 
 use super::tries::Exchange;
 use crate::{
-    ask, clock,
+    clock,
     desk::fleet::{Job, Run, affinity},
+    request_params,
     upstream::Answer,
 };
 
 /// Fraction of the route's goal up to which processing a prompt at an idle endpoint counts
 /// as short. If a short prompt misses the goal, it is because of queueing.
-const SHORT: f64 = 0.25;
+const SHORT_PROMPT_FRACTION: f64 = 0.25;
 
 impl Exchange {
     /// Returns the job to place, for a model, at the request's service.
@@ -30,18 +31,18 @@
     }
 
     fn job_at<'a>(&'a self, service: &'a str, model: Option<usize>) -> Job<'a> {
-        let shared = self.ask.shared();
-        let session = self.ask.session.unwrap_or_else(|| hash::stable(self.ask.id.as_bytes()));
+        let shared = self.params.shared();
+        let session = self.params.session.unwrap_or_else(|| hash::stable(self.params.id.as_bytes()));
         Job {
             service,
-            model: model.or_else(|| self.ask.tokens.map(|_| 0)),
-            size: self.size(model),
+            model: model.or_else(|| self.params.tokens.map(|_| 0)),
+            size: self.relative_cost(model),
             affinity: shared.map(|part| affinity(part.id, model)),
             whole: self.prompt_key(model),
             shared_tokens: shared.map_or(0, |part| part.tokens),
-            own_tokens: self.ask.own_tokens(),
+            own_tokens: self.params.own_tokens(),
             session,
-            in_session: self.ask.session.is_some(),
+            in_session: self.params.session.is_some(),
             tried: &self.tried,
             version: self.version.as_deref(),
         }
@@ -49,12 +50,12 @@
 
     /// Returns a hash of the whole prompt and the model that processes it.
     fn prompt_key(&self, model: Option<usize>) -> Option<u64> {
-        Some(affinity(self.ask.parts.last()?.id, model))
+        Some(affinity(self.params.parts.last()?.id, model))
     }
 
     /// Returns the model's cost relative to that of the largest model.
-    fn size(&self, model: Option<usize>) -> f64 {
-        let models = &self.pass.route.models;
+    fn relative_cost(&self, model: Option<usize>) -> f64 {
+        let models = &self.admission.route.models;
         let largest = models.last().map_or(1.0, |model| model.cost.max(f64::MIN_POSITIVE));
         model.and_then(|index| models.get(index)).map_or(1.0, |model| model.cost / largest)
     }
@@ -62,21 +63,23 @@
     /// Returns the index of the model to ask first; `None` if the route has no models or the
     /// caller chose one.
     pub(super) fn start_model(&self) -> Option<usize> {
-        let models = self.pass.route.models.len();
-        if models == 0 || !self.ask.any_model {
+        let models = self.admission.route.models.len();
+        if models == 0 || !self.params.any_model {
             return None;
         }
-        if let Some(model) = self.model_before(models) {
+        if let Some(model) = self.resumed_model(models) {
             return Some(model);
         }
         if self.desk.suspects(self.content) {
             // Trying a smaller model first adds a run, which may crash one more endpoint.
             return Some(models - 1);
         }
-        let service = self.pass.route.target(self.draw).unwrap_or_default();
-        let room =
-            Room { attempts: self.pass.route.attempts, allowance: self.desk.affords(service, Purpose::Escalation) };
-        let goal_ms = clock::millis(self.pass.route.goal).max(1.0);
+        let service = self.admission.route.target(self.target_draw).unwrap_or_default();
+        let room = Room {
+            attempts: self.admission.route.attempts,
+            allowance: self.desk.affords(service, Purpose::Escalation),
+        };
+        let goal_ms = clock::millis(self.admission.route.goal).max(1.0);
         let time = |model| {
             let job = self.job_at(service, Some(model));
             let now_ms = self.desk.expect(&job).unwrap_or(f64::INFINITY);
@@ -92,14 +95,14 @@
     /// That model wrote the beginning of the stream, or was asked for it without success.
     /// It continues at once: a smaller model was already rejected for its low confidence
     /// and is not asked again.
-    fn model_before(&self, models: usize) -> Option<usize> {
-        self.ask.last_event?;
+    fn resumed_model(&self, models: usize) -> Option<usize> {
+        self.params.last_event?;
         self.desk.model_that_read(|model| self.prompt_key(Some(model)), models)
     }
 
     /// Returns how long a run may take to its first byte.
     pub(super) fn patience(&self, run: &Run) -> Duration {
-        let route = &self.pass.route;
+        let route = &self.admission.route;
         let last = self.sent >= route.attempts || !self.desk.affords(&self.service, Purpose::Repair);
         if last || !route.kind.repeatable() {
             return self.left();
@@ -118,23 +121,23 @@
         let names = &self.desk.dialect.names;
         let mut headers = self.headers.clone();
         let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-        headers.insert(names.deadline.clone(), ask::value(&left.to_string()));
-        headers.insert(names.expect_endpoint.clone(), ask::value(&run.endpoint.id));
-        if let Some(team) = &self.pass.team {
-            headers.insert(names.team.clone(), ask::value(&team.name));
+        headers.insert(names.deadline.clone(), request_params::value(&left.to_string()));
+        headers.insert(names.expect_endpoint.clone(), request_params::value(&run.endpoint.id));
+        if let Some(team) = &self.admission.team {
+            headers.insert(names.team.clone(), request_params::value(&team.name));
         }
-        if let Some(model) = model.and_then(|index| self.pass.route.models.get(index)) {
-            headers.insert(names.model.clone(), ask::value(&model.name));
+        if let Some(model) = model.and_then(|index| self.admission.route.models.get(index)) {
+            headers.insert(names.model.clone(), request_params::value(&model.name));
         }
-        if self.ask.tokens.is_some() {
-            let rank = self.pass.team.as_ref().and_then(|team| team.rank).unwrap_or(self.pass.route.rank);
-            headers.insert(names.rank.clone(), ask::value(&rank.min(9).to_string()));
+        if self.params.tokens.is_some() {
+            let rank = self.admission.team.as_ref().and_then(|team| team.rank).unwrap_or(self.admission.route.rank);
+            headers.insert(names.rank.clone(), request_params::value(&rank.min(9).to_string()));
         }
         if let Some(source) = run.source {
-            headers.insert(names.fetch.clone(), ask::value(&source.to_string()));
+            headers.insert(names.fetch.clone(), request_params::value(&source.to_string()));
         }
         if let Some(last) = last_event {
-            headers.insert(names.last_event.clone(), ask::value(&last.to_string()));
+            headers.insert(names.last_event.clone(), request_params::value(&last.to_string()));
         }
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -148,16 +151,16 @@
     pub(super) fn escalation(&self, answer: &Answer, model: Option<usize>) -> Option<usize> {
         let index = model?;
         let confidence = self.confidence(answer);
-        let models = self.pass.route.models.len();
-        if self.model_before(models) == Some(index) {
+        let models = self.admission.route.models.len();
+        if self.resumed_model(models) == Some(index) {
             return None;
         }
         let room = Room {
-            attempts: self.pass.route.attempts.saturating_sub(self.sent),
+            attempts: self.admission.route.attempts.saturating_sub(self.sent),
             allowance: self.desk.affords(&self.service, Purpose::Escalation),
         };
         let outlooks: Vec<Outlook> = (0..models).map(|model| self.outlook(model)).collect();
-        match ladder::step(index, confidence, self.pass.urgency, room, &outlooks) {
+        match ladder::step(index, confidence, self.admission.urgency, room, &outlooks) {
             Step::Keep => None,
             Step::Escalate(next) => Some(next),
         }
@@ -173,13 +176,13 @@
     fn outlook(&self, model: usize) -> Outlook {
         let job = self.job(Some(model));
         let Some(expected_ms) = self.desk.expect(&job) else { return Outlook::Never };
-        let goal_ms = clock::millis(self.pass.route.goal);
+        let goal_ms = clock::millis(self.admission.route.goal);
         let passed_ms = clock::millis(clock::now().saturating_sub(self.started));
         if passed_ms + expected_ms <= goal_ms {
             Outlook::InTime
         } else if expected_ms > 0.5 * clock::millis(self.left()) {
             Outlook::Never
-        } else if self.desk.expect_idle(&job) <= SHORT * goal_ms {
+        } else if self.desk.expect_idle(&job) <= SHORT_PROMPT_FRACTION * goal_ms {
             Outlook::Crowded
         } else {
             Outlook::Late
--- a/crates/relay/src/exchange/stream.rs
+++ b/crates/relay/src/exchange/stream.rs
@@ -8,51 +8,60 @@
 use hyper::body::Frame;
 
 use super::{
-    passed_on,
-    tries::{Exchange, Live},
+    forwarded_headers,
+    tries::{ActiveStream, Exchange},
 };
 use crate::{answer::Body, catalog::Kind, clock, desk::fleet::Ended, events::Splitter, upstream::Outcome};
 
 /// A run has stalled after this many times the route's target pause between events.
-const STALL: f64 = 2.0;
+const STALL_FACTOR: f64 = 2.0;
 
 /// Shortest pause that counts as a stall: engines pause for about a second while they
 /// process long prompts of other runs.
-const LEAST_STALL: Duration = Duration::from_millis(1_200);
+const MIN_STALL: Duration = Duration::from_millis(1_200);
 
 /// Silence of the whole endpoint after which a stalled run is abandoned. An endpoint that
 /// still sends on other runs is only overloaded, and restarting its runs elsewhere would
 /// make all of them wait longer.
-const DARK: Duration = Duration::from_secs(1);
+const ENDPOINT_SILENCE: Duration = Duration::from_secs(1);
 
 /// Stalls after which a run is abandoned even if the endpoint still sends on other runs.
-const MOST_DOUBTS: u32 = 4;
+const MAX_STALLS: u32 = 4;
 
 /// Result of waiting for the next bytes of a stream.
-enum Next {
+enum Received {
     Bytes(Bytes),
     End,
     Failed(Outcome),
 }
 
 /// Returns the response to a caller whose stream has begun.
-pub fn relay(exchange: Exchange, live: Live) -> Response<Body> {
+pub fn forward(exchange: Exchange, active: ActiveStream) -> Response<Body> {
     let mut response = Response::new(());
-    *response.status_mut() = live.answer.response.status();
-    *response.headers_mut() = passed_on(&live.answer.response);
-    let confidence = exchange.confidence(&live.answer);
-    exchange.log(&live.run.endpoint, live.run.choice, live.answer.response.status(), live.model, confidence);
-    response.map(|()| StreamBody::new(events(exchange, live)).boxed_unsync())
+    *response.status_mut() = active.answer.response.status();
+    *response.headers_mut() = forwarded_headers(&active.answer.response);
+    let confidence = exchange.confidence(&active.answer);
+    exchange.log_answer(
+        &active.run.endpoint,
+        active.run.choice,
+        active.answer.response.status(),
+        active.model,
+        confidence,
+    );
+    response.map(|()| StreamBody::new(event_frames(exchange, active)).boxed_unsync())
 }
 
 /// Returns the stream's whole events as body frames. If the stream cannot be resumed, it
 /// ends with an error, which closes the caller's connection.
-fn events(mut exchange: Exchange, mut live: Live) -> impl futures::Stream<Item = io::Result<Frame<Bytes>>> {
+fn event_frames(
+    mut exchange: Exchange,
+    mut active: ActiveStream,
+) -> impl futures::Stream<Item = io::Result<Frame<Bytes>>> {
     async_stream::stream! {
-        let mut splitter = Splitter::new(exchange.ask.last_event);
+        let mut splitter = Splitter::new(exchange.params.last_event);
         loop {
-            let outcome = match next(&exchange, &mut live).await {
-                Next::Bytes(bytes) => match splitter.push(&bytes) {
+            let outcome = match next_bytes(&exchange, &mut active).await {
+                Received::Bytes(bytes) => match splitter.push(&bytes) {
                     Ok(Some(whole)) => {
                         yield Ok(Frame::data(whole));
                         continue;
@@ -60,18 +69,18 @@
                     Ok(None) => continue,
                     Err(_) => Outcome::Unknown("an event is too long".into()),
                 },
-                Next::End if !splitter.is_partial() => {
-                    live.run.ended(Ended::Good);
+                Received::End if !splitter.is_partial() => {
+                    active.run.ended(Ended::Good);
                     break;
                 }
-                Next::End => Outcome::Broken("the stream ended within an event".into()),
-                Next::Failed(outcome) => outcome,
+                Received::End => Outcome::Broken("the stream ended within an event".into()),
+                Received::Failed(outcome) => outcome,
             };
-            exchange.note(&mut live.run, &outcome);
+            exchange.note_failed_try(&mut active.run, &outcome);
             splitter.restart();
-            let Some(next) = resume(&mut exchange, &live, splitter.last()).await else {
+            let Some(resumed) = resume(&mut exchange, &active, splitter.last()).await else {
                 tracing::info!(
-                    request = exchange.ask.id,
+                    request = exchange.params.id,
                     content = %exchange.content,
                     cause = exchange.cause,
                     tries = exchange.sent,
@@ -82,61 +91,61 @@
                 yield Err(io::Error::other("the stream was interrupted and not resumed"));
                 break;
             };
-            live = next;
+            active = resumed;
         }
         drop(exchange.flight.take());
     }
 }
 
 /// Waits for the next bytes of the stream, or until the run has to be abandoned.
-async fn next(exchange: &Exchange, live: &mut Live) -> Next {
-    let pause = exchange.pass.route.pause.unwrap_or(LEAST_STALL);
-    let stall = pause.mul_f64(STALL).max(LEAST_STALL);
-    for _ in 0..MOST_DOUBTS {
+async fn next_bytes(exchange: &Exchange, active: &mut ActiveStream) -> Received {
+    let pause = exchange.admission.route.pause.unwrap_or(MIN_STALL);
+    let stall = pause.mul_f64(STALL_FACTOR).max(MIN_STALL);
+    for _ in 0..MAX_STALLS {
         let left = exchange.left();
-        let frame = tokio::time::timeout(stall.min(left), live.answer.response.body_mut().frame()).await;
+        let frame = tokio::time::timeout(stall.min(left), active.answer.response.body_mut().frame()).await;
         match frame {
-            Err(_) if left <= stall || live.run.silence() > DARK => break,
+            Err(_) if left <= stall || active.run.silence() > ENDPOINT_SILENCE => break,
             Err(_) => {}
-            Ok(None) => return Next::End,
-            Ok(Some(Err(error))) => return Next::Failed(Outcome::Broken(error.to_string())),
+            Ok(None) => return Received::End,
+            Ok(Some(Err(error))) => return Received::Failed(Outcome::Broken(error.to_string())),
             Ok(Some(Ok(frame))) => {
-                live.run.more_bytes();
-                return Next::Bytes(frame.into_data().unwrap_or_default());
+                active.run.more_bytes();
+                return Received::Bytes(frame.into_data().unwrap_or_default());
             }
         }
     }
-    Next::Failed(Outcome::Unknown("no event in time".into()))
+    Received::Failed(Outcome::Unknown("no event in time".into()))
 }
 
 /// Resumes the stream at another endpoint, with the same model and, if possible, the same
 /// version; `None` if that is not allowed or no try succeeds.
-async fn resume(exchange: &mut Exchange, broken: &Live, last: Option<u64>) -> Option<Live> {
-    if !matches!(exchange.pass.route.kind, Kind::Stream { resumable: true }) {
+async fn resume(exchange: &mut Exchange, broken: &ActiveStream, last: Option<u64>) -> Option<ActiveStream> {
+    if !matches!(exchange.admission.route.kind, Kind::Stream { resumable: true }) {
         return None;
     }
     let model = broken.model;
     exchange.version = Some(broken.run.endpoint.version.clone());
     loop {
         let mut run = exchange.next_run(model).await.ok()?;
-        let outcome = exchange.send(&mut run, model, last.or(exchange.ask.last_event)).await;
+        let outcome = exchange.send(&mut run, model, last.or(exchange.params.last_event)).await;
         match outcome {
             Outcome::Answer(answer) if answer.response.status().is_success() => {
                 run.first_byte();
                 tracing::info!(
-                    request = exchange.ask.id,
+                    request = exchange.params.id,
                     endpoint = run.endpoint.id,
                     last_event = last,
                     tries = exchange.sent,
                     "stream resumed"
                 );
-                return Some(Live { answer: *answer, run, model });
+                return Some(ActiveStream { answer: *answer, run, model });
             }
             Outcome::Answer(answer) => {
                 let cause = format!("failed with {}", answer.response.status());
-                exchange.note(&mut run, &Outcome::Unknown(cause));
+                exchange.note_failed_try(&mut run, &Outcome::Unknown(cause));
             }
-            other => exchange.note(&mut run, &other),
+            other => exchange.note_failed_try(&mut run, &other),
         }
     }
 }
--- a/crates/relay/src/exchange/tries.rs
+++ b/crates/relay/src/exchange/tries.rs
@@ -9,20 +9,20 @@
 use tokio::task::JoinHandle;
 
 use super::{
-    admit::{self, Pass},
-    passed_on,
+    admit::{self, Admission},
+    forwarded_headers,
 };
 use crate::{
     answer::{self, Body, Refusal},
-    ask::Ask,
     catalog::Kind,
     clock,
     desk::{
         Desk, Flight, Held,
         fleet::{Ended, Key, Run},
     },
+    request_params::RequestParams,
     source::Endpoint,
-    upstream::{self, Answer, Outcome, Tried, Unreachable},
+    upstream::{self, Answer, Outcome, TryResult, Unreachable},
 };
 
 /// Number of unreachable endpoints after which a request is refused.
@@ -30,31 +30,32 @@
 /// These tries are cheap: nothing has run, and a closed port answers within a round trip.
 /// When endpoints crash together, about half of those listed may be gone. Then one request
 /// in 65,000 finds 16 closed ports in a row; with a limit of four it would be one in 16.
-const MOST_UNREACHABLE: u32 = 16;
+const MAX_UNREACHABLE: u32 = 16;
 
 /// Minimum time left for another try.
-const WORTH_A_TRY: Duration = Duration::from_millis(30);
+const MIN_TRY_TIME: Duration = Duration::from_millis(30);
 
 /// Longest answer that is buffered, in bytes: several times the longest request. Without
 /// a limit, an answer that never ends would take all memory.
-const LONGEST_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Longest wait for the crash check of an endpoint; one that has crashed refuses
 /// connections within a round trip.
-const CHECK_WAIT: Duration = Duration::from_millis(50);
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Longest wait for an endpoint if none of the service accepts the request.
-const WAIT_FOR_ENDPOINT: Duration = Duration::from_millis(250);
+const ENDPOINT_WAIT: Duration = Duration::from_millis(250);
 
 /// A request being served.
 #[derive(Debug)]
 pub struct Exchange {
     pub(super) desk: Arc<Desk>,
     pub(super) flight: Option<Flight>,
-    pub(super) _held: Held,
+    pub(super) _body_memory: Held,
     pub(super) content: Content,
-    pub(super) ask: Ask,
-    pub(super) pass: Pass,
+    pub(super) params: RequestParams,
+    pub(super) admission: Admission,
+    /// Service selected from the route's targets; empty before the first try.
     pub(super) service: String,
     pub(super) host: String,
     pub(super) method: Method,
@@ -62,30 +63,37 @@
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
     pub(super) started: Duration,
+    /// Deadline of the request, less the time reserved for sending the answer.
     pub(super) limit: Duration,
+    /// Endpoints that were tried.
     pub(super) tried: Vec<Key>,
+    /// Number of times the request was sent.
     pub(super) sent: u32,
+    /// Number of tries that found the endpoint unreachable.
     pub(super) unreachable: u32,
     pub(super) may_have_run: bool,
+    /// Cause of the last failed try, for logs.
     pub(super) cause: String,
-    pub(super) draw: f64,
+    /// Random number that selects the route's target, the same for all tries.
+    pub(super) target_draw: f64,
+    /// Version of the endpoint that started the stream, preferred when resuming.
     pub(super) version: Option<String>,
     /// Running crash check of the endpoint that broke off the last try.
-    pub(super) check: Option<JoinHandle<()>>,
+    pub(super) crash_check: Option<JoinHandle<()>>,
 }
 
 /// An answer that is accepted for the caller.
 #[derive(Debug)]
-pub enum Won {
+pub enum AcceptedAnswer {
     /// A complete answer.
     Whole(Response<Body>),
     /// A stream that has begun.
-    Stream(Box<Live>),
+    Stream(Box<ActiveStream>),
 }
 
 /// A stream that an endpoint is sending.
 #[derive(Debug)]
-pub struct Live {
+pub struct ActiveStream {
     /// The endpoint's answer.
     pub answer: Answer,
     /// The run at the endpoint.
@@ -103,11 +111,11 @@
 }
 
 /// What to do with the request after one try.
-enum Next {
-    Won(Won),
+enum NextStep {
+    Accepted(AcceptedAnswer),
     /// A server error; it is returned to the caller if no later try gives a better answer.
     Failed(Failure),
-    Again,
+    Retry,
 }
 
 impl Exchange {
@@ -117,46 +125,47 @@
     }
 
     /// Tries endpoints until an answer is accepted or no further try is allowed.
-    pub async fn run(&mut self) -> Result<Won, Refusal> {
+    pub async fn run(&mut self) -> Result<AcceptedAnswer, Refusal> {
         let mut model = self.start_model();
         let mut failed: Option<Failure> = None;
         loop {
             let run = match (self.next_run(model).await, failed.take()) {
-                (Ok(run), earlier) => {
-                    failed = earlier;
+                (Ok(run), earlier_failure) => {
+                    failed = earlier_failure;
                     run
                 }
                 (Err(_), Some(failure)) => {
-                    self.log(&failure.endpoint, failure.choice, failure.status, None, None);
-                    return Ok(Won::Whole(failure.response));
+                    self.log_answer(&failure.endpoint, failure.choice, failure.status, None, None);
+                    return Ok(AcceptedAnswer::Whole(failure.response));
                 }
                 (Err(refusal), None) => return Err(refusal),
             };
-            match self.try_at(run, &mut model, self.ask.last_event).await {
-                Next::Won(won) => return Ok(won),
-                Next::Failed(failure) => failed = Some(failure),
-                Next::Again => {}
+            match self.try_at(run, &mut model, self.params.last_event).await {
+                NextStep::Accepted(accepted) => return Ok(accepted),
+                NextStep::Failed(failure) => failed = Some(failure),
+                NextStep::Retry => {}
             }
         }
     }
 
     /// Places the next try at an endpoint, or returns why no further try is possible.
     pub(super) async fn next_run(&mut self, model: Option<usize>) -> Result<Run, Refusal> {
-        self.await_check().await;
+        self.await_crash_check().await;
         if let Some(left) = self.desk.quarantined(self.content) {
-            return Err(self.given_up(Refusal::Quarantined { left }));
+            return Err(self.refusal_for_caller(Refusal::Quarantined { left }));
         }
         // The catalog may have changed since the last check: a revoked key or an old route
         // must not be used again.
-        self.pass = admit::check(&self.desk, &self.host, self.uri.path(), &self.ask).map_err(|r| self.given_up(r))?;
-        if self.left() < WORTH_A_TRY {
-            return Err(self.given_up(Refusal::Expired));
+        self.admission = admit::check(&self.desk, &self.host, self.uri.path(), &self.params)
+            .map_err(|r| self.refusal_for_caller(r))?;
+        if self.left() < MIN_TRY_TIME {
+            return Err(self.refusal_for_caller(Refusal::Expired));
         }
-        let may_try = !self.may_have_run || self.pass.route.kind.repeatable();
-        if !may_try || self.sent >= self.pass.route.attempts || self.unreachable >= MOST_UNREACHABLE {
-            return Err(self.given_up(Refusal::TurnedAway));
+        let may_try = !self.may_have_run || self.admission.route.kind.repeatable();
+        if !may_try || self.sent >= self.admission.route.attempts || self.unreachable >= MAX_UNREACHABLE {
+            return Err(self.refusal_for_caller(Refusal::TurnedAway));
         }
-        self.pass.route.target(self.draw).ok_or(Refusal::NoRoute)?.clone_into(&mut self.service);
+        self.admission.route.target(self.target_draw).ok_or(Refusal::NoRoute)?.clone_into(&mut self.service);
         let run = match self.place(model) {
             Some(run) => run,
             None => self.wait_for_place(model).await?,
@@ -166,40 +175,40 @@
                 self.desk.earn(&self.service);
             }
         } else if !self.desk.spend(&self.service, Purpose::Repair) {
-            return Err(self.given_up(Refusal::TurnedAway));
+            return Err(self.refusal_for_caller(Refusal::TurnedAway));
         }
         Ok(run)
     }
 
     /// Waits until it is known whether the endpoint of the last try has crashed. If the
     /// request is the cause, it would crash the next endpoint as well.
-    async fn await_check(&mut self) {
-        let Some(check) = self.check.take() else { return };
-        if tokio::time::timeout(CHECK_WAIT, check).await.is_err() {
-            tracing::debug!(request = self.ask.id, "retrying before the crash check of the last endpoint has ended");
+    async fn await_crash_check(&mut self) {
+        let Some(crash_check) = self.crash_check.take() else { return };
+        if tokio::time::timeout(CRASH_CHECK_TIMEOUT, crash_check).await.is_err() {
+            tracing::debug!(request = self.params.id, "retrying before the crash check of the last endpoint has ended");
         }
     }
 
     /// Retries placement until an endpoint accepts the request or the wait is over.
     async fn wait_for_place(&self, model: Option<usize>) -> Result<Run, Refusal> {
-        let until = clock::now() + WAIT_FOR_ENDPOINT.min(self.left());
+        let until = clock::now() + ENDPOINT_WAIT.min(self.left());
         while clock::now() < until {
             if let Some(after) = self.desk.throttled(&self.service)
                 && clock::now() + after > until
             {
-                return Err(self.given_up(Refusal::Throttled { after }));
+                return Err(self.refusal_for_caller(Refusal::Throttled { after }));
             }
             tokio::time::sleep(Duration::from_millis(25)).await;
             if let Some(run) = self.place(model) {
                 return Ok(run);
             }
         }
-        Err(self.given_up(Refusal::NoEndpoint))
+        Err(self.refusal_for_caller(Refusal::NoEndpoint))
     }
 
     /// Returns the refusal for the caller, which must not claim that a request did not run
     /// if it may have run.
-    pub(super) fn given_up(&self, refusal: Refusal) -> Refusal {
+    pub(super) fn refusal_for_caller(&self, refusal: Refusal) -> Refusal {
         if !self.may_have_run {
             return refusal;
         }
@@ -215,42 +224,42 @@
     }
 
     /// Sends the request once and decides what to do with the answer.
-    async fn try_at(&mut self, mut run: Run, model: &mut Option<usize>, last_event: Option<u64>) -> Next {
+    async fn try_at(&mut self, mut run: Run, model: &mut Option<usize>, last_event: Option<u64>) -> NextStep {
         let outcome = self.send(&mut run, *model, last_event).await;
         let answer = match outcome {
             Outcome::Answer(answer) => *answer,
             other => {
-                self.note(&mut run, &other);
-                return Next::Again;
+                self.note_failed_try(&mut run, &other);
+                return NextStep::Retry;
             }
         };
         run.first_byte();
         let status = answer.response.status();
-        let stream = matches!(self.pass.route.kind, Kind::Stream { .. });
+        let stream = matches!(self.admission.route.kind, Kind::Stream { .. });
         if status.is_success() && stream {
             run.judge(false);
             if let Some(next) = self.escalation(&answer, *model) {
                 tracing::info!(
-                    request = self.ask.id,
+                    request = self.params.id,
                     content = %self.content,
                     endpoint = run.endpoint.id,
                     from = *model,
                     to = next,
                     confidence = self.confidence(&answer),
-                    urgency = ?self.pass.urgency,
+                    urgency = ?self.admission.urgency,
                     took_ms = clock::millis(clock::now().saturating_sub(self.started)),
                     "answer dropped for a larger model"
                 );
                 *model = Some(next);
-                return Next::Again;
+                return NextStep::Retry;
             }
-            return Next::Won(Won::Stream(Box::new(Live { answer, run, model: *model })));
+            return NextStep::Accepted(AcceptedAnswer::Stream(Box::new(ActiveStream { answer, run, model: *model })));
         }
-        self.whole(answer, run).await
+        self.read_whole_answer(answer, run).await
     }
 
     /// Records a try that gave no usable answer.
-    pub(super) fn note(&mut self, run: &mut Run, outcome: &Outcome) {
+    pub(super) fn note_failed_try(&mut self, run: &mut Run, outcome: &Outcome) {
         self.tried.push(run.key);
         let (ended, cause) = match outcome {
             Outcome::Unreachable(Unreachable { cause, is_refused }) => {
@@ -264,19 +273,20 @@
             Outcome::NotRun(status) => (Ended::Full, format!("turned away with {status}")),
             Outcome::Unknown(cause) => (Ended::Broken, cause.clone()),
             Outcome::Broken(cause) => {
-                self.check = Some(tokio::spawn(check_endpoint(Arc::clone(&self.desk), run.key, run.endpoint.address)));
+                self.crash_check =
+                    Some(tokio::spawn(check_for_crash(Arc::clone(&self.desk), run.key, run.endpoint.address)));
                 (Ended::Broken, cause.clone())
             }
             Outcome::Answer(_) => (Ended::Good, String::new()),
         };
-        self.fail(run, ended, cause);
+        self.note_failure(run, ended, cause);
     }
 
     /// Records and logs a failed try.
-    fn fail(&mut self, run: &mut Run, ended: Ended, cause: String) {
+    fn note_failure(&mut self, run: &mut Run, ended: Ended, cause: String) {
         run.ended(ended);
         tracing::info!(
-            request = self.ask.id,
+            request = self.params.id,
             content = %self.content,
             endpoint = run.endpoint.id,
             how = ?ended,
@@ -298,8 +308,8 @@
         // The deadline may pass and cancel this call while the try is in flight. From here
         // on the caller must not be told that the request did not run.
         let ran_before = std::mem::replace(&mut self.may_have_run, true);
-        let Tried { outcome, limit } =
-            upstream::send(run.endpoint.address, request, &self.ask.id, &self.desk.dialect.names, patience).await;
+        let TryResult { outcome, limit } =
+            upstream::send(run.endpoint.address, request, &self.params.id, &self.desk.dialect.names, patience).await;
         run.said(limit);
         if matches!(outcome, Outcome::Unreachable(_) | Outcome::NotRun(_)) {
             self.may_have_run = ran_before;
@@ -308,41 +318,44 @@
     }
 
     /// Reads an answer to its end. One that breaks off may be retried like a lost answer.
-    async fn whole(&mut self, answer: Answer, mut run: Run) -> Next {
-        let headers = passed_on(&answer.response);
+    async fn read_whole_answer(&mut self, answer: Answer, mut run: Run) -> NextStep {
+        let headers = forwarded_headers(&answer.response);
         let status = answer.response.status();
-        if promises(status) {
+        if promises_not_run(status) {
             // A signed answer shows that the request ran. This status would tell the caller
             // that it did not, and changing it would invalidate the signature.
-            self.note(&mut run, &Outcome::Unknown(format!("answered {status} without saying that it did not run")));
-            return Next::Again;
+            self.note_failed_try(
+                &mut run,
+                &Outcome::Unknown(format!("answered {status} without saying that it did not run")),
+            );
+            return NextStep::Retry;
         }
         let (body, _connection) = answer.into_body();
-        let bytes = match Limited::new(body, LONGEST_ANSWER).collect().await {
+        let bytes = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
             Err(error) => {
-                self.note(&mut run, &Outcome::Broken(error.to_string()));
-                return Next::Again;
+                self.note_failed_try(&mut run, &Outcome::Broken(error.to_string()));
+                return NextStep::Retry;
             }
         };
         let failed = status.is_server_error();
         run.judge(failed);
-        let mut response = Response::new(answer::full(bytes));
+        let mut response = Response::new(answer::full_body(bytes));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         let (endpoint, choice) = (Arc::clone(&run.endpoint), run.choice);
         if failed {
-            self.fail(&mut run, Ended::Failed, format!("failed with {status}"));
+            self.note_failure(&mut run, Ended::Failed, format!("failed with {status}"));
             self.tried.push(run.key);
-            return Next::Failed(Failure { response, status, endpoint, choice });
+            return NextStep::Failed(Failure { response, status, endpoint, choice });
         }
         run.ended(Ended::Good);
-        self.log(&endpoint, choice, status, None, None);
-        Next::Won(Won::Whole(response))
+        self.log_answer(&endpoint, choice, status, None, None);
+        NextStep::Accepted(AcceptedAnswer::Whole(response))
     }
 
     /// Logs and measures an accepted answer.
-    pub(super) fn log(
+    pub(super) fn log_answer(
         &self,
         endpoint: &Endpoint,
         choice: Choice,
@@ -352,9 +365,9 @@
     ) {
         let took = clock::millis(clock::now().saturating_sub(self.started));
         tracing::info!(
-            request = self.ask.id,
+            request = self.params.id,
             content = %self.content,
-            route = self.pass.route.name,
+            route = self.admission.route.name,
             service = self.service,
             endpoint = endpoint.id,
             status = status.as_u16(),
@@ -365,8 +378,8 @@
             copied = choice.source.is_some(),
             model,
             confidence,
-            tokens = self.ask.tokens.map(|tokens| tokens.prompt),
-            catalog = self.pass.version,
+            tokens = self.params.tokens.map(|tokens| tokens.prompt),
+            catalog = self.admission.version,
             "answered"
         );
         metrics::histogram!("relay_answer_ms", "service" => self.service.clone()).record(took);
@@ -374,13 +387,13 @@
 }
 
 /// Reports a crash of an endpoint if it refuses connections.
-async fn check_endpoint(desk: Arc<Desk>, key: Key, address: SocketAddr) {
+async fn check_for_crash(desk: Arc<Desk>, key: Key, address: SocketAddr) {
     if upstream::is_refused(address).await {
         desk.note_crash(key);
     }
 }
 
 /// Returns whether callers understand a status as a promise that the request did not run.
-fn promises(status: StatusCode) -> bool {
+fn promises_not_run(status: StatusCode) -> bool {
     matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT)
 }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -16,7 +16,7 @@
 use route::relay::freshness::{Cadence, Proof};
 use tokio::time::{sleep, timeout};
 
-use self::lapses::{Lapses, RETURN};
+use self::lapses::{Lapses, REREGISTRATION_TIME};
 use crate::{
     clock,
     desk::Desk,
@@ -26,63 +26,63 @@
 
 /// Longest wait of a watch on the catalog. It also bounds the age of the proof of access
 /// keys while the store answers.
-const CATALOG_WAIT: Duration = Duration::from_millis(900);
+const CATALOG_WATCH_WAIT: Duration = Duration::from_millis(900);
 
 /// Longest wait of a watch on a catalog that takes too long to be read after each watch.
 /// The proof of a watch is a second older than that of a read; the shorter wait makes up
 /// for half of it.
-const PROVING_WAIT: Duration = Duration::from_millis(450);
+const LONG_CATALOG_WATCH_WAIT: Duration = Duration::from_millis(450);
 
 /// Longest wait of a watch on endpoints. A watch that hangs must be noticed before the
 /// time at which a leaving endpoint may get no more requests.
-const ENDPOINTS_WAIT: Duration = Duration::from_millis(1_200);
+const ENDPOINTS_WATCH_WAIT: Duration = Duration::from_millis(1_200);
 
 /// Longest wait of a watch on the other kinds; other instances announce rollouts sooner.
-const ROLLOUTS_WAIT: Duration = Duration::from_secs(4);
+const OTHER_WATCH_WAIT: Duration = Duration::from_secs(4);
 
 /// First and longest backoff after a failed call.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
 
 /// Pause between probes of an unreachable store by an instance that other instances will
 /// notify of its return. Each probe is a call that is paid for, at every instance.
-const LOOK: Duration = Duration::from_millis(1_500);
+const PROBE_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Probe pause per instance of the fleet: in a large fleet the pause grows with the number
 /// of instances, which bounds the rate of all probes together. The instances that probe
 /// first announce the store's return sooner than a probe would find it.
-const LOOK_EACH: Duration = Duration::from_millis(20);
+const PROBE_PAUSE_PER_INSTANCE: Duration = Duration::from_millis(20);
 
 /// Pause between probes of an unreachable store while another instance keeps this one
 /// synchronized.
-const LED_LOOK: Duration = Duration::from_secs(4);
+const SYNCED_PROBE_PAUSE: Duration = Duration::from_secs(4);
 
 /// Length of a store outage after which the registration of a missing endpoint may merely
 /// have expired.
-const OUTAGE: Duration = Duration::from_secs(1);
+const LONG_OUTAGE: Duration = Duration::from_secs(1);
 
 /// Pause after a watch that returned changes to endpoints, so that the next call collects
 /// several. Dozens of endpoints may start, crash or leave within seconds and each call is
 /// paid for, while a leaving endpoint may get requests for some seconds.
-const TOGETHER: Duration = Duration::from_millis(150);
+const ENDPOINT_CHANGES_PAUSE: Duration = Duration::from_millis(150);
 
 /// Longest wait of a watch on endpoints while lapsed endpoints may register again.
-const LAPSED_WAIT: Duration = Duration::from_millis(300);
+const LAPSED_WATCH_WAIT: Duration = Duration::from_millis(300);
 
 /// Time after the first listing in which an instance waits to discover others that keep it
 /// synchronized: with 74 instances a round of news takes 1.25 s and a question 0.35 s.
 /// Without the wait, half of the store calls of a starting fleet come from instances that
 /// watch the store by themselves until then.
-const MEETING: Duration = Duration::from_secs(2);
+const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
 /// The same wait for an instance that ranks among those that watch the store. Every
 /// instance seems to until it has received the greetings of others.
-const RANKING: Duration = Duration::from_millis(700);
+const WATCHER_DISCOVERY_TIME: Duration = Duration::from_millis(700);
 
 /// Pause between checks whether another instance still keeps this one synchronized.
-const REST: Duration = Duration::from_millis(200);
+const SYNCED_CHECK_PAUSE: Duration = Duration::from_millis(200);
 
 /// Pause after a read of the store that another instance's message triggered.
-const APART: Duration = Duration::from_millis(300);
+const TRIGGERED_READ_PAUSE: Duration = Duration::from_millis(300);
 
 /// Keeps one kind of record synchronized; never returns.
 pub async fn follow(desk: Arc<Desk>, source: Arc<dyn Source>, kind: Kind) {
@@ -94,14 +94,14 @@
         progress,
         cadence: Cadence::default(),
         revision: None,
-        listed: false,
+        has_listed: false,
         lost_since: None,
-        last_lost: Duration::ZERO,
+        last_failure: Duration::ZERO,
         failures: 0,
         lapses: Lapses::default(),
         first_listed: None,
         pause: None,
-        has_left_look: false,
+        has_deferred_probe: false,
     };
     loop {
         follower.step().await;
@@ -115,38 +115,42 @@
     progress: Arc<Progress>,
     /// Decides when the catalog may be read again.
     cadence: Cadence,
+    /// Revision to watch from; `None` if the kind has to be listed.
     revision: Option<u64>,
-    listed: bool,
+    has_listed: bool,
+    /// Start of the first call that failed since the store was lost.
     lost_since: Option<Duration>,
-    last_lost: Duration,
+    last_failure: Duration,
+    /// Number of consecutive failed calls.
     failures: u32,
     lapses: Lapses,
+    /// Time of the first listing.
     first_listed: Option<Duration>,
     /// Pause before the next store call.
     pause: Option<Duration>,
     /// Whether the first probe of a store that others seem to have lost was deferred.
-    has_left_look: bool,
+    has_deferred_probe: bool,
 }
 
 impl Follower {
     /// Makes one call to the store, or waits if none is due.
     async fn step(&mut self) {
-        if self.listed && self.desk.led() {
-            self.rest().await;
+        if self.has_listed && self.desk.led() {
+            self.wait_synchronized().await;
             return;
         }
-        if self.listed && (self.meeting() || self.waits_for_catalog()) {
-            self.expire();
+        if self.has_listed && (self.is_discovering() || self.defers_to_catalog()) {
+            self.expire_lapses();
             if self.kind == Kind::Catalog {
-                // The last read proves little by now, so the catalog is listed again after the wait.
+                // The last read proves little by now; list the catalog again after the wait.
                 self.revision = None;
             }
-            sleep(REST).await;
+            sleep(SYNCED_CHECK_PAUSE).await;
             return;
         }
-        if self.leaves_first_look() {
-            self.expire();
-            sleep(LOOK.mul_f64(rand::random())).await;
+        if self.defers_first_probe() {
+            self.expire_lapses();
+            sleep(PROBE_PAUSE.mul_f64(rand::random())).await;
             return;
         }
         if let Some(pause) = self.pause.take() {
@@ -154,16 +158,16 @@
         }
         let asked = clock::now();
         let result = match self.revision {
-            None => self.list(self.first_read(), asked).await,
+            None => self.list(self.read_mode(), asked).await,
             Some(from) => self.watch(from, asked).await,
         };
-        self.expire();
+        self.expire_lapses();
         let Err(fault) = result else {
-            self.note_touch(true);
-            self.regained();
+            self.note_contact(true);
+            self.note_success();
             return;
         };
-        self.note_touch(false);
+        self.note_contact(false);
         self.revision = None;
         if matches!(fault, Fault::Compacted | Fault::Unreadable) {
             tracing::info!(kind = ?self.kind, %fault, "listing all records again");
@@ -176,9 +180,9 @@
         let wait = if self.desk.looks_first() {
             self.backoff(BACKOFF.1)
         } else {
-            LOOK.max(LOOK_EACH * u32::try_from(self.desk.members()).unwrap_or(u32::MAX))
+            PROBE_PAUSE.max(PROBE_PAUSE_PER_INSTANCE * u32::try_from(self.desk.members()).unwrap_or(u32::MAX))
         };
-        self.note_failed(clock::now());
+        self.note_failure(clock::now());
         sleep(wait.mul_f64(0.7 + 0.6 * rand::random::<f64>())).await;
     }
 
@@ -189,48 +193,49 @@
 
     /// Returns whether it is too early after the start to know which instances watch the
     /// store and keep the others synchronized.
-    fn meeting(&self) -> bool {
+    fn is_discovering(&self) -> bool {
         let Some(since) = self.first_listed.map(|first| clock::now().saturating_sub(first)) else { return false };
-        since < RANKING || (since < MEETING && !self.desk.watches_store())
+        since < WATCHER_DISCOVERY_TIME || (since < DISCOVERY_TIME && !self.desk.watches_store())
     }
 
     /// Returns whether to leave probing of an unreachable store to the catalog's follower:
     /// all kinds are lost and regained together, and each probe is paid for.
-    fn waits_for_catalog(&self) -> bool {
+    fn defers_to_catalog(&self) -> bool {
         let is_lost = self.lost_since.is_some() && !self.desk.touched();
         self.kind != Kind::Catalog && (is_lost || self.desk.doubts_store())
     }
 
     /// Returns whether to wait before probing a store that others seem to have lost. The
     /// whole fleet learns of it at once, and usually the store is lost to all instances.
-    fn leaves_first_look(&mut self) -> bool {
+    fn defers_first_probe(&mut self) -> bool {
         let doubts = self.kind == Kind::Catalog && self.desk.doubts_store() && !self.desk.looks_first();
-        let is_first = doubts && !self.has_left_look;
-        self.has_left_look = doubts;
+        let is_first = doubts && !self.has_deferred_probe;
+        self.has_deferred_probe = doubts;
         is_first
     }
 
     /// Waits while another instance keeps this one synchronized, and reads from the store
     /// only what that instance cannot provide.
-    async fn rest(&mut self) {
+    async fn wait_synchronized(&mut self) {
         self.revision = None;
-        self.expire();
-        self.lapses.leave();
-        let asked_for = timeout(REST, self.desk.wanted(self.kind)).await.is_ok();
+        self.expire_lapses();
+        self.lapses.clear_removals();
+        let asked_for = timeout(SYNCED_CHECK_PAUSE, self.desk.wanted(self.kind)).await.is_ok();
         let wanted = asked_for && (self.kind != Kind::Catalog || self.desk.behind());
         let asked = clock::now();
-        let look = self.kind == Kind::Catalog && !self.desk.touched() && asked > self.last_lost + LED_LOOK;
+        let probe =
+            self.kind == Kind::Catalog && !self.desk.touched() && asked > self.last_failure + SYNCED_PROBE_PAUSE;
         // The store may reject this instance and serve all others, which then announce the
         // newer catalog sixteen times a second. Without a wait, each announcement causes two
         // more rejected calls, which made up a quarter of the cost of a day's calls.
-        let waits = self.failures > 0 && asked < self.last_lost + self.backoff(LOOK);
-        if waits && wanted && self.kind == Kind::Catalog {
-            self.copy().await;
-            sleep(APART).await;
+        let is_backing_off = self.failures > 0 && asked < self.last_failure + self.backoff(PROBE_PAUSE);
+        if is_backing_off && wanted && self.kind == Kind::Catalog {
+            self.copy_catalog().await;
+            sleep(TRIGGERED_READ_PAUSE).await;
             return;
         }
-        if waits || (!wanted && !look) {
-            if asked > self.last_lost + RETURN {
+        if is_backing_off || (!wanted && !probe) {
+            if asked > self.last_failure + REREGISTRATION_TIME {
                 self.lost_since = None;
             }
             return;
@@ -240,8 +245,8 @@
         } else {
             self.read_latest(asked).await;
         }
-        // Reads several versions in quick succession only once.
-        sleep(APART).await;
+        // Reads only the last of several versions in quick succession.
+        sleep(TRIGGERED_READ_PAUSE).await;
     }
 
     /// Copies a newer catalog from an instance that announced it; returns whether it was
@@ -249,7 +254,7 @@
     ///
     /// This helps when the store rejects this instance and serves the others. The store is
     /// still asked first, because callers are directed to instances in contact with it.
-    async fn copy(&self) -> bool {
+    async fn copy_catalog(&self) -> bool {
         let Some(teller) = self.desk.teller() else { return false };
         match share::fetch(teller).await {
             Ok(catalog) => self.desk.install(catalog),
@@ -272,7 +277,7 @@
         if self.cadence.is_long() {
             self.read_latest(asked).await;
             if self.failures > 0 {
-                self.copy().await;
+                self.copy_catalog().await;
             }
             return;
         }
@@ -280,15 +285,15 @@
         let before = version(&self.desk);
         match self.list(Read::AnyAge, asked).await {
             Err(fault) => {
-                self.not_read(asked, &fault);
-                self.copy().await;
+                self.note_failed_read(asked, &fault);
+                self.copy_catalog().await;
             }
             Ok(()) if version(&self.desk) == before => {
-                if !self.copy().await {
+                if !self.copy_catalog().await {
                     self.read_latest(clock::now()).await;
                 }
             }
-            Ok(()) => self.regained(),
+            Ok(()) => self.note_success(),
         }
     }
 
@@ -296,29 +301,29 @@
     async fn read_latest(&mut self, asked: Duration) {
         match self.list(Read::Latest, asked).await {
             Ok(()) => {
-                self.note_touch(true);
-                self.regained();
+                self.note_contact(true);
+                self.note_success();
             }
-            Err(fault) => self.not_read(asked, &fault),
+            Err(fault) => self.note_failed_read(asked, &fault),
         }
     }
 
     /// Logs and records a read that failed.
-    fn not_read(&mut self, asked: Duration, fault: &Fault) {
+    fn note_failed_read(&mut self, asked: Duration, fault: &Fault) {
         tracing::info!(kind = ?self.kind, %fault, failures = self.failures, "store not read");
-        self.note_touch(false);
-        self.note_failed(asked);
+        self.note_contact(false);
+        self.note_failure(asked);
     }
 
     /// Records a failed call at time `at`.
-    fn note_failed(&mut self, at: Duration) {
-        self.last_lost = at;
+    fn note_failure(&mut self, at: Duration) {
+        self.last_failure = at;
         self.failures += 1;
     }
 
     /// Records whether this instance's calls to the store succeed. Only the catalog's
     /// follower does so, on behalf of all kinds.
-    fn note_touch(&self, succeeded: bool) {
+    fn note_contact(&self, succeeded: bool) {
         if self.kind == Kind::Catalog {
             self.desk.note_touch(succeeded);
         }
@@ -326,8 +331,8 @@
 
     /// Returns how to list. The first listing of endpoints may be old: the watch from its
     /// revision, or the instance that synchronizes this one, delivers the later changes.
-    fn first_read(&self) -> Read {
-        if self.kind == Kind::Endpoints && !self.listed { Read::AnyAge } else { Read::Latest }
+    fn read_mode(&self) -> Read {
+        if self.kind == Kind::Endpoints && !self.has_listed { Read::AnyAge } else { Read::Latest }
     }
 
     /// Lists the kind and applies the listing.
@@ -335,13 +340,13 @@
         let call = self.source.list(self.kind, read, &self.progress);
         let listing = silence::bounded(&self.progress, Duration::ZERO, call).await?;
         // An empty listing is a proof only while no catalog has been read: then there is none.
-        let shows = !listing.records.is_empty() || self.desk.catalog().is_none();
-        let proves = self.kind == Kind::Catalog && read == Read::Latest && shows;
+        let is_conclusive = !listing.records.is_empty() || self.desk.catalog().is_none();
+        let proves = self.kind == Kind::Catalog && read == Read::Latest && is_conclusive;
         if self.kind == Kind::Catalog {
             self.cadence.note(self.progress.transfer(), clock::now());
             self.desk.note_narrow(self.cadence.is_long());
         }
-        self.take_all(listing);
+        self.apply_listing(listing);
         if proves {
             self.desk.renew(asked, Proof::Read);
         }
@@ -353,7 +358,7 @@
         let wait = self.watch_wait(asked);
         let call = self.source.watch(self.kind, from, wait, &self.progress);
         let batch = silence::bounded(&self.progress, wait, call).await?;
-        self.take_batch(batch);
+        self.apply_batch(batch);
         if self.kind == Kind::Catalog {
             self.desk.renew(asked, Proof::Quiet);
             // A watch without changes proves less than a read, since it may have missed
@@ -370,16 +375,16 @@
     /// Returns how long the store may hold back its answer to a watch that starts at `asked`.
     fn watch_wait(&self, asked: Duration) -> Duration {
         match self.kind {
-            Kind::Catalog if !self.cadence.is_due(asked + CATALOG_WAIT) => PROVING_WAIT,
-            Kind::Catalog => CATALOG_WAIT,
-            Kind::Endpoints if self.lapses.waits() => LAPSED_WAIT,
-            Kind::Endpoints => ENDPOINTS_WAIT,
-            Kind::Rollouts | Kind::Instances | Kind::Quarantine => ROLLOUTS_WAIT,
+            Kind::Catalog if !self.cadence.is_due(asked + CATALOG_WATCH_WAIT) => LONG_CATALOG_WATCH_WAIT,
+            Kind::Catalog => CATALOG_WATCH_WAIT,
+            Kind::Endpoints if self.lapses.has_lapses() => LAPSED_WATCH_WAIT,
+            Kind::Endpoints => ENDPOINTS_WATCH_WAIT,
+            Kind::Rollouts | Kind::Instances | Kind::Quarantine => OTHER_WATCH_WAIT,
         }
     }
 
     /// Records a successful call, and logs it if the store was lost before.
-    fn regained(&mut self) {
+    fn note_success(&mut self) {
         self.failures = 0;
         if let Some(since) = self.lost_since.take() {
             tracing::info!(kind = ?self.kind, after_ms = clock::millis(clock::now().saturating_sub(since)), "store regained");
@@ -387,10 +392,10 @@
     }
 
     /// Removes lapsed endpoints that did not register again in time.
-    fn expire(&mut self) {
+    fn expire_lapses(&mut self) {
         for lapse in self.lapses.expire(clock::now()) {
             if self.desk.delist_lapsed(&lapse.id, lapse.since) {
-                self.lapses.gone(lapse.id);
+                self.lapses.note_removed(lapse.id);
             }
         }
     }
--- a/crates/relay/src/follow/intake.rs
+++ b/crates/relay/src/follow/intake.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::{Follower, OUTAGE, TOGETHER};
+use super::{ENDPOINT_CHANGES_PAUSE, Follower, LONG_OUTAGE};
 use crate::{
     clock,
     desk::track,
@@ -12,7 +12,7 @@
 impl Follower {
     /// Applies a whole listing. Endpoints that it lacks are removed, at once unless the store
     /// was unreachable for so long that their registrations may merely have expired.
-    pub(super) fn take_all(&mut self, listing: Listing) {
+    pub(super) fn apply_listing(&mut self, listing: Listing) {
         // Another instance may already have delivered newer changes. This listing would
         // undo them, and they would not be delivered again.
         if self.kind == Kind::Endpoints && listing.revision < self.desk.endpoints_revision() {
@@ -20,15 +20,15 @@
             return;
         }
         if self.kind == Kind::Endpoints {
-            self.compare(&listing);
+            self.compare_endpoints(&listing);
         }
         self.revision = Some(listing.revision);
         let gone = listing.unreadable.into_iter().filter(|_| self.kind == Kind::Endpoints);
         let gone: Vec<Change> = gone.map(|name| Change { name, record: None }).collect();
         for change in listing.records.into_iter().chain(gone) {
-            self.take(change);
+            self.apply_change(change);
         }
-        self.listed = true;
+        self.has_listed = true;
         self.first_listed.get_or_insert_with(clock::now);
         match self.kind {
             Kind::Endpoints => self.desk.mark_listed(),
@@ -38,20 +38,20 @@
     }
 
     /// Applies the changes that a watch returned.
-    pub(super) fn take_batch(&mut self, batch: Batch) {
+    pub(super) fn apply_batch(&mut self, batch: Batch) {
         let Batch { revision, changes } = batch;
         if self.kind == Kind::Endpoints {
-            let mut told: Vec<track::Change> = changes.iter().filter_map(endpoint_change).collect();
+            let mut announced: Vec<track::Change> = changes.iter().filter_map(endpoint_change).collect();
             if revision > self.desk.endpoints_revision() {
-                told.splice(0..0, self.lapses.tell());
+                announced.splice(0..0, self.lapses.take_removals());
             }
-            self.desk.note_changes(revision, told);
+            self.desk.note_changes(revision, announced);
             if !changes.is_empty() {
-                self.pause = Some(TOGETHER);
+                self.pause = Some(ENDPOINT_CHANGES_PAUSE);
             }
         }
         for change in changes {
-            self.take(change);
+            self.apply_change(change);
         }
         self.revision = Some(revision);
     }
@@ -61,15 +61,15 @@
     ///
     /// Without the recorded differences, each of those instances would have to list the
     /// endpoints too whenever the store has compacted its history or was unreachable.
-    fn compare(&mut self, listing: &Listing) {
+    fn compare_endpoints(&mut self, listing: &Listing) {
         let now = clock::now();
-        let outage = self.lost_since.is_some_and(|since| now.saturating_sub(since) > OUTAGE);
+        let outage = self.lost_since.is_some_and(|since| now.saturating_sub(since) > LONG_OUTAGE);
         let listed: Vec<&Endpoint> = listing.records.iter().filter_map(listed_endpoint).collect();
         // An endpoint whose record is listed but unreadable has not lapsed; it is removed at
         // once.
-        let stands: HashSet<&str> =
+        let listed_ids: HashSet<&str> =
             listed.iter().map(|other| other.id.as_str()).chain(listing.unreadable.iter().map(String::as_str)).collect();
-        let is_missing = |id: &String| !stands.contains(id.as_str());
+        let is_missing = |id: &String| !listed_ids.contains(id.as_str());
         let missing: Vec<String> = self.desk.enlisted().into_iter().filter(is_missing).collect();
         let kept: Vec<&str> = if outage { missing.iter().map(String::as_str).collect() } else { Vec::new() };
         if self.desk.endpoints_revision() == 0 {
@@ -79,7 +79,7 @@
         }
         for id in missing {
             if outage {
-                self.lapses.lapse(id, now);
+                self.lapses.add(id, now);
             } else {
                 self.desk.delist(&id);
             }
@@ -87,13 +87,13 @@
     }
 
     /// Applies one change.
-    fn take(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         match change.record {
             Some(Record::Catalog(catalog)) => {
                 self.desk.install(*catalog);
             }
             Some(Record::Endpoint(endpoint)) => {
-                self.lapses.back(&endpoint.id);
+                self.lapses.note_registered(&endpoint.id);
                 self.desk.enlist(endpoint);
             }
             Some(Record::Rollout(rollout)) => self.desk.order(rollout),
--- a/crates/relay/src/follow/lapses.rs
+++ b/crates/relay/src/follow/lapses.rs
@@ -14,7 +14,7 @@
 use crate::desk::track::Change;
 
 /// Time that endpoints get to register again after an outage of the store.
-pub(super) const RETURN: Duration = Duration::from_millis(2_300);
+pub(super) const REREGISTRATION_TIME: Duration = Duration::from_millis(2_300);
 
 /// An endpoint that was missing in a listing after an outage.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,17 +29,17 @@
 #[derive(Debug, Default)]
 pub(super) struct Lapses {
     waiting: Vec<Lapse>,
-    untold: Vec<Change>,
+    removals: Vec<Change>,
 }
 
 impl Lapses {
     /// Returns whether any lapsed endpoint may still register again.
-    pub fn waits(&self) -> bool {
+    pub fn has_lapses(&self) -> bool {
         !self.waiting.is_empty()
     }
 
     /// Adds a lapsed endpoint that may register again.
-    pub fn lapse(&mut self, id: String, now: Duration) {
+    pub fn add(&mut self, id: String, now: Duration) {
         if !self.waiting.iter().any(|lapse| lapse.id == id) {
             self.waiting.push(Lapse { id, since: now });
         }
@@ -49,29 +49,29 @@
     ///
     /// Drops a pending removal of it as well: the instances that are synchronized from
     /// here would stop sending requests to an endpoint that is alive.
-    pub fn back(&mut self, id: &str) {
+    pub fn note_registered(&mut self, id: &str) {
         self.waiting.retain(|lapse| lapse.id != id);
-        self.untold.retain(|change| !matches!(change, Change::Gone(other) if other == id));
+        self.removals.retain(|change| !matches!(change, Change::Gone(other) if other == id));
     }
 
     /// Takes out and returns the endpoints that did not register again in time.
     pub fn expire(&mut self, now: Duration) -> Vec<Lapse> {
-        self.waiting.extract_if(.., |lapse| lapse.since + RETURN <= now).collect()
+        self.waiting.extract_if(.., |lapse| lapse.since + REREGISTRATION_TIME <= now).collect()
     }
 
     /// Records that an endpoint was removed, for other instances.
-    pub fn gone(&mut self, id: String) {
-        self.untold.push(Change::Gone(id));
+    pub fn note_removed(&mut self, id: String) {
+        self.removals.push(Change::Gone(id));
     }
 
     /// Takes the removals that other instances have to be notified of.
-    pub fn tell(&mut self) -> Vec<Change> {
-        std::mem::take(&mut self.untold)
+    pub fn take_removals(&mut self) -> Vec<Change> {
+        std::mem::take(&mut self.removals)
     }
 
     /// Drops the pending removals, because another instance now keeps this one synchronized
     /// and knows of later registrations.
-    pub fn leave(&mut self) {
-        self.untold.clear();
+    pub fn clear_removals(&mut self) {
+        self.removals.clear();
     }
 }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -18,26 +18,26 @@
 
 /// Maximum number of connections waiting to be accepted. When many callers reconnect at
 /// once, a full queue would drop first packets, which are resent only a second later.
-const BACKLOG: i32 = 1_024;
+const ACCEPT_BACKLOG: i32 = 1_024;
 
 /// Longest time that a connection may stay without a request. Callers reuse connections
 /// within the operator's limit, which may grow while a connection is open, so this limit
 /// only cleans up abandoned ones.
-const IDLE: Duration = Duration::from_mins(2);
+const IDLE_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// Largest request head that a connection buffers, in bytes; the catalog's limit is lower.
-const HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// Pause after a failed accept, since the next one would fail at once as well.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Idle time before TCP keepalive probes, and the interval between them. Without probes,
 /// the connection of a caller that lost power would stay open for hours.
-const PROBE: Duration = Duration::from_secs(10);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Request extension that holds the IP address of the caller.
 #[derive(Debug, Clone, Copy)]
-pub struct Origin(pub IpAddr);
+pub struct CallerIp(pub IpAddr);
 
 /// Binds a TCP listener.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
@@ -45,7 +45,7 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
@@ -57,29 +57,29 @@
 {
     let serve = Arc::new(serve);
     loop {
-        let (stream, origin) = match listener.accept().await {
-            Ok((stream, address)) => (stream, Origin(address.ip())),
+        let (stream, caller_ip) = match listener.accept().await {
+            Ok((stream, address)) => (stream, CallerIp(address.ip())),
             Err(error) => {
                 tracing::warn!(%error, "accepting a connection failed");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        if let Err(error) = prepare(&stream) {
+        if let Err(error) = set_socket_options(&stream) {
             tracing::debug!(%error, "setting socket options failed; connection dropped");
             continue;
         }
         let serve = Arc::clone(&serve);
         let service = service_fn(move |mut request: Request<Incoming>| {
-            request.extensions_mut().insert(origin);
+            request.extensions_mut().insert(caller_ip);
             let answer = serve(request);
             async move { Ok::<_, Infallible>(answer.await) }
         });
         tokio::spawn(async move {
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE)
-                .max_buf_size(HEAD)
+                .header_read_timeout(IDLE_TIMEOUT)
+                .max_buf_size(MAX_HEAD_BYTES)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
                 tracing::debug!(%error, "connection ended");
@@ -88,8 +88,8 @@
     }
 }
 
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let keepalive = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE);
+    let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
     SockRef::from(stream).set_tcp_keepalive(&keepalive)
 }
--- a/crates/relay/src/handle.rs
+++ b/crates/relay/src/handle.rs
@@ -13,19 +13,19 @@
     dialect::Dialect,
     directory, exchange, follow, front, join, news, quarantine, report,
     settings::{Listeners, Settings},
-    share::Sharer,
+    share::CatalogServer,
     source::{Kind, Source},
 };
 
 /// Part of the grace period that is reserved for ending the process.
-const LAST: Duration = Duration::from_millis(600);
+const EXIT_TIME: Duration = Duration::from_millis(600);
 
 /// Time without requests in flight after which no further callers are expected. Also the
 /// time limit for deregistering.
-const QUIET: Duration = Duration::from_millis(400);
+const QUIET_TIME: Duration = Duration::from_millis(400);
 
 /// Factor by which some callers exceed the cache time of a list of addresses.
-const KEPT: u32 = 3;
+const ADDRESS_CACHE_FACTOR: u32 = 3;
 
 /// Why the relay could not start.
 #[derive(Debug)]
@@ -63,13 +63,13 @@
 pub async fn spawn(mut settings: Settings, dialect: Dialect, source: Arc<dyn Source>) -> Result<Handle, Error> {
     let at = settings.listeners;
     let failed = |listener, address| move |cause| Error { listener, address, cause };
-    let callers = front::bind(at.front).map_err(failed("front", at.front))?;
+    let front_listener = front::bind(at.front).map_err(failed("front", at.front))?;
     let ready = front::bind(at.ready).map_err(failed("ready", at.ready))?;
     let directory = front::bind(at.directory).map_err(failed("directory", at.directory))?;
-    let (socket, copying) = news::bind(at.news).await.map_err(failed("news", at.news))?;
-    let bound = |listener: &tokio::net::TcpListener, told| listener.local_addr().unwrap_or(told);
+    let (socket, catalog_listener) = news::bind(at.news).await.map_err(failed("news", at.news))?;
+    let bound = |listener: &tokio::net::TcpListener, requested| listener.local_addr().unwrap_or(requested);
     settings.listeners = Listeners {
-        front: bound(&callers, at.front),
+        front: bound(&front_listener, at.front),
         ready: bound(&ready, at.ready),
         directory: bound(&directory, at.directory),
         news: socket.local_addr().unwrap_or(at.news),
@@ -78,21 +78,21 @@
     desk.settle_in();
     let mut tasks = JoinSet::new();
     let shared = Arc::clone(&desk);
-    tasks.spawn(front::accept(callers, move |request| exchange::serve(Arc::clone(&shared), request)));
+    tasks.spawn(front::accept(front_listener, move |request| exchange::serve(Arc::clone(&shared), request)));
     let shared = Arc::clone(&desk);
     tasks.spawn(front::accept(ready, move |request| std::future::ready(directory::ready(&shared, &request))));
     let shared = Arc::clone(&desk);
     tasks.spawn(front::accept(directory, move |request| std::future::ready(directory::addresses(&shared, &request))));
-    let (copies, shared) = (Arc::new(Sharer::new()), Arc::clone(&desk));
-    let copy = move |request| std::future::ready(copies.serve(&shared, &request));
-    tasks.spawn(front::accept(copying, copy));
+    let (catalog_server, shared) = (Arc::new(CatalogServer::new()), Arc::clone(&desk));
+    let serve_copy = move |request| std::future::ready(catalog_server.serve(&shared, &request));
+    tasks.spawn(front::accept(catalog_listener, serve_copy));
     for kind in [Kind::Catalog, Kind::Rollouts, Kind::Endpoints] {
         tasks.spawn(follow::follow(Arc::clone(&desk), Arc::clone(&source), kind));
     }
-    tasks.spawn(caches::ask(Arc::clone(&desk)));
+    tasks.spawn(caches::ask_engines(Arc::clone(&desk)));
     tasks.spawn(join::join(Arc::clone(&desk), Arc::clone(&source)));
-    tasks.spawn(report::roll_out(Arc::clone(&desk), Arc::clone(&source)));
-    tasks.spawn(quarantine::keep(Arc::clone(&desk), Arc::clone(&source)));
+    tasks.spawn(report::advance_rollouts(Arc::clone(&desk), Arc::clone(&source)));
+    tasks.spawn(quarantine::synchronize(Arc::clone(&desk), Arc::clone(&source)));
     tasks.spawn(news::exchange(Arc::clone(&desk), socket));
     Ok(Handle { desk, source, tasks })
 }
@@ -108,22 +108,22 @@
     /// have the address are served until all answers are sent or the grace period is over.
     pub async fn shutdown(mut self) {
         let started = Instant::now();
-        let grace = self.desk.settings.grace.saturating_sub(LAST);
+        let grace = self.desk.settings.grace.saturating_sub(EXIT_TIME);
         self.desk.drain();
         tracing::info!(in_flight = self.desk.in_flight(), "leaving");
         let name = self.desk.settings.instance.clone();
-        match timeout(QUIET, self.source.deregister(&name)).await {
+        match timeout(QUIET_TIME, self.source.deregister(&name)).await {
             Ok(Ok(())) => {}
             Ok(Err(fault)) => tracing::info!(%fault, "registration left behind"),
             Err(_) => tracing::info!("registration left behind: no answer in time"),
         }
-        let kept = Duration::from_secs((directory::KEEP_S * KEPT).into());
+        let addresses_cached_for = Duration::from_secs((directory::ADDRESS_CACHE_S * ADDRESS_CACHE_FACTOR).into());
         let mut quiet_since = Instant::now();
         while started.elapsed() < grace {
             if self.desk.in_flight() > 0 {
                 quiet_since = Instant::now();
             }
-            if started.elapsed() > kept && quiet_since.elapsed() > QUIET {
+            if started.elapsed() > addresses_cached_for && quiet_since.elapsed() > QUIET_TIME {
                 break;
             }
             sleep(Duration::from_millis(50)).await;
--- a/crates/relay/src/join.rs
+++ b/crates/relay/src/join.rs
@@ -6,42 +6,42 @@
 
 use crate::{
     desk::Desk,
-    silence::{self, SILENCE},
+    silence::{self, SILENCE_TIMEOUT},
     source::{Instance, Kind, Progress, Read, Record, Source},
 };
 
 /// Average pause between listings of the instances, counted over the whole fleet. Membership
 /// spreads by news; listings only reconnect parts of the fleet that have lost each other.
-const INSTANCES_PAUSE: Duration = Duration::from_secs(5);
+const LIST_PAUSE: Duration = Duration::from_secs(5);
 
 /// Pause after a failed call.
-const AGAIN: Duration = Duration::from_millis(700);
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 /// Pause between checks whether a seed has answered.
-const HEARD_LOOK: Duration = Duration::from_millis(20);
+const SEED_CHECK_PAUSE: Duration = Duration::from_millis(20);
 
 /// Registers this instance, discovers the others and lists them now and then.
 pub async fn join(desk: Arc<Desk>, source: Arc<dyn Source>) {
     let me = Instance { name: desk.settings.instance.clone(), news: desk.settings.listeners.news };
     let progress = Progress::default();
-    let mut registered = register(&*source, &me).await;
-    let mut found = found_by_seeds(&desk).await;
+    let mut is_registered = register(&*source, &me).await;
+    let mut has_discovered = discovered_by_seeds(&desk).await;
     loop {
-        if !found {
+        if !has_discovered {
             // When a whole fleet starts at once, an old listing shows none of the others,
             // and each instance would watch the store by itself until the next listing.
-            found = list(&desk, &*source, Read::Latest, &progress).await;
+            has_discovered = list(&desk, &*source, Read::Latest, &progress).await;
         }
-        if registered && found {
+        if is_registered && has_discovered {
             break;
         }
-        sleep(spread(AGAIN)).await;
-        if !registered {
-            registered = register(&*source, &me).await;
+        sleep(with_jitter(RETRY_PAUSE)).await;
+        if !is_registered {
+            is_registered = register(&*source, &me).await;
         }
     }
     loop {
-        sleep(spread(INSTANCES_PAUSE)).await;
+        sleep(with_jitter(LIST_PAUSE)).await;
         let members = u32::try_from(desk.members()).unwrap_or(u32::MAX);
         // On average one instance of the fleet lists; each decides at random.
         if rand::random_ratio(1, members) {
@@ -51,13 +51,13 @@
 }
 
 /// Returns the pause with random jitter.
-fn spread(pause: Duration) -> Duration {
+fn with_jitter(pause: Duration) -> Duration {
     pause.mul_f64(0.8 + 0.4 * rand::random::<f64>())
 }
 
 /// Registers this instance; returns whether it succeeded.
 async fn register(source: &dyn Source, me: &Instance) -> bool {
-    match timeout(SILENCE, source.register(me)).await {
+    match timeout(SILENCE_TIMEOUT, source.register(me)).await {
         Ok(Ok(())) => return true,
         Ok(Err(fault)) => tracing::info!(%fault, "not registered yet"),
         Err(_) => tracing::info!("not registered yet: no answer in time"),
@@ -68,9 +68,9 @@
 /// Waits for an answer of a seed and returns whether one came; the seed then names the other
 /// instances. That saves a listing by each instance, which takes one call per fifty
 /// instances.
-async fn found_by_seeds(desk: &Desk) -> bool {
+async fn discovered_by_seeds(desk: &Desk) -> bool {
     while desk.awaits_seeds() && desk.members() == 1 {
-        sleep(HEARD_LOOK).await;
+        sleep(SEED_CHECK_PAUSE).await;
     }
     desk.members() > 1 && !desk.settings.seeds.is_empty()
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -19,7 +19,6 @@
 //! formats are passed in as a [`dialect::Dialect`].
 
 mod answer;
-pub mod ask;
 mod caches;
 pub mod catalog;
 pub mod clock;
@@ -35,6 +34,7 @@
 mod news;
 mod quarantine;
 mod report;
+pub mod request_params;
 pub mod rollout;
 pub mod settings;
 mod share;
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -35,58 +35,61 @@
 };
 
 use self::{
-    spread::{BATCHED, Lanes},
-    wire::{Finding, Limit, Notice, Order, Packet, Piece, Question, Reply, Seen, short, short_ms},
+    spread::{Broadcasts, MAX_BATCH},
+    wire::{
+        Finding, Limit, NewsMessage, Notice, Packet, Question, Reply, RolloutEvidence, SerializedSighting,
+        clamp_to_u16, millis_u32,
+    },
 };
 
 /// Pause between news messages. Loads change within the length of a run, some hundred
 /// milliseconds; a shorter pause costs wake-ups at every instance.
-const PAUSE: Duration = Duration::from_millis(250);
+const NEWS_PAUSE: Duration = Duration::from_millis(250);
 
 /// Maximum number of receivers of a news message; the known instances take turns. In a
 /// small fleet all receive each message. In a large one this bounds the cost of news, and
 /// each instance receives another's news less often.
-const AUDIENCE: usize = 16;
+const MAX_RECEIVERS: usize = 16;
 
 /// Pause between questions to an instance that watches the store. A change must be in
 /// force well within the operator's bound of a few seconds.
-const ASK: Duration = Duration::from_millis(350);
+const QUESTION_PAUSE: Duration = Duration::from_millis(350);
 
 /// Maximum number of changes in a reply; about as many as fit into a datagram.
-const CHANGES: usize = 60;
+const MAX_REPLY_CHANGES: usize = 60;
 
 /// Reminders are sent with one in this many news messages, on average. They only make up
 /// for lost datagrams and for instances that were cut off.
-const REMINDED: u32 = 4;
+const REMINDER_RATIO: u32 = 4;
 
 /// Maximum number of endpoint limits in a reminder. They are drawn at random each time, so
 /// that instances that missed a limit receive it within a few reminders.
-const LIMITS_REMINDED: usize = 16;
+const MAX_REMINDER_LIMITS: usize = 16;
 
 /// Other instances named in a news message, so that instances discover each other.
-const NAMED: usize = 4;
+const MAX_NAMED: usize = 4;
 
 /// Other instances named in a brief news message.
-const NAMED_IN_BRIEF: usize = 1;
+const MAX_NAMED_IN_BRIEF: usize = 1;
 
 /// Other instances named in a greeting to a newly discovered instance.
-const NAMED_TO_STRANGERS: usize = 24;
+const MAX_NAMED_IN_GREETING: usize = 24;
 
 /// Time for which newly discovered instances are collected before they are greeted
 /// together.
-const GREETING: Duration = Duration::from_millis(10);
+const GREETING_DELAY: Duration = Duration::from_millis(10);
 
 /// Maximum number of sightings in a news message. With 300 instances, an instance that
 /// receives eight messages each quarter of a second gets four sightings of each other
 /// instance per second.
-const SIGHTED: usize = 40;
+const MAX_SIGHTINGS: usize = 40;
 
 /// Number of free UDP ports tried until one is free for TCP as well.
-const PORTS_TRIED: u32 = 16;
+const MAX_PORTS_TRIED: u32 = 16;
 
 /// Largest datagram that is received, in bytes. Larger ones would be fragmented and lost
 /// more often.
-const LARGEST: usize = 16 << 10;
+const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
 /// Sends and receives datagrams; never returns.
 pub async fn exchange(desk: Arc<Desk>, socket: Arc<UdpSocket>) {
@@ -94,33 +97,33 @@
     // would restart after a power loss, and others would ignore the instance as outdated.
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let run = u64::try_from(since_epoch.as_nanos()).unwrap_or(0);
-    let (asked, lanes) = (Mutex::default(), Lanes::new());
+    let (last_question, broadcasts) = (Mutex::default(), Broadcasts::new());
     tokio::join!(
-        tell(&desk, &socket, run),
-        lanes.serve(&desk, &socket),
-        ask(&desk, &socket, &asked),
-        hear(&desk, &socket, &asked, &lanes)
+        send_periodically(&desk, &socket, run),
+        broadcasts.serve(&desk, &socket),
+        ask_watchers(&desk, &socket, &last_question),
+        receive(&desk, &socket, &last_question, &broadcasts)
     );
 }
 
 /// Number of the last question and the time at which it was sent; `None` once answered.
-type Asked = Mutex<Option<(u64, Duration)>>;
+type LastQuestion = Mutex<Option<(u64, Duration)>>;
 
 /// Periodically asks an instance that watches the store for changes.
-async fn ask(desk: &Desk, socket: &UdpSocket, asked: &Asked) {
+async fn ask_watchers(desk: &Desk, socket: &UdpSocket, last_question: &LastQuestion) {
     let (mut number, mut turn) = (rand::random(), 0);
     loop {
         if let Some(watcher) = desk.whom_to_ask(turn) {
             number += 1;
-            let last = asked.lock().unwrap_or_else(PoisonError::into_inner).replace((number, clock::now()));
+            let last = last_question.lock().unwrap_or_else(PoisonError::into_inner).replace((number, clock::now()));
             if last.is_some() {
                 turn += 1;
             }
             let question = Question { number, revision: desk.question().revision };
             send(socket, watcher, &encode(&Packet::Question(question)));
         }
-        report(desk, socket);
-        sleep(ASK).await;
+        send_evidence(desk, socket);
+        sleep(QUESTION_PAUSE).await;
     }
 }
 
@@ -128,8 +131,8 @@
 ///
 /// In a large fleet each instance sees only a few runs of a bad version. By news alone it
 /// takes many seconds until any instance has seen enough of them.
-fn report(desk: &Desk, socket: &UdpSocket) {
-    let orders: Vec<Order> = desk.trial_reports().iter().map(Order::from).collect();
+fn send_evidence(desk: &Desk, socket: &UdpSocket) {
+    let orders: Vec<RolloutEvidence> = desk.trial_reports().iter().map(RolloutEvidence::from).collect();
     if orders.is_empty() {
         return;
     }
@@ -140,39 +143,39 @@
 }
 
 /// Announces this start to the seeds, then periodically sends news.
-async fn tell(desk: &Desk, socket: &UdpSocket, run: u64) {
+async fn send_periodically(desk: &Desk, socket: &UdpSocket, run: u64) {
     // `try_send_to` fails on a new socket until its readiness was awaited once.
     if let Err(error) = socket.writable().await {
         tracing::warn!(%error, "cannot announce this start to the seeds");
     }
     for seed in &desk.settings.seeds {
-        send(socket, *seed, &encode(&Packet::News(piece(desk, run, PAUSE, NAMED))));
+        send(socket, *seed, &encode(&Packet::News(news_message(desk, run, NEWS_PAUSE, MAX_NAMED))));
     }
     let mut turn = 0;
     loop {
-        let Turn { near, far } = desk.audience(turn, AUDIENCE);
-        let pause_told = PAUSE * u32::try_from(near.rounds).unwrap_or(u32::MAX);
-        let bytes = encode(&Packet::News(piece(desk, run, pause_told, NAMED)));
+        let Turn { near, far } = desk.audience(turn, MAX_RECEIVERS);
+        let time_to_next = NEWS_PAUSE * u32::try_from(near.rounds).unwrap_or(u32::MAX);
+        let bytes = encode(&Packet::News(news_message(desk, run, time_to_next, MAX_NAMED)));
         // Random, because with a counter the same instances would miss the reminders in each
         // round.
-        let reminders = if rand::random_ratio(1, REMINDED) { reminders(desk) } else { Vec::new() };
-        for news in near.news.into_iter().chain(desk.strangers()) {
-            send_news(socket, news, &bytes, &reminders);
+        let reminders = if rand::random_ratio(1, REMINDER_RATIO) { reminders(desk) } else { Vec::new() };
+        for receiver in near.news.into_iter().chain(desk.strangers()) {
+            send_news(socket, receiver, &bytes, &reminders);
         }
         if !far.news.is_empty() {
-            let pause = PAUSE * u32::try_from(far.rounds).unwrap_or(u32::MAX);
-            let bytes = encode(&Packet::News(brief(desk, run, pause)));
-            for news in far.news {
-                send_news(socket, news, &bytes, &reminders);
+            let pause = NEWS_PAUSE * u32::try_from(far.rounds).unwrap_or(u32::MAX);
+            let bytes = encode(&Packet::News(brief_message(desk, run, pause)));
+            for receiver in far.news {
+                send_news(socket, receiver, &bytes, &reminders);
             }
         }
         turn += 1;
-        let mut pause = pin!(sleep(PAUSE));
+        let mut pause = pin!(sleep(NEWS_PAUSE));
         loop {
             tokio::select! {
                 () = &mut pause => break,
                 () = desk.hurry() => break,
-                () = desk.greetings() => greet(desk, socket, run, pause_told).await,
+                () = desk.greetings() => greet(desk, socket, run, time_to_next).await,
             }
         }
     }
@@ -181,19 +184,19 @@
 /// Sends news to newly discovered instances at once, so that a starting instance discovers
 /// the others. When a fleet starts, those found at about the same time are greeted together.
 async fn greet(desk: &Desk, socket: &UdpSocket, run: u64, pause: Duration) {
-    sleep(GREETING).await;
-    let bytes = encode(&Packet::News(piece(desk, run, pause, NAMED_TO_STRANGERS)));
+    sleep(GREETING_DELAY).await;
+    let bytes = encode(&Packet::News(news_message(desk, run, pause, MAX_NAMED_IN_GREETING)));
     let reminders = reminders(desk);
-    for news in desk.greeted() {
-        send_news(socket, news, &bytes, &reminders);
+    for receiver in desk.greeted() {
+        send_news(socket, receiver, &bytes, &reminders);
     }
 }
 
 /// Returns encoded datagrams with quarantined requests and endpoint limits, for instances
 /// that missed them or started later; empty if there are none.
 fn reminders(desk: &Desk) -> Vec<Vec<u8>> {
-    let findings: Vec<Finding> = desk.refused_requests(BATCHED).into_iter().map(Finding::from).collect();
-    let limits: Vec<Limit> = desk.limits(LIMITS_REMINDED).into_iter().map(Limit::from).collect();
+    let findings: Vec<Finding> = desk.refused_requests(MAX_BATCH).into_iter().map(Finding::from).collect();
+    let limits: Vec<Limit> = desk.limits(MAX_REMINDER_LIMITS).into_iter().map(Limit::from).collect();
     let findings = (!findings.is_empty()).then_some(Packet::Findings(findings));
     let limits = (!limits.is_empty()).then_some(Packet::Limits(limits));
     findings.iter().chain(&limits).map(encode).collect()
@@ -206,8 +209,8 @@
 }
 
 /// Sends a news message and then reminders.
-fn send_news(socket: &UdpSocket, to: SocketAddr, piece: &[u8], reminders: &[Vec<u8>]) {
-    send(socket, to, piece);
+fn send_news(socket: &UdpSocket, to: SocketAddr, message: &[u8], reminders: &[Vec<u8>]) {
+    send(socket, to, message);
     for reminder in reminders {
         send(socket, to, reminder);
     }
@@ -226,8 +229,8 @@
 }
 
 /// Receives datagrams, applies them and answers questions.
-async fn hear(desk: &Desk, socket: &UdpSocket, asked: &Asked, lanes: &Lanes) {
-    let mut buffer = vec![0; LARGEST];
+async fn receive(desk: &Desk, socket: &UdpSocket, last_question: &LastQuestion, broadcasts: &Broadcasts) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -238,54 +241,54 @@
             }
         };
         match postcard::from_bytes(&buffer[..length]) {
-            Ok(Packet::News(piece)) => {
-                for (name, news) in &piece.named {
+            Ok(Packet::News(message)) => {
+                for (name, news) in &message.named {
                     desk.meet(name, *news);
                 }
-                desk.take_sightings(piece.sightings.iter().map(Sighting::from));
-                desk.hear(&piece.name, from, Word::from(&piece));
+                desk.take_sightings(message.sightings.iter().map(Sighting::from));
+                desk.hear(&message.name, from, Word::from(&message));
             }
             Ok(Packet::Evidence(name, orders)) => desk.take_reports(name, orders.iter().map(Report::from).collect()),
             Ok(Packet::Notices(notices)) => take_notices(desk, notices),
             Ok(Packet::PassOn(notices)) => {
-                lanes.notices.add(notices.clone());
+                broadcasts.notices.enqueue(notices.clone());
                 take_notices(desk, notices);
             }
             Ok(Packet::Findings(findings)) => take_findings(desk, &findings),
             Ok(Packet::PassOnFindings(findings)) => {
-                lanes.findings.add(findings.clone());
+                broadcasts.findings.enqueue(findings.clone());
                 take_findings(desk, &findings);
             }
             Ok(Packet::Limits(limits)) => desk.take_limits(limits.iter().map(fleet::Limit::from)),
             Ok(Packet::PassOnLimits(limits)) => {
                 desk.take_limits(limits.iter().map(fleet::Limit::from));
-                lanes.limits.add(limits);
+                broadcasts.limits.enqueue(limits);
             }
             Ok(Packet::Question(question)) => {
                 let asked = track::Question { revision: question.revision };
-                if let Some(reply) = desk.reply(asked, CHANGES) {
+                if let Some(reply) = desk.reply(asked, MAX_REPLY_CHANGES) {
                     send(socket, from, &encode(&Packet::Reply(Reply::new(question.number, reply))));
                 }
             }
             Ok(Packet::Reply(reply)) => {
-                let mut asked = asked.lock().unwrap_or_else(PoisonError::into_inner);
+                let mut last_question = last_question.lock().unwrap_or_else(PoisonError::into_inner);
                 // Only a reply to the last question counts: the proof in an earlier one is
                 // older than computed from the last question's time.
-                if let Some((_, at)) = asked.take_if(|(number, _)| *number == reply.number) {
-                    drop(asked);
+                if let Some((_, at)) = last_question.take_if(|(number, _)| *number == reply.number) {
+                    drop(last_question);
                     desk.note_teller(from, reply.catalog);
                     desk.take_reply(at, reply.into());
                 }
             }
-            Err(error) => tracing::warn!(%from, %error, "received datagram is invalid; are other instances of another build?"),
+            Err(error) => tracing::warn!(%from, %error, "invalid datagram; instances of another build?"),
         }
     }
 }
 
 /// Builds a news message; `pause` is the time until the receiver gets the next one, and
 /// `named` the number of other instances to name.
-fn piece(desk: &Desk, run: u64, pause: Duration, named: usize) -> Piece {
-    Piece {
+fn news_message(desk: &Desk, run: u64, pause: Duration, named: usize) -> NewsMessage {
+    NewsMessage {
         name: desk.settings.instance.clone(),
         run,
         front: desk.settings.listeners.front,
@@ -295,32 +298,32 @@
         narrow: desk.is_narrow(),
         centicores: desk.settings.cores.0,
         domain: desk.settings.domain.clone(),
-        pause_ms: short_ms(pause),
+        pause_ms: millis_u32(pause),
         named: desk.some_peers(named),
         sightings: sightings(desk, pause),
         loads: desk
             .own_loads()
             .into_iter()
-            .map(|(hash, load)| (hash, short(load.runs), short(load.backlog_ms)))
+            .map(|(hash, load)| (hash, clamp_to_u16(load.runs), clamp_to_u16(load.backlog_ms)))
             .collect(),
         sessions: desk.settled_sessions(),
-        orders: desk.trial_reports().iter().map(Order::from).collect(),
+        orders: desk.trial_reports().iter().map(RolloutEvidence::from).collect(),
         catalog: desk.catalog().map_or(0, |catalog| catalog.version),
     }
 }
 
 /// Builds a news message without the parts that would be outdated before the next one.
-fn brief(desk: &Desk, run: u64, pause: Duration) -> Piece {
-    Piece { loads: Vec::new(), sightings: Vec::new(), ..piece(desk, run, pause, NAMED_IN_BRIEF) }
+fn brief_message(desk: &Desk, run: u64, pause: Duration) -> NewsMessage {
+    NewsMessage { loads: Vec::new(), sightings: Vec::new(), ..news_message(desk, run, pause, MAX_NAMED_IN_BRIEF) }
 }
 
 /// Returns when other instances were last heard from, if a round of news takes several
 /// messages.
-fn sightings(desk: &Desk, pause: Duration) -> Vec<Seen> {
-    if pause <= PAUSE {
+fn sightings(desk: &Desk, pause: Duration) -> Vec<SerializedSighting> {
+    if pause <= NEWS_PAUSE {
         return Vec::new();
     }
-    desk.sightings(SIGHTED).into_iter().map(Seen::from).collect()
+    desk.sightings(MAX_SIGHTINGS).into_iter().map(SerializedSighting::from).collect()
 }
 
 fn encode(packet: &Packet) -> Vec<u8> {
@@ -333,7 +336,7 @@
 /// Binds the UDP socket for news and, at the same port, a TCP listener that serves copies
 /// of the catalog.
 pub async fn bind(address: SocketAddr) -> io::Result<(Arc<UdpSocket>, TcpListener)> {
-    let mut left = if address.port() == 0 { PORTS_TRIED } else { 1 };
+    let mut left = if address.port() == 0 { MAX_PORTS_TRIED } else { 1 };
     loop {
         left -= 1;
         let socket = UdpSocket::bind(address).await?;
--- a/crates/relay/src/news/spread.rs
+++ b/crates/relay/src/news/spread.rs
@@ -18,105 +18,105 @@
 use crate::desk::{Desk, fleet::short_hash, peers::Audience};
 
 /// Time for which a relay collects items before it passes them on.
-const BATCH: Duration = Duration::from_millis(30);
+const BATCH_DELAY: Duration = Duration::from_millis(30);
 
 /// Maximum number of items in a datagram.
-pub(super) const BATCHED: usize = 64;
+pub(super) const MAX_BATCH: usize = 64;
 
 /// The broadcasts, one for each kind of item.
 #[derive(Debug)]
-pub(super) struct Lanes {
+pub(super) struct Broadcasts {
     /// Notices of long prompts.
-    pub(super) notices: Lane<Notice>,
+    pub(super) notices: Broadcast<Notice>,
     /// Findings about requests that crash endpoints.
-    pub(super) findings: Lane<Finding>,
+    pub(super) findings: Broadcast<Finding>,
     /// Rate limits that endpoints report.
-    pub(super) limits: Lane<Limit>,
+    pub(super) limits: Broadcast<Limit>,
 }
 
-impl Lanes {
+impl Broadcasts {
     /// Creates broadcasts without queued items.
     pub(super) fn new() -> Self {
         Self {
-            notices: Lane::new(Packet::Notices, Packet::PassOn),
-            findings: Lane::new(Packet::Findings, Packet::PassOnFindings),
-            limits: Lane::new(Packet::Limits, Packet::PassOnLimits),
+            notices: Broadcast::new(Packet::Notices, Packet::PassOn),
+            findings: Broadcast::new(Packet::Findings, Packet::PassOnFindings),
+            limits: Broadcast::new(Packet::Limits, Packet::PassOnLimits),
         }
     }
 
     /// Broadcasts this instance's items and passes on those of others; never returns.
     pub(super) async fn serve(&self, desk: &Desk, socket: &UdpSocket) {
         tokio::join!(
-            self.tell_notices(desk, socket),
-            self.tell_findings(desk, socket),
-            self.tell_limits(desk, socket),
+            self.send_notices(desk, socket),
+            self.send_findings(desk, socket),
+            self.send_limits(desk, socket),
             self.notices.pass_on(desk, socket),
             self.findings.pass_on(desk, socket),
             self.limits.pass_on(desk, socket)
         );
     }
 
-    async fn tell_notices(&self, desk: &Desk, socket: &UdpSocket) {
+    async fn send_notices(&self, desk: &Desk, socket: &UdpSocket) {
         let origin = short_hash(&desk.settings.instance);
         loop {
             let notices: Vec<Notice> =
                 desk.notices().await.into_iter().map(|notice| Notice::new(notice, origin)).collect();
             metrics::counter!("relay_notices_total").increment(u64::try_from(notices.len()).unwrap_or_default());
-            self.notices.tell(desk, socket, &notices);
+            self.notices.send_to_all(desk, socket, &notices);
         }
     }
 
-    async fn tell_findings(&self, desk: &Desk, socket: &UdpSocket) {
+    async fn send_findings(&self, desk: &Desk, socket: &UdpSocket) {
         loop {
             let findings: Vec<Finding> = desk.findings().await.into_iter().map(Finding::from).collect();
-            self.findings.tell(desk, socket, &findings);
+            self.findings.send_to_all(desk, socket, &findings);
         }
     }
 
-    async fn tell_limits(&self, desk: &Desk, socket: &UdpSocket) {
+    async fn send_limits(&self, desk: &Desk, socket: &UdpSocket) {
         loop {
             let limits: Vec<Limit> = desk.limits_to_tell().await.into_iter().map(Limit::from).collect();
-            self.limits.tell(desk, socket, &limits);
+            self.limits.send_to_all(desk, socket, &limits);
         }
     }
 }
 
 /// Broadcast of items of one kind, with the items that wait to be passed on.
 #[derive(Debug)]
-pub(super) struct Lane<T> {
-    waiting: Mutex<Vec<T>>,
-    added: Notify,
+pub(super) struct Broadcast<T> {
+    queue: Mutex<Vec<T>>,
+    queued: Notify,
     to_all: fn(Vec<T>) -> Packet,
     to_relays: fn(Vec<T>) -> Packet,
 }
 
-impl<T: Clone> Lane<T> {
+impl<T: Clone> Broadcast<T> {
     fn new(to_all: fn(Vec<T>) -> Packet, to_relays: fn(Vec<T>) -> Packet) -> Self {
-        Self { waiting: Mutex::default(), added: Notify::new(), to_all, to_relays }
+        Self { queue: Mutex::default(), queued: Notify::new(), to_all, to_relays }
     }
 
     /// Queues items to be passed on.
-    pub(super) fn add(&self, words: impl IntoIterator<Item = T>) {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner).extend(words);
-        self.added.notify_one();
+    pub(super) fn enqueue(&self, items: impl IntoIterator<Item = T>) {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner).extend(items);
+        self.queued.notify_one();
     }
 
     /// Sends items to all instances; in a large fleet, to the relays.
-    fn tell(&self, desk: &Desk, socket: &UdpSocket, words: &[T]) {
+    fn send_to_all(&self, desk: &Desk, socket: &UdpSocket, items: &[T]) {
         let me = desk.settings.listeners.news;
-        for words in words.chunks(BATCHED) {
+        for items in items.chunks(MAX_BATCH) {
             let (audience, packet) = match desk.notice_audience() {
-                Audience::All(all) => (all, (self.to_all)(words.to_vec())),
+                Audience::All(all) => (all, (self.to_all)(items.to_vec())),
                 Audience::Relays(relays) => {
                     if relays.contains(&me) {
-                        self.add(words.iter().cloned());
+                        self.enqueue(items.iter().cloned());
                     }
-                    (relays, (self.to_relays)(words.to_vec()))
+                    (relays, (self.to_relays)(items.to_vec()))
                 }
             };
             let bytes = encode(&packet);
-            for news in audience.into_iter().filter(|news| *news != me) {
-                send(socket, news, &bytes);
+            for receiver in audience.into_iter().filter(|receiver| *receiver != me) {
+                send(socket, receiver, &bytes);
             }
         }
     }
@@ -124,25 +124,25 @@
     /// Passes queued items on to the neighbours, in batches; never returns.
     async fn pass_on(&self, desk: &Desk, socket: &UdpSocket) {
         loop {
-            let words = self.next().await;
+            let items = self.next_batch().await;
             let neighbours = desk.neighbours();
-            for words in words.chunks(BATCHED) {
-                let bytes = encode(&(self.to_all)(words.to_vec()));
-                for news in &neighbours {
-                    send(socket, *news, &bytes);
+            for items in items.chunks(MAX_BATCH) {
+                let bytes = encode(&(self.to_all)(items.to_vec()));
+                for receiver in &neighbours {
+                    send(socket, *receiver, &bytes);
                 }
             }
         }
     }
 
     /// Waits for an item and for those that follow within the collecting time, and takes them.
-    async fn next(&self) -> Vec<T> {
+    async fn next_batch(&self) -> Vec<T> {
         loop {
-            self.added.notified().await;
-            sleep(BATCH).await;
-            let words = std::mem::take(&mut *self.waiting.lock().unwrap_or_else(PoisonError::into_inner));
-            if !words.is_empty() {
-                return words;
+            self.queued.notified().await;
+            sleep(BATCH_DELAY).await;
+            let items = std::mem::take(&mut *self.queue.lock().unwrap_or_else(PoisonError::into_inner));
+            if !items.is_empty() {
+                return items;
             }
         }
     }
--- a/crates/relay/src/news/wire.rs
+++ b/crates/relay/src/news/wire.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Packet {
     /// What an instance reports about itself.
-    News(Piece),
+    News(NewsMessage),
     /// Question for changes, to an instance that watches the store.
     Question(Question),
     /// Answer to a question.
@@ -35,7 +35,7 @@
     /// Notices that the receiver passes on to its neighbours.
     PassOn(Vec<Notice>),
     /// Evidence of an instance on rollouts, with the hash of the instance's name.
-    Evidence(u32, Vec<Order>),
+    Evidence(u32, Vec<RolloutEvidence>),
     /// Findings about requests that crash endpoints.
     Findings(Vec<Finding>),
     /// Findings that the receiver passes on to its neighbours.
@@ -49,14 +49,17 @@
 /// Serialized form of [`fleet::Limit`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(super) struct Limit {
+    /// Hash of the endpoint's name and start time.
     start: u32,
+    /// Requests per second; `None` if the endpoint no longer names a limit.
     per_s: Option<f64>,
+    /// Time since the endpoint reported it.
     age_ms: u32,
 }
 
 impl From<fleet::Limit> for Limit {
     fn from(limit: fleet::Limit) -> Self {
-        Self { start: limit.start, per_s: limit.per_s, age_ms: short_ms(limit.age) }
+        Self { start: limit.start, per_s: limit.per_s, age_ms: millis_u32(limit.age) }
     }
 }
 
@@ -70,8 +73,12 @@
 /// Serialized form of [`quarantine::Finding`]; `team` and `work` identify the request.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(super) enum Finding {
+    /// An endpoint crashed while it ran the request; `start` is the hash of the endpoint's
+    /// name and start time.
     Crash { team: u32, work: u64, start: u32 },
+    /// A run of the request ended well.
     EndedWell { team: u32, work: u64 },
+    /// The request is quarantined; `age_ms` is the time since its last crash.
     Held { team: u32, work: u64, age_ms: u32 },
 }
 
@@ -81,7 +88,7 @@
             quarantine::Finding::Crash { content: Content { team, work }, start } => Self::Crash { team, work, start },
             quarantine::Finding::EndedWell { content: Content { team, work } } => Self::EndedWell { team, work },
             quarantine::Finding::Held { content: Content { team, work }, age } => {
-                Self::Held { team, work, age_ms: short_ms(age) }
+                Self::Held { team, work, age_ms: millis_u32(age) }
             }
         }
     }
@@ -104,8 +111,11 @@
 pub(super) struct Notice {
     /// Hash of the name of the instance that sent the prompt.
     pub(super) origin: u32,
+    /// Hash of the name of the endpoint that got it.
     pub(super) endpoint: u32,
+    /// Expected time to process the prompt, in milliseconds.
     pub(super) reading_ms: u16,
+    /// Key of the prompt's shared prefix, if it is worth caching.
     pub(super) part: Option<u32>,
 }
 
@@ -119,14 +129,20 @@
 /// Serialized form of [`track::Reply`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Reply {
+    /// Number of the question.
     pub(super) number: u64,
+    /// Version of the catalog in force; 0 before the first.
     pub(super) catalog: u64,
+    /// Age of the proof that this version is in force.
     pub(super) proof_age_ms: u32,
+    /// Time since the store last answered the sender.
     pub(super) silence_ms: u32,
+    /// Revision up to which the changes are complete.
     pub(super) revision: u64,
+    /// Whether the endpoints have to be listed from the store instead.
     pub(super) gap: bool,
     pub(super) changes: Vec<Change>,
-    pub(super) rollouts: Vec<Ordered>,
+    pub(super) rollouts: Vec<RolloutOrder>,
 }
 
 /// Serialized form of [`track::Change`].
@@ -149,7 +165,7 @@
 
 /// Serialized form of [`Rollout`].
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Ordered {
+pub(super) struct RolloutOrder {
     pub(super) service: String,
     pub(super) target: String,
     pub(super) over_ms: u32,
@@ -187,43 +203,60 @@
 
 /// A news message: what an instance reports about itself and others.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Piece {
+pub(super) struct NewsMessage {
     pub(super) name: String,
+    /// Start time of the instance, which orders its messages across restarts.
     pub(super) run: u64,
+    /// Address for callers.
     pub(super) front: SocketAddr,
     pub(super) phase: Phase,
+    /// Whether the instance's proof of access keys is recent enough.
     pub(super) fresh: bool,
+    /// Whether its own calls to the store succeed.
     pub(super) in_touch: bool,
+    /// Whether the catalog takes long to transfer to it.
     pub(super) narrow: bool,
+    /// CPU capacity in hundredths of a core.
     pub(super) centicores: u32,
     pub(super) domain: String,
+    /// Longest time until its next message to the same receiver.
     pub(super) pause_ms: u32,
+    /// Names and news addresses of some other instances.
     pub(super) named: Vec<(String, SocketAddr)>,
-    pub(super) sightings: Vec<Seen>,
+    pub(super) sightings: Vec<SerializedSighting>,
+    /// Load that it puts on endpoints: name hash, runs, backlog in milliseconds.
     pub(super) loads: Vec<(u32, u16, u16)>,
+    /// Hashes of sessions that it recently served with an old version during a rollout.
     pub(super) sessions: Vec<u64>,
-    pub(super) orders: Vec<Order>,
+    /// Its evidence on rollouts.
+    pub(super) orders: Vec<RolloutEvidence>,
+    /// Version of its catalog; 0 before the first.
     pub(super) catalog: u64,
 }
 
 /// Serialized form of [`Sighting`].
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Seen {
+pub(super) struct SerializedSighting {
     name: u32,
     age_ms: u16,
+    /// Whether it is shutting down.
     leaves: bool,
 }
 
-impl From<Sighting> for Seen {
+impl From<Sighting> for SerializedSighting {
     fn from(sighting: Sighting) -> Self {
         let age_ms = u16::try_from(sighting.age.as_millis()).unwrap_or(u16::MAX);
         Self { name: sighting.name, age_ms, leaves: sighting.leaves }
     }
 }
 
-impl From<&Seen> for Sighting {
-    fn from(seen: &Seen) -> Self {
-        Self { name: seen.name, age: Duration::from_millis(u64::from(seen.age_ms)), leaves: seen.leaves }
+impl From<&SerializedSighting> for Sighting {
+    fn from(serialized: &SerializedSighting) -> Self {
+        Self {
+            name: serialized.name,
+            age: Duration::from_millis(u64::from(serialized.age_ms)),
+            leaves: serialized.leaves,
+        }
     }
 }
 
@@ -232,6 +265,7 @@
 pub(super) struct Counts {
     pub(super) runs: u32,
     pub(super) bad: u32,
+    /// Number of runs whose lateness was measured, with its sum and sum of squares.
     pub(super) timed: u32,
     pub(super) sum: f64,
     pub(super) squares: f64,
@@ -253,7 +287,8 @@
 
 /// Serialized form of [`Report`].
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Order {
+pub(super) struct RolloutEvidence {
+    /// Hash of the rollout's service and target version.
     pub(super) hash: u32,
     pub(super) stage: u8,
     pub(super) elapsed_ms: u32,
@@ -262,7 +297,7 @@
 }
 
 /// Returns the number that stands for a stage in datagrams.
-pub(super) fn number(stage: Stage) -> u8 {
+pub(super) fn stage_number(stage: Stage) -> u8 {
     match stage {
         Stage::Trial => 0,
         Stage::Shift => 1,
@@ -272,7 +307,7 @@
 }
 
 /// Returns the stage that a number in a datagram stands for.
-pub(super) fn stage(number: u8) -> Stage {
+pub(super) fn stage_of(number: u8) -> Stage {
     match number {
         1 => Stage::Shift,
         2 => Stage::Done,
@@ -283,18 +318,18 @@
 
 /// Converts to an integer, clamped to the range of `u16`.
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped to the type's range")]
-pub(super) fn short(value: f64) -> u16 {
+pub(super) fn clamp_to_u16(value: f64) -> u16 {
     value.clamp(0.0, f64::from(u16::MAX)) as u16
 }
 
 /// Converts to whole milliseconds, at most `u32::MAX`.
-pub(super) fn short_ms(span: Duration) -> u32 {
+pub(super) fn millis_u32(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
 impl Notice {
     pub(super) fn new(notice: fleet::Notice, origin: u32) -> Self {
-        Self { origin, endpoint: notice.endpoint, reading_ms: short(notice.reading_ms), part: notice.part }
+        Self { origin, endpoint: notice.endpoint, reading_ms: clamp_to_u16(notice.reading_ms), part: notice.part }
     }
 }
 
@@ -316,7 +351,7 @@
                 version: endpoint.version,
                 slots: endpoint.slots,
                 draining: endpoint.draining,
-                cold_ms: short_ms(endpoint.cold),
+                cold_ms: millis_u32(endpoint.cold),
                 born: endpoint.born,
                 revision: endpoint.revision,
             },
@@ -338,26 +373,26 @@
     }
 }
 
-impl From<Rollout> for Ordered {
+impl From<Rollout> for RolloutOrder {
     fn from(rollout: Rollout) -> Self {
         Self {
             service: rollout.service,
             target: rollout.target,
-            over_ms: short_ms(rollout.over),
-            stage: rollout.stage.map(number),
+            over_ms: millis_u32(rollout.over),
+            stage: rollout.stage.map(stage_number),
             revision: rollout.revision,
         }
     }
 }
 
-impl From<Ordered> for Rollout {
-    fn from(ordered: Ordered) -> Self {
+impl From<RolloutOrder> for Rollout {
+    fn from(rollout_order: RolloutOrder) -> Self {
         Self {
-            service: ordered.service,
-            target: ordered.target,
-            over: Duration::from_millis(u64::from(ordered.over_ms)),
-            stage: ordered.stage.map(stage),
-            revision: ordered.revision,
+            service: rollout_order.service,
+            target: rollout_order.target,
+            over: Duration::from_millis(u64::from(rollout_order.over_ms)),
+            stage: rollout_order.stage.map(stage_of),
+            revision: rollout_order.revision,
         }
     }
 }
@@ -367,12 +402,12 @@
         Self {
             number,
             catalog: reply.catalog,
-            proof_age_ms: short_ms(reply.proof_age).saturating_add(1),
-            silence_ms: short_ms(reply.silence),
+            proof_age_ms: millis_u32(reply.proof_age).saturating_add(1),
+            silence_ms: millis_u32(reply.silence),
             revision: reply.revision,
             gap: reply.gap,
             changes: reply.changes.into_iter().map(Change::from).collect(),
-            rollouts: reply.orders.into_iter().map(Ordered::from).collect(),
+            rollouts: reply.orders.into_iter().map(RolloutOrder::from).collect(),
         }
     }
 }
@@ -391,48 +426,48 @@
     }
 }
 
-impl From<&Report> for Order {
+impl From<&Report> for RolloutEvidence {
     fn from(report: &Report) -> Self {
         Self {
             hash: report.order,
-            stage: number(report.stage),
-            elapsed_ms: short_ms(report.elapsed),
+            stage: stage_number(report.stage),
+            elapsed_ms: millis_u32(report.elapsed),
             new: report.own.new.into(),
             old: report.own.old.into(),
         }
     }
 }
 
-impl From<&Order> for Report {
-    fn from(order: &Order) -> Self {
+impl From<&RolloutEvidence> for Report {
+    fn from(evidence: &RolloutEvidence) -> Self {
         Self {
-            order: order.hash,
-            stage: stage(order.stage),
-            elapsed: Duration::from_millis(u64::from(order.elapsed_ms)),
-            own: Tallies { new: (&order.new).into(), old: (&order.old).into() },
+            order: evidence.hash,
+            stage: stage_of(evidence.stage),
+            elapsed: Duration::from_millis(u64::from(evidence.elapsed_ms)),
+            own: Tallies { new: (&evidence.new).into(), old: (&evidence.old).into() },
         }
     }
 }
 
-impl From<&Piece> for Word {
-    fn from(piece: &Piece) -> Self {
+impl From<&NewsMessage> for Word {
+    fn from(message: &NewsMessage) -> Self {
         let load = |&(hash, runs, backlog): &(u32, u16, u16)| {
             (hash, Load { runs: f64::from(runs), backlog_ms: f64::from(backlog) })
         };
         Self {
-            front: Some(piece.front),
-            run: piece.run,
-            phase: piece.phase.into(),
-            fresh: piece.fresh,
-            domain: piece.domain.clone(),
-            in_touch: piece.in_touch,
-            is_narrow: piece.narrow,
-            cores: Cores(piece.centicores),
-            pause: Duration::from_millis(u64::from(piece.pause_ms)),
-            loads: piece.loads.iter().map(load).collect::<HashMap<_, _>>(),
-            sessions: piece.sessions.clone(),
-            reports: piece.orders.iter().map(Report::from).collect(),
-            catalog: piece.catalog,
+            front: Some(message.front),
+            run: message.run,
+            phase: message.phase.into(),
+            fresh: message.fresh,
+            domain: message.domain.clone(),
+            in_touch: message.in_touch,
+            is_narrow: message.narrow,
+            cores: Cores(message.centicores),
+            pause: Duration::from_millis(u64::from(message.pause_ms)),
+            loads: message.loads.iter().map(load).collect::<HashMap<_, _>>(),
+            sessions: message.sessions.clone(),
+            reports: message.orders.iter().map(Report::from).collect(),
+            catalog: message.catalog,
         }
     }
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -10,15 +10,15 @@
 
 use crate::{
     desk::Desk,
-    silence::{self, SILENCE},
+    silence::{self, SILENCE_TIMEOUT},
     source::{Fault, Kind, Progress, Read, Record, Refused, Source},
 };
 
 /// Pause after a failed call; doubles with each further failure.
-const AGAIN: Duration = Duration::from_millis(700);
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 /// Longest pause after failed calls.
-const LONGEST_AGAIN: Duration = Duration::from_secs(8);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(8);
 
 /// A change of a request's quarantine that has to be written to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,19 +30,19 @@
 }
 
 /// Reads the stored quarantine once and writes changes to the store; never returns.
-pub async fn keep(desk: Arc<Desk>, source: Arc<dyn Source>) {
-    tokio::join!(restore(&desk, &*source), write(&desk, &*source));
+pub async fn synchronize(desk: Arc<Desk>, source: Arc<dyn Source>) {
+    tokio::join!(restore(&desk, &*source), write_changes(&desk, &*source));
 }
 
 async fn restore(desk: &Desk, source: &dyn Source) {
-    let (progress, mut again) = (Progress::default(), AGAIN);
+    let (progress, mut retry_pause) = (Progress::default(), RETRY_PAUSE);
     let listing = loop {
         let list = source.list(Kind::Quarantine, Read::AnyAge, &progress);
         match silence::bounded(&progress, Duration::ZERO, list).await {
             Ok(listing) => break listing,
             Err(fault) => tracing::info!(%fault, "reading quarantined requests failed; retrying"),
         }
-        pause(&mut again).await;
+        back_off(&mut retry_pause).await;
     };
     let refused = listing.records.into_iter().filter_map(|change| match change.record {
         Some(Record::Refused(refused)) => Some(refused),
@@ -51,13 +51,13 @@
     desk.restore_refused(refused);
 }
 
-async fn write(desk: &Desk, source: &dyn Source) {
+async fn write_changes(desk: &Desk, source: &dyn Source) {
     loop {
         let change = desk.quarantine_change().await;
-        let mut again = AGAIN;
-        while let Err(fault) = send(source, change).await {
+        let mut retry_pause = RETRY_PAUSE;
+        while let Err(fault) = write_change(source, change).await {
             tracing::info!(%fault, ?change, "writing quarantine change failed; retrying");
-            pause(&mut again).await;
+            back_off(&mut retry_pause).await;
             if !desk.is_due(change) {
                 break;
             }
@@ -65,15 +65,15 @@
     }
 }
 
-async fn send(source: &dyn Source, change: Change) -> Result<(), Fault> {
+async fn write_change(source: &dyn Source, change: Change) -> Result<(), Fault> {
     let call = match &change {
         Change::Refuse(refused) => source.refuse(refused),
         Change::Allow(refused) => source.allow(refused),
     };
-    timeout(SILENCE, call).await.unwrap_or_else(|_| Err(Fault::Lost("no answer in time".into())))
+    timeout(SILENCE_TIMEOUT, call).await.unwrap_or_else(|_| Err(Fault::Lost("no answer in time".into())))
 }
 
-async fn pause(again: &mut Duration) {
-    sleep(again.mul_f64(0.8 + 0.4 * rand::random::<f64>())).await;
-    *again = (*again * 2).min(LONGEST_AGAIN);
+async fn back_off(retry_pause: &mut Duration) {
+    sleep(retry_pause.mul_f64(0.8 + 0.4 * rand::random::<f64>())).await;
+    *retry_pause = (*retry_pause * 2).min(MAX_RETRY_PAUSE);
 }
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -4,39 +4,39 @@
 
 use tokio::time::{sleep, timeout};
 
-use crate::{desk::Desk, silence::SILENCE, source::Source};
+use crate::{desk::Desk, silence::SILENCE_TIMEOUT, source::Source};
 
 /// Pause between checks of the rollouts.
-const ROLLOUT_PAUSE: Duration = Duration::from_millis(250);
+const CHECK_PAUSE: Duration = Duration::from_millis(250);
 
 /// Number of checks after which any instance reports a stage that the store does not show
 /// yet, because the instances that should report it have failed to.
-const OTHERS_TURN: u32 = 8;
+const FALLBACK_CHECKS: u32 = 8;
 
 /// Advances rollouts and reports their stages to the store; never returns.
 ///
 /// Every instance advances rollouts. The instance whose name sorts first and those that
 /// watch the store report the stages, and the others if these fail to. Reports are
 /// conditional writes, so a late one changes nothing.
-pub async fn roll_out(desk: Arc<Desk>, source: Arc<dyn Source>) {
-    let mut unsaid_for = 0;
+pub async fn advance_rollouts(desk: Arc<Desk>, source: Arc<dyn Source>) {
+    let mut unreported_checks = 0;
     loop {
-        sleep(ROLLOUT_PAUSE).await;
-        let unsaid = desk.advance_trials();
-        if unsaid.is_empty() {
-            unsaid_for = 0;
+        sleep(CHECK_PAUSE).await;
+        let unreported = desk.advance_trials();
+        if unreported.is_empty() {
+            unreported_checks = 0;
             continue;
         }
-        unsaid_for += 1;
+        unreported_checks += 1;
         // Instances that watch the store have the most evidence and see a stage end first.
-        if !desk.leads() && !desk.watches_store() && unsaid_for < OTHERS_TURN {
+        if !desk.leads() && !desk.watches_store() && unreported_checks < FALLBACK_CHECKS {
             continue;
         }
-        for (rollout, stage) in unsaid {
-            match timeout(SILENCE, source.report(&rollout, stage)).await {
+        for (rollout, stage) in unreported {
+            match timeout(SILENCE_TIMEOUT, source.report(&rollout, stage)).await {
                 Ok(Ok(())) => {
                     tracing::info!(service = rollout.service, target = rollout.target, ?stage, "stage reported");
-                    unsaid_for = 0;
+                    unreported_checks = 0;
                 }
                 Ok(Err(fault)) => tracing::info!(service = rollout.service, ?stage, %fault, "stage not reported"),
                 Err(_) => tracing::info!(service = rollout.service, ?stage, "stage not reported: no answer in time"),
--- a/crates/relay/src/ask.rs
+++ b/crates/relay/src/request_params.rs
@@ -9,7 +9,7 @@
 
 /// Parameters that a caller's request gives in its headers.
 #[derive(Debug, Clone, Default)]
-pub struct Ask {
+pub struct RequestParams {
     /// Request id that the caller chose.
     pub id: String,
     /// Time that the caller waits, counted from the request's arrival.
@@ -46,7 +46,7 @@
     pub tokens: u32,
 }
 
-impl Ask {
+impl RequestParams {
     /// Decodes the headers of a request.
     #[must_use]
     pub fn read(headers: &HeaderMap, names: &Names) -> Self {
--- a/crates/relay/src/share.rs
+++ b/crates/relay/src/share.rs
@@ -29,73 +29,73 @@
 };
 
 /// HTTP path of the catalog.
-const PATH: &str = "/catalog";
+const CATALOG_PATH: &str = "/catalog";
 
 /// Maximum number of copies that an instance sends at the same time. An instance that gets
 /// none asks the store instead.
-const MOST_AT_ONCE: usize = 8;
+const MAX_CONCURRENT_COPIES: usize = 8;
 
 /// Time limit for fetching a copy: enough for a megabyte over a link of 10 Mbit/s.
-const COPY: Duration = Duration::from_millis(1_200);
+const COPY_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Longest copy that is read, in bytes; the store holds no larger catalog.
-const LONGEST: usize = 4 << 20;
+const MAX_COPY_BYTES: usize = 4 << 20;
 
 /// Size of the chunks in which a copy is sent, in bytes.
-const PIECE: usize = 32 << 10;
+const CHUNK_BYTES: usize = 32 << 10;
 
 /// Serves the catalog in force to other instances.
 #[derive(Debug)]
-pub struct Sharer {
-    room: Arc<Semaphore>,
+pub struct CatalogServer {
+    permits: Arc<Semaphore>,
     /// Encoded catalog of the last request, with its version.
     copy: Mutex<Option<(u64, Bytes)>>,
 }
 
-impl Sharer {
+impl CatalogServer {
     /// Creates a server that has nothing encoded yet.
     #[must_use]
     pub fn new() -> Self {
-        Self { room: Arc::new(Semaphore::new(MOST_AT_ONCE)), copy: Mutex::default() }
+        Self { permits: Arc::new(Semaphore::new(MAX_CONCURRENT_COPIES)), copy: Mutex::default() }
     }
 
     /// Answers a request for the catalog.
     #[must_use]
     pub fn serve(&self, desk: &Desk, request: &Request<Incoming>) -> Response<Body> {
-        if request.uri().path() != PATH {
-            return answer::empty(StatusCode::NOT_FOUND);
+        if request.uri().path() != CATALOG_PATH {
+            return answer::empty_response(StatusCode::NOT_FOUND);
         }
         let copy = desk.catalog().and_then(|catalog| self.copy(&catalog));
-        match (copy, Arc::clone(&self.room).try_acquire_owned()) {
-            (Some(copy), Ok(place)) => Response::new(send(copy, place)),
-            _ => answer::empty(StatusCode::SERVICE_UNAVAILABLE),
+        match (copy, Arc::clone(&self.permits).try_acquire_owned()) {
+            (Some(copy), Ok(permit)) => Response::new(copy_body(copy, permit)),
+            _ => answer::empty_response(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 
     /// Returns the encoded catalog, from the cache if it is of the same version.
     fn copy(&self, catalog: &Catalog) -> Option<Bytes> {
-        let mut kept = self.copy.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, copy)) = kept.as_ref().filter(|(version, _)| *version == catalog.version) {
+        let mut encoded = self.copy.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((_, copy)) = encoded.as_ref().filter(|(version, _)| *version == catalog.version) {
             return Some(copy.clone());
         }
-        let copy = postcard::to_allocvec(&wire::Copy::from(catalog)).map(Bytes::from);
+        let copy = postcard::to_allocvec(&wire::CatalogCopy::from(catalog)).map(Bytes::from);
         let copy = copy.inspect_err(|error| tracing::error!(%error, "encoding the catalog failed")).ok()?;
-        *kept = Some((catalog.version, copy.clone()));
+        *encoded = Some((catalog.version, copy.clone()));
         Some(copy)
     }
 }
 
 /// Returns a body that sends the copy in chunks and holds the permit until the last is
 /// sent.
-fn send(mut copy: Bytes, place: OwnedSemaphorePermit) -> Body {
-    let pieces = async_stream::stream! {
-        let _place = place;
+fn copy_body(mut copy: Bytes, permit: OwnedSemaphorePermit) -> Body {
+    let chunks = async_stream::stream! {
+        let _permit = permit;
         while !copy.is_empty() {
-            let piece = copy.split_to(PIECE.min(copy.len()));
-            yield Ok(Frame::data(piece));
+            let chunk = copy.split_to(CHUNK_BYTES.min(copy.len()));
+            yield Ok(Frame::data(chunk));
         }
     };
-    StreamBody::new(pieces).boxed_unsync()
+    StreamBody::new(chunks).boxed_unsync()
 }
 
 /// Fetches the catalog of another instance.
@@ -104,18 +104,19 @@
 ///
 /// Returns the cause as text for a log line.
 pub async fn fetch(from: SocketAddr) -> Result<Catalog, String> {
-    timeout(COPY, receive(from)).await.map_err(|_| "timed out".to_owned())?
+    timeout(COPY_TIMEOUT, receive(from)).await.map_err(|_| "timed out".to_owned())?
 }
 
 async fn receive(from: SocketAddr) -> Result<Catalog, String> {
-    let (mut sender, _connection) = upstream::connect(from, COPY).await.map_err(|unreachable| unreachable.cause)?;
-    let request = Request::get(PATH).header(header::HOST, from.to_string()).body(Full::default());
+    let (mut sender, _connection) =
+        upstream::connect(from, COPY_TIMEOUT).await.map_err(|unreachable| unreachable.cause)?;
+    let request = Request::get(CATALOG_PATH).header(header::HOST, from.to_string()).body(Full::default());
     let request = request.map_err(|error| error.to_string())?;
     let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
     if response.status() != StatusCode::OK {
         return Err(response.status().to_string());
     }
-    let body = Limited::new(response.into_body(), LONGEST).collect().await.map_err(|error| error.to_string())?;
-    let copy: wire::Copy = postcard::from_bytes(&body.to_bytes()).map_err(|error| error.to_string())?;
+    let body = Limited::new(response.into_body(), MAX_COPY_BYTES).collect().await.map_err(|error| error.to_string())?;
+    let copy: wire::CatalogCopy = postcard::from_bytes(&body.to_bytes()).map_err(|error| error.to_string())?;
     Ok(copy.into())
 }
--- a/crates/relay/src/silence.rs
+++ b/crates/relay/src/silence.rs
@@ -17,7 +17,7 @@
 
 /// Silence after which a call is cancelled: many round trips, enough for a store that is
 /// fifty times slower than usual.
-pub const SILENCE: Duration = Duration::from_millis(600);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Awaits a call and cancels it if it is silent for too long.
 ///
@@ -34,17 +34,17 @@
 ) -> Result<T, Fault> {
     progress.start();
     let mut call = pin!(call);
-    let mut until = clock::now() + wait + SILENCE;
+    let mut deadline = clock::now() + wait + SILENCE_TIMEOUT;
     loop {
-        let left = until.saturating_sub(clock::now());
+        let left = deadline.saturating_sub(clock::now());
         if let Ok(result) = timeout(left, &mut call).await {
             return result;
         }
         // A last arrival that belongs to an earlier call is too old to extend the limit.
-        let heard_until = progress.last() + SILENCE;
-        if heard_until <= until {
+        let extended_deadline = progress.last() + SILENCE_TIMEOUT;
+        if extended_deadline <= deadline {
             return Err(Fault::Lost("no answer in time".into()));
         }
-        until = heard_until;
+        deadline = extended_deadline;
     }
 }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -19,7 +19,7 @@
 
 /// Time limit for connecting: many round trips, and well below the time after which TCP
 /// resends a lost first packet.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Outcome of a try.
 #[derive(Debug)]
@@ -39,14 +39,14 @@
 
 /// Outcome of a try, with the endpoint's rate limit.
 #[derive(Debug)]
-pub struct Tried {
+pub struct TryResult {
     /// Outcome of the try.
     pub outcome: Outcome,
     /// What the endpoint said about its rate limit.
     pub limit: Said,
 }
 
-impl From<Outcome> for Tried {
+impl From<Outcome> for TryResult {
     /// Converts the outcome of a try in which the endpoint said nothing about its limit.
     fn from(outcome: Outcome) -> Self {
         Self { outcome, limit: Said::Nothing }
@@ -86,36 +86,36 @@
     request: Request<Full<Bytes>>,
     id: &str,
     names: &Names,
-    patience: Duration,
-) -> Tried {
-    let (mut sender, connection) = match connect(address, patience).await {
+    time_limit: Duration,
+) -> TryResult {
+    let (mut sender, connection) = match connect(address, time_limit).await {
         Ok(connected) => connected,
         Err(unreachable) => return Outcome::Unreachable(unreachable).into(),
     };
-    let response = match tokio::time::timeout(patience, sender.try_send_request(request)).await {
+    let response = match tokio::time::timeout(time_limit, sender.try_send_request(request)).await {
         Err(_) => return Outcome::Unknown("no answer in time".into()).into(),
         Ok(Err(mut error)) => {
             let unsent = error.take_message().is_some();
             let cause = error.into_error().to_string();
             let outcome =
-                if unsent { Outcome::Unreachable(Unreachable::silent(cause)) } else { Outcome::Broken(cause) };
+                if unsent { Outcome::Unreachable(Unreachable::without_answer(cause)) } else { Outcome::Broken(cause) };
             return outcome.into();
         }
         Ok(Ok(response)) => response,
     };
-    let per_s = limit(&response, names);
-    let outcome = judge(response, id, names, connection);
+    let per_s = parse_limit(&response, names);
+    let outcome = check_answer(response, id, names, connection);
     let limit = match (per_s, &outcome) {
         (Some(per_s), _) => Said::Limit(per_s),
         (None, Outcome::Answer(_)) => Said::NoLimit,
         // An endpoint that rejects a request need not name its limit.
         (None, _) => Said::Nothing,
     };
-    Tried { outcome, limit }
+    TryResult { outcome, limit }
 }
 
 /// Returns the rate limit in an answer's headers, if it is valid.
-fn limit(response: &Response<Incoming>, names: &Names) -> Option<f64> {
+fn parse_limit(response: &Response<Incoming>, names: &Names) -> Option<f64> {
     let text = response.headers().get(&names.limit)?.to_str().ok()?;
     let per_s = text.trim().parse().ok().filter(|per_s: &f64| per_s.is_finite() && *per_s >= 0.0);
     if per_s.is_none() {
@@ -131,12 +131,12 @@
 /// Returns [`Unreachable`] with the cause.
 pub async fn connect(
     address: SocketAddr,
-    patience: Duration,
+    time_limit: Duration,
 ) -> Result<(http1::SendRequest<Full<Bytes>>, AbortOnDropHandle<()>), Unreachable> {
-    let stream = open(address, patience).await?;
-    stream.set_nodelay(true).map_err(|error| Unreachable::silent(error.to_string()))?;
+    let stream = open_connection(address, time_limit).await?;
+    stream.set_nodelay(true).map_err(|error| Unreachable::without_answer(error.to_string()))?;
     let (sender, connection) =
-        http1::handshake(TokioIo::new(stream)).await.map_err(|error| Unreachable::silent(error.to_string()))?;
+        http1::handshake(TokioIo::new(stream)).await.map_err(|error| Unreachable::without_answer(error.to_string()))?;
     let connection = AbortOnDropHandle::new(tokio::spawn(async move {
         if let Err(error) = connection.await {
             tracing::debug!(%error, "connection to an endpoint ended");
@@ -147,29 +147,29 @@
 
 /// Returns whether an endpoint's address refuses connections.
 pub async fn is_refused(address: SocketAddr) -> bool {
-    open(address, CONNECT).await.is_err_and(|unreachable| unreachable.is_refused)
+    open_connection(address, CONNECT_TIMEOUT).await.is_err_and(|unreachable| unreachable.is_refused)
 }
 
 /// Opens a TCP connection to an endpoint.
-async fn open(address: SocketAddr, patience: Duration) -> Result<TcpStream, Unreachable> {
-    match tokio::time::timeout(CONNECT.min(patience), TcpStream::connect(address)).await {
+async fn open_connection(address: SocketAddr, time_limit: Duration) -> Result<TcpStream, Unreachable> {
+    match tokio::time::timeout(CONNECT_TIMEOUT.min(time_limit), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(error)) => {
             let is_refused = error.kind() == io::ErrorKind::ConnectionRefused;
             Err(Unreachable { cause: error.to_string(), is_refused })
         }
-        Err(_) => Err(Unreachable::silent("no connection in time".into())),
+        Err(_) => Err(Unreachable::without_answer("no connection in time".into())),
     }
 }
 
 impl Unreachable {
-    fn silent(cause: String) -> Self {
+    fn without_answer(cause: String) -> Self {
         Self { cause, is_refused: false }
     }
 }
 
 /// Checks an answer's headers to find whether the request ran and the answer is valid.
-fn judge(response: Response<Incoming>, id: &str, names: &Names, connection: AbortOnDropHandle<()>) -> Outcome {
+fn check_answer(response: Response<Incoming>, id: &str, names: &Names, connection: AbortOnDropHandle<()>) -> Outcome {
     let headers = response.headers();
     let status = response.status();
     if headers.contains_key(&names.not_run) || status == StatusCode::MISDIRECTED_REQUEST {
