--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,9 +1,12 @@
-//! Keeping what the instance believes in step with the store.
+//! Synchronizes this instance's state with the store.
 //!
-//! Each kind of record is listed, then watched from the listing's revision.
-//! No call may stay silent for long, since a connection may do so for good;
-//! after any doubt the kind is listed again, because a watch that was cut may
-//! have missed changes.
+//! Each kind of record is listed, then watched from the revision of the listing. A
+//! call that stays silent for too long is cancelled, since a dead connection may
+//! never report an error. After any failure the kind is listed again, because an
+//! interrupted watch may have missed changes.
+//!
+//! While another instance keeps this one synchronized ([`crate::desk::track`]), the
+//! store is called only for what that instance cannot provide.
 
 mod intake;
 mod lapses;
@@ -13,7 +16,7 @@
 use route::relay::freshness::{Cadence, Proof};
 use tokio::time::{sleep, timeout};
 
-use self::lapses::{Lapses, RETURN};
+use self::lapses::{Lapses, REREGISTRATION_TIME};
 use crate::{
     clock,
     desk::Desk,
@@ -21,63 +24,67 @@
     source::{Fault, Kind, Progress, Read, Source},
 };
 
-/// Longest wait of a watch on the catalog, and so the oldest that the proof of
-/// access keys gets while the store answers.
-const CATALOG_WAIT: Duration = Duration::from_millis(900);
+/// Longest wait of a watch on the catalog. It also bounds the age of the proof of access
+/// keys while the store answers.
+const CATALOG_WATCH_WAIT: Duration = Duration::from_millis(900);
 
-/// The same while the catalog is too long to be read after each watch: a watch
-/// proves a second less than a reading, and shorter ones make up for half of it.
-const PROVING_WAIT: Duration = Duration::from_millis(450);
+/// Longest wait of a watch on a catalog that takes too long to be read after each watch.
+/// The proof of a watch is a second older than that of a read; the shorter wait makes up
+/// for half of it.
+const LONG_CATALOG_WATCH_WAIT: Duration = Duration::from_millis(450);
 
-/// Longest wait of a watch on endpoints: one that went silent must be noticed
-/// before a leaving endpoint may get no more work.
-const ENDPOINTS_WAIT: Duration = Duration::from_millis(1_200);
+/// Longest wait of a watch on endpoints. A watch that hangs must be noticed before the
+/// time at which a leaving endpoint may get no more requests.
+const ENDPOINTS_WATCH_WAIT: Duration = Duration::from_millis(1_200);
 
-/// Longest wait of a watch on roll-outs; other instances tell of them sooner.
-const ROLLOUTS_WAIT: Duration = Duration::from_secs(4);
+/// Longest wait of a watch on the other kinds; other instances announce rollouts sooner.
+const OTHER_WATCH_WAIT: Duration = Duration::from_secs(4);
 
-/// First and longest wait after a call that failed.
+/// First and longest backoff after a failed call.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
 
-/// Longest wait between looks for a lost store of an instance that will hear
-/// of its return from others: each look is paid for, by every instance.
-const LOOK: Duration = Duration::from_millis(1_500);
+/// Pause between probes of an unreachable store by an instance that other instances will
+/// notify of its return. Each probe is a call that is paid for, at every instance.
+const PROBE_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Looks for a lost store of a large fleet, over all of it: an instance a pause of this
-/// times the instances. Those that look first are heard of sooner than a look brings.
-const LOOK_EACH: Duration = Duration::from_millis(20);
+/// Probe pause per instance of the fleet: in a large fleet the pause grows with the number
+/// of instances, which bounds the rate of all probes together. The instances that probe
+/// first announce the store's return sooner than a probe would find it.
+const PROBE_PAUSE_PER_INSTANCE: Duration = Duration::from_millis(20);
 
-/// The same while another instance keeps it in step.
-const LED_LOOK: Duration = Duration::from_secs(4);
+/// Pause between probes of an unreachable store while another instance keeps this one
+/// synchronized.
+const SYNCED_PROBE_PAUSE: Duration = Duration::from_secs(4);
 
-/// Outage of the store after which a missing endpoint may only have lapsed.
-const OUTAGE: Duration = Duration::from_secs(1);
+/// Length of a store outage after which the registration of a missing endpoint may merely
+/// have expired.
+const LONG_OUTAGE: Duration = Duration::from_secs(1);
 
-/// Pause after a watch that brought changes to endpoints. Servers start, crash
-/// and leave by the dozen within seconds; one call for each of them is paid
-/// for, while a leaving one may get work for seconds.
-const TOGETHER: Duration = Duration::from_millis(150);
+/// Pause after a watch that returned changes to endpoints, so that the next call collects
+/// several. Dozens of endpoints may start, crash or leave within seconds and each call is
+/// paid for, while a leaving endpoint may get requests for some seconds.
+const ENDPOINT_CHANGES_PAUSE: Duration = Duration::from_millis(150);
 
-/// Wait of a watch while lapsed endpoints have still to register again.
-const LAPSED_WAIT: Duration = Duration::from_millis(300);
+/// Longest wait of a watch on endpoints while lapsed endpoints may register again.
+const LAPSED_WATCH_WAIT: Duration = Duration::from_millis(300);
 
-/// Time after its first listing in which an instance expects to meet others
-/// that keep it in step: at 74 instances a round of news takes 1.25 s, and a
-/// question 0.35 s. When a whole fleet starts, each instance watching by itself
-/// until then made half of the calls of its start.
-const MEETING: Duration = Duration::from_secs(2);
+/// Time after the first listing in which an instance waits to discover others that keep it
+/// synchronized: with 74 instances a round of news takes 1.25 s and a question 0.35 s.
+/// Without the wait, half of the store calls of a starting fleet come from instances that
+/// watch the store by themselves until then.
+const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// The same of an instance that ranks among those that watch the store: until
-/// it has heard of others, by a round of greetings, each seems to.
-const RANKING: Duration = Duration::from_millis(700);
+/// The same wait for an instance that ranks among those that watch the store. Every
+/// instance seems to until it has received the greetings of others.
+const WATCHER_DISCOVERY_TIME: Duration = Duration::from_millis(700);
 
-/// Longest rest before a look whether somebody still keeps this one in step.
-const REST: Duration = Duration::from_millis(200);
+/// Pause between checks whether another instance still keeps this one synchronized.
+const SYNCED_CHECK_PAUSE: Duration = Duration::from_millis(200);
 
-/// Least time between readings that other instances' word brings about.
-const APART: Duration = Duration::from_millis(300);
+/// Pause after a read of the store that another instance's message triggered.
+const TRIGGERED_READ_PAUSE: Duration = Duration::from_millis(300);
 
-/// Follows one kind for good.
+/// Keeps one kind of record synchronized; never returns.
 pub async fn follow(desk: Arc<Desk>, source: Arc<dyn Source>, kind: Kind) {
     let progress = if kind == Kind::Catalog { desk.catalog_progress() } else { Arc::default() };
     let mut follower = Follower {
@@ -87,14 +94,14 @@
         progress,
         cadence: Cadence::default(),
         revision: None,
-        listed: false,
+        has_listed: false,
         lost_since: None,
-        last_lost: Duration::ZERO,
+        last_failure: Duration::ZERO,
         failures: 0,
         lapses: Lapses::default(),
         first_listed: None,
         pause: None,
-        has_left_look: false,
+        has_deferred_probe: false,
     };
     loop {
         follower.step().await;
@@ -106,39 +113,44 @@
     source: Arc<dyn Source>,
     kind: Kind,
     progress: Arc<Progress>,
-    /// How often the catalog may be read.
+    /// Decides when the catalog may be read again.
     cadence: Cadence,
+    /// Revision to watch from; `None` if the kind has to be listed.
     revision: Option<u64>,
-    listed: bool,
+    has_listed: bool,
+    /// Start of the first call that failed since the store was lost.
     lost_since: Option<Duration>,
-    last_lost: Duration,
+    last_failure: Duration,
+    /// Number of consecutive failed calls.
     failures: u32,
     lapses: Lapses,
+    /// Time of the first listing.
     first_listed: Option<Duration>,
-    /// Pause before the next call.
+    /// Pause before the next store call.
     pause: Option<Duration>,
-    /// Whether the first look for a doubted store was left to others.
-    has_left_look: bool,
+    /// Whether the first probe of a store that others seem to have lost was deferred.
+    has_deferred_probe: bool,
 }
 
 impl Follower {
+    /// Makes one call to the store, or waits if none is due.
     async fn step(&mut self) {
-        if self.listed && self.desk.led() {
-            self.rest().await;
+        if self.has_listed && self.desk.led() {
+            self.wait_synchronized().await;
             return;
         }
-        if self.listed && (self.meeting() || self.waits_for_catalog()) {
-            self.expire();
+        if self.has_listed && (self.is_discovering() || self.defers_to_catalog()) {
+            self.expire_lapses();
             if self.kind == Kind::Catalog {
-                // What was read before the wait proves little by now.
+                // The last read proves little by now; list the catalog again after the wait.
                 self.revision = None;
             }
-            sleep(REST).await;
+            sleep(SYNCED_CHECK_PAUSE).await;
             return;
         }
-        if self.leaves_first_look() {
-            self.expire();
-            sleep(LOOK.mul_f64(rand::random())).await;
+        if self.defers_first_probe() {
+            self.expire_lapses();
+            sleep(PROBE_PAUSE.mul_f64(rand::random())).await;
             return;
         }
         if let Some(pause) = self.pause.take() {
@@ -146,19 +158,19 @@
         }
         let asked = clock::now();
         let result = match self.revision {
-            None => self.list(self.first_read(), asked).await,
+            None => self.list(self.read_mode(), asked).await,
             Some(from) => self.watch(from, asked).await,
         };
-        self.expire();
+        self.expire_lapses();
         let Err(fault) = result else {
-            self.note_touch(true);
-            self.regained();
+            self.note_contact(true);
+            self.note_success();
             return;
         };
-        self.note_touch(false);
+        self.note_contact(false);
         self.revision = None;
         if matches!(fault, Fault::Compacted | Fault::Unreadable) {
-            tracing::info!(kind = ?self.kind, %fault, "listing again");
+            tracing::info!(kind = ?self.kind, %fault, "listing all records again");
             return;
         }
         if self.lost_since.is_none() {
@@ -168,61 +180,62 @@
         let wait = if self.desk.looks_first() {
             self.backoff(BACKOFF.1)
         } else {
-            LOOK.max(LOOK_EACH * u32::try_from(self.desk.members()).unwrap_or(u32::MAX))
+            PROBE_PAUSE.max(PROBE_PAUSE_PER_INSTANCE * u32::try_from(self.desk.members()).unwrap_or(u32::MAX))
         };
-        self.note_failed(clock::now());
+        self.note_failure(clock::now());
         sleep(wait.mul_f64(0.7 + 0.6 * rand::random::<f64>())).await;
     }
 
-    /// Wait after the calls that have failed in a row.
+    /// Returns the backoff for the current number of consecutive failed calls.
     fn backoff(&self, longest: Duration) -> Duration {
         BACKOFF.0.saturating_mul(2_u32.saturating_pow(self.failures.min(8))).min(longest)
     }
 
-    /// Whether others that could keep this instance in step have had no time
-    /// to be met, or to see that this one is to keep them in step.
-    fn meeting(&self) -> bool {
+    /// Returns whether it is too early after the start to know which instances watch the
+    /// store and keep the others synchronized.
+    fn is_discovering(&self) -> bool {
         let Some(since) = self.first_listed.map(|first| clock::now().saturating_sub(first)) else { return false };
-        since < RANKING || (since < MEETING && !self.desk.watches_store())
+        since < WATCHER_DISCOVERY_TIME || (since < DISCOVERY_TIME && !self.desk.watches_store())
     }
 
-    /// Whether a store that is lost or doubted is left to the catalog's follower to
-    /// look for: the kinds are lost and regained together, and each look is paid for.
-    fn waits_for_catalog(&self) -> bool {
+    /// Returns whether to leave probing of an unreachable store to the catalog's follower:
+    /// all kinds are lost and regained together, and each probe is paid for.
+    fn defers_to_catalog(&self) -> bool {
         let is_lost = self.lost_since.is_some() && !self.desk.touched();
         self.kind != Kind::Catalog && (is_lost || self.desk.doubts_store())
     }
 
-    /// Whether a store that others seem to have lost is left to them for a moment:
-    /// all of a fleet hear of it at once, and mostly it is lost to all.
-    fn leaves_first_look(&mut self) -> bool {
+    /// Returns whether to wait before probing a store that others seem to have lost. The
+    /// whole fleet learns of it at once, and usually the store is lost to all instances.
+    fn defers_first_probe(&mut self) -> bool {
         let doubts = self.kind == Kind::Catalog && self.desk.doubts_store() && !self.desk.looks_first();
-        let is_first = doubts && !self.has_left_look;
-        self.has_left_look = doubts;
+        let is_first = doubts && !self.has_deferred_probe;
+        self.has_deferred_probe = doubts;
         is_first
     }
 
-    /// While another instance keeps this one in step there is nothing to ask
-    /// the store, but for what that one cannot tell.
-    async fn rest(&mut self) {
+    /// Waits while another instance keeps this one synchronized, and reads from the store
+    /// only what that instance cannot provide.
+    async fn wait_synchronized(&mut self) {
         self.revision = None;
-        self.expire();
-        self.lapses.leave();
-        let asked_for = timeout(REST, self.desk.wanted(self.kind)).await.is_ok();
+        self.expire_lapses();
+        self.lapses.clear_removals();
+        let asked_for = timeout(SYNCED_CHECK_PAUSE, self.desk.wanted(self.kind)).await.is_ok();
         let wanted = asked_for && (self.kind != Kind::Catalog || self.desk.behind());
         let asked = clock::now();
-        let look = self.kind == Kind::Catalog && !self.desk.touched() && asked > self.last_lost + LED_LOOK;
-        // A store that turns this instance away may serve all others, whose news
-        // tells of the newer catalog sixteen times a second: without a wait each
-        // piece made two more refused calls, a quarter of what a day's calls cost.
-        let waits = self.failures > 0 && asked < self.last_lost + self.backoff(LOOK);
-        if waits && wanted && self.kind == Kind::Catalog {
-            self.copy().await;
-            sleep(APART).await;
+        let probe =
+            self.kind == Kind::Catalog && !self.desk.touched() && asked > self.last_failure + SYNCED_PROBE_PAUSE;
+        // The store may reject this instance and serve all others, which then announce the
+        // newer catalog sixteen times a second. Without a wait, each announcement causes two
+        // more rejected calls, which made up a quarter of the cost of a day's calls.
+        let is_backing_off = self.failures > 0 && asked < self.last_failure + self.backoff(PROBE_PAUSE);
+        if is_backing_off && wanted && self.kind == Kind::Catalog {
+            self.copy_catalog().await;
+            sleep(TRIGGERED_READ_PAUSE).await;
             return;
         }
-        if waits || (!wanted && !look) {
-            if asked > self.last_lost + RETURN {
+        if is_backing_off || (!wanted && !probe) {
+            if asked > self.last_failure + REREGISTRATION_TIME {
                 self.lost_since = None;
             }
             return;
@@ -232,39 +245,39 @@
         } else {
             self.read_latest(asked).await;
         }
-        // Versions in quick succession are read once.
-        sleep(APART).await;
+        // Reads only the last of several versions in quick succession.
+        sleep(TRIGGERED_READ_PAUSE).await;
     }
 
-    /// Takes a newer catalog over from an instance that has told of it; whether it
-    /// did.
+    /// Copies a newer catalog from an instance that announced it; returns whether it was
+    /// installed.
     ///
-    /// A store that turns this instance away may serve the others. It is asked first
-    /// all the same: callers are told of instances that are in touch with it.
-    async fn copy(&self) -> bool {
+    /// This helps when the store rejects this instance and serves the others. The store is
+    /// still asked first, because callers are directed to instances in contact with it.
+    async fn copy_catalog(&self) -> bool {
         let Some(teller) = self.desk.teller() else { return false };
         match share::fetch(teller).await {
             Ok(catalog) => self.desk.install(catalog),
             Err(cause) => {
-                tracing::info!(%teller, cause, "catalog not copied");
+                tracing::info!(%teller, cause, "copying the catalog from another instance failed");
                 false
             }
         }
     }
 
-    /// Reads a catalog of which another instance has told.
+    /// Gets a newer catalog that another instance announced.
     ///
-    /// A change makes each instance of the fleet read it. A listing of any age
-    /// costs a tenth, and in two of three cases it was young enough on a day of
-    /// 74 instances; where it shows nothing new, the other instance's copy is taken,
-    /// or the latest is read. It proves nothing of access keys. A catalog that takes
-    /// long to arrive is not read twice: half a second more without the change, and
-    /// a full link.
+    /// Every instance of the fleet reads each change. A listing of any age costs a tenth of
+    /// a linearizable one and proves nothing about access keys; with 74 instances it is
+    /// recent enough in two of three cases. If it shows nothing new, the catalog is copied
+    /// from the other instance, or else read with a linearizable call. A catalog that takes
+    /// long to transfer is not read twice: that would delay the change by half a second and
+    /// fill the link.
     async fn catch_up(&mut self, asked: Duration) {
         if self.cadence.is_long() {
             self.read_latest(asked).await;
             if self.failures > 0 {
-                self.copy().await;
+                self.copy_catalog().await;
             }
             return;
         }
@@ -272,82 +285,86 @@
         let before = version(&self.desk);
         match self.list(Read::AnyAge, asked).await {
             Err(fault) => {
-                self.not_read(asked, &fault);
-                self.copy().await;
+                self.note_failed_read(asked, &fault);
+                self.copy_catalog().await;
             }
             Ok(()) if version(&self.desk) == before => {
-                if !self.copy().await {
+                if !self.copy_catalog().await {
                     self.read_latest(clock::now()).await;
                 }
             }
-            Ok(()) => self.regained(),
+            Ok(()) => self.note_success(),
         }
     }
 
+    /// Lists the kind with a linearizable read.
     async fn read_latest(&mut self, asked: Duration) {
         match self.list(Read::Latest, asked).await {
             Ok(()) => {
-                self.note_touch(true);
-                self.regained();
+                self.note_contact(true);
+                self.note_success();
             }
-            Err(fault) => self.not_read(asked, &fault),
+            Err(fault) => self.note_failed_read(asked, &fault),
         }
     }
 
-    fn not_read(&mut self, asked: Duration, fault: &Fault) {
+    /// Logs and records a read that failed.
+    fn note_failed_read(&mut self, asked: Duration, fault: &Fault) {
         tracing::info!(kind = ?self.kind, %fault, failures = self.failures, "store not read");
-        self.note_touch(false);
-        self.note_failed(asked);
+        self.note_contact(false);
+        self.note_failure(asked);
     }
 
-    /// Notes a call that failed, as of a time.
-    fn note_failed(&mut self, at: Duration) {
-        self.last_lost = at;
+    /// Records a failed call at time `at`.
+    fn note_failure(&mut self, at: Duration) {
+        self.last_failure = at;
         self.failures += 1;
     }
 
-    /// Tells the desk whether the store answers; the catalog's follower speaks
-    /// for all.
-    fn note_touch(&self, succeeded: bool) {
+    /// Records whether this instance's calls to the store succeed. Only the catalog's
+    /// follower does so, on behalf of all kinds.
+    fn note_contact(&self, succeeded: bool) {
         if self.kind == Kind::Catalog {
             self.desk.note_touch(succeeded);
         }
     }
 
-    /// A first listing of endpoints may be old: the watch from its revision, or
-    /// whoever keeps this instance in step, brings what came after it.
-    fn first_read(&self) -> Read {
-        if self.kind == Kind::Endpoints && !self.listed { Read::AnyAge } else { Read::Latest }
+    /// Returns how to list. The first listing of endpoints may be old: the watch from its
+    /// revision, or the instance that synchronizes this one, delivers the later changes.
+    fn read_mode(&self) -> Read {
+        if self.kind == Kind::Endpoints && !self.has_listed { Read::AnyAge } else { Read::Latest }
     }
 
+    /// Lists the kind and applies the listing.
     async fn list(&mut self, read: Read, asked: Duration) -> Result<(), Fault> {
         let call = self.source.list(self.kind, read, &self.progress);
         let listing = silence::bounded(&self.progress, Duration::ZERO, call).await?;
-        // Before the first catalog an empty listing proves that there is none.
-        let shows = !listing.records.is_empty() || self.desk.catalog().is_none();
-        let proves = self.kind == Kind::Catalog && read == Read::Latest && shows;
+        // An empty listing is a proof only while no catalog has been read: then there is none.
+        let is_conclusive = !listing.records.is_empty() || self.desk.catalog().is_none();
+        let proves = self.kind == Kind::Catalog && read == Read::Latest && is_conclusive;
         if self.kind == Kind::Catalog {
             self.cadence.note(self.progress.transfer(), clock::now());
             self.desk.note_narrow(self.cadence.is_long());
         }
-        self.take_all(listing);
+        self.apply_listing(listing);
         if proves {
             self.desk.renew(asked, Proof::Read);
         }
         Ok(())
     }
 
+    /// Watches the kind from a revision and applies the changes.
     async fn watch(&mut self, from: u64, asked: Duration) -> Result<(), Fault> {
         let wait = self.watch_wait(asked);
         let call = self.source.watch(self.kind, from, wait, &self.progress);
         let batch = silence::bounded(&self.progress, wait, call).await?;
-        self.take_batch(batch);
+        self.apply_batch(batch);
         if self.kind == Kind::Catalog {
             self.desk.renew(asked, Proof::Quiet);
-            // A quiet watch proves little: it may have been deaf. A read after
-            // each keeps the proof young enough for callers to be served for
-            // three fifths of the bound once the store is lost; where a long
-            // catalog is not read after each, a third is left.
+            // A watch without changes proves less than a read, since it may have missed
+            // one. With a read after each watch, callers are still served for three fifths
+            // of the bound on revoked keys once the store is lost; for a long catalog, which
+            // is not read after each watch, it is a third.
             if self.cadence.is_due(clock::now()) {
                 self.revision = None;
             }
@@ -355,28 +372,30 @@
         Ok(())
     }
 
-    /// How long a watch that begins at `asked` may be quiet.
+    /// Returns how long the store may hold back its answer to a watch that starts at `asked`.
     fn watch_wait(&self, asked: Duration) -> Duration {
         match self.kind {
-            Kind::Catalog if !self.cadence.is_due(asked + CATALOG_WAIT) => PROVING_WAIT,
-            Kind::Catalog => CATALOG_WAIT,
-            Kind::Endpoints if self.lapses.waits() => LAPSED_WAIT,
-            Kind::Endpoints => ENDPOINTS_WAIT,
-            Kind::Rollouts | Kind::Instances | Kind::Quarantine => ROLLOUTS_WAIT,
+            Kind::Catalog if !self.cadence.is_due(asked + CATALOG_WATCH_WAIT) => LONG_CATALOG_WATCH_WAIT,
+            Kind::Catalog => CATALOG_WATCH_WAIT,
+            Kind::Endpoints if self.lapses.has_lapses() => LAPSED_WATCH_WAIT,
+            Kind::Endpoints => ENDPOINTS_WATCH_WAIT,
+            Kind::Rollouts | Kind::Instances | Kind::Quarantine => OTHER_WATCH_WAIT,
         }
     }
 
-    fn regained(&mut self) {
+    /// Records a successful call, and logs it if the store was lost before.
+    fn note_success(&mut self) {
         self.failures = 0;
         if let Some(since) = self.lost_since.take() {
             tracing::info!(kind = ?self.kind, after_ms = clock::millis(clock::now().saturating_sub(since)), "store regained");
         }
     }
 
-    fn expire(&mut self) {
+    /// Removes lapsed endpoints that did not register again in time.
+    fn expire_lapses(&mut self) {
         for lapse in self.lapses.expire(clock::now()) {
             if self.desk.delist_lapsed(&lapse.id, lapse.since) {
-                self.lapses.gone(lapse.id);
+                self.lapses.note_removed(lapse.id);
             }
         }
     }
--- a/crates/relay/src/share.rs
+++ b/crates/relay/src/share.rs
@@ -1,9 +1,10 @@
-//! Passing the catalog on between instances.
+//! Passes the catalog on between instances.
 //!
-//! An instance that the store turns away learns from others that there is a newer
-//! catalog. Without a copy of theirs it could only refuse its callers once the
-//! operators' bound is over, and ask the store again and again. A copy proves
-//! nothing of its age: what others say of the version in force does.
+//! An instance that the store rejects learns from others that there is a newer
+//! catalog. Without a copy from one of them it would have to refuse its callers once
+//! the operator's bound has passed, and would ask the store again and again. A copy
+//! does not prove that it is recent; replies of other instances about the version in
+//! force do.
 
 use std::{
     net::SocketAddr,
@@ -27,91 +28,95 @@
     upstream,
 };
 
-/// Path of the catalog in force.
-const PATH: &str = "/catalog";
+/// HTTP path of the catalog.
+const CATALOG_PATH: &str = "/catalog";
 
-/// Copies that an instance sends at once; whoever finds it busy asks the store.
-const MOST_AT_ONCE: usize = 8;
+/// Maximum number of copies that an instance sends at the same time. An instance that gets
+/// none asks the store instead.
+const MAX_CONCURRENT_COPIES: usize = 8;
 
-/// Longest wait for a copy: a megabyte over a link of 10 Mbit/s.
-const COPY: Duration = Duration::from_millis(1_200);
+/// Time limit for fetching a copy: enough for a megabyte over a link of 10 Mbit/s.
+const COPY_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Longest copy that is read, in bytes; the store keeps no larger ones.
-const LONGEST: usize = 4 << 20;
+/// Longest copy that is read, in bytes; the store holds no larger catalog.
+const MAX_COPY_BYTES: usize = 4 << 20;
 
-/// Part of a copy that is handed to its connection at a time, in bytes.
-const PIECE: usize = 32 << 10;
+/// Size of the chunks in which a copy is sent, in bytes.
+const CHUNK_BYTES: usize = 32 << 10;
 
-/// Sends the catalog in force to other instances.
+/// Serves the catalog in force to other instances.
 #[derive(Debug)]
-pub struct Sharer {
-    room: Arc<Semaphore>,
-    /// The last copy sent and the version it is of.
+pub struct CatalogServer {
+    permits: Arc<Semaphore>,
+    /// Encoded catalog of the last request, with its version.
     copy: Mutex<Option<(u64, Bytes)>>,
 }
 
-impl Sharer {
-    /// A sharer that sends nothing yet.
+impl CatalogServer {
+    /// Creates a server that has nothing encoded yet.
     #[must_use]
     pub fn new() -> Self {
-        Self { room: Arc::new(Semaphore::new(MOST_AT_ONCE)), copy: Mutex::default() }
+        Self { permits: Arc::new(Semaphore::new(MAX_CONCURRENT_COPIES)), copy: Mutex::default() }
     }
 
     /// Answers a request for the catalog.
     #[must_use]
     pub fn serve(&self, desk: &Desk, request: &Request<Incoming>) -> Response<Body> {
-        if request.uri().path() != PATH {
-            return answer::empty(StatusCode::NOT_FOUND);
+        if request.uri().path() != CATALOG_PATH {
+            return answer::empty_response(StatusCode::NOT_FOUND);
         }
         let copy = desk.catalog().and_then(|catalog| self.copy(&catalog));
-        match (copy, Arc::clone(&self.room).try_acquire_owned()) {
-            (Some(copy), Ok(place)) => Response::new(send(copy, place)),
-            _ => answer::empty(StatusCode::SERVICE_UNAVAILABLE),
+        match (copy, Arc::clone(&self.permits).try_acquire_owned()) {
+            (Some(copy), Ok(permit)) => Response::new(copy_body(copy, permit)),
+            _ => answer::empty_response(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 
+    /// Returns the encoded catalog, from the cache if it is of the same version.
     fn copy(&self, catalog: &Catalog) -> Option<Bytes> {
-        let mut kept = self.copy.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, copy)) = kept.as_ref().filter(|(version, _)| *version == catalog.version) {
+        let mut encoded = self.copy.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((_, copy)) = encoded.as_ref().filter(|(version, _)| *version == catalog.version) {
             return Some(copy.clone());
         }
-        let copy = postcard::to_allocvec(&wire::Copy::from(catalog)).map(Bytes::from);
-        let copy = copy.inspect_err(|error| tracing::error!(%error, "catalog not encoded")).ok()?;
-        *kept = Some((catalog.version, copy.clone()));
+        let copy = postcard::to_allocvec(&wire::CatalogCopy::from(catalog)).map(Bytes::from);
+        let copy = copy.inspect_err(|error| tracing::error!(%error, "encoding the catalog failed")).ok()?;
+        *encoded = Some((catalog.version, copy.clone()));
         Some(copy)
     }
 }
 
-/// A copy in pieces; its place is free once the last has gone out.
-fn send(mut copy: Bytes, place: OwnedSemaphorePermit) -> Body {
-    let pieces = async_stream::stream! {
-        let _place = place;
+/// Returns a body that sends the copy in chunks and holds the permit until the last is
+/// sent.
+fn copy_body(mut copy: Bytes, permit: OwnedSemaphorePermit) -> Body {
+    let chunks = async_stream::stream! {
+        let _permit = permit;
         while !copy.is_empty() {
-            let piece = copy.split_to(PIECE.min(copy.len()));
-            yield Ok(Frame::data(piece));
+            let chunk = copy.split_to(CHUNK_BYTES.min(copy.len()));
+            yield Ok(Frame::data(chunk));
         }
     };
-    StreamBody::new(pieces).boxed_unsync()
+    StreamBody::new(chunks).boxed_unsync()
 }
 
-/// Fetches the catalog that another instance has.
+/// Fetches the catalog of another instance.
 ///
 /// # Errors
 ///
-/// The cause, in words for a log line.
+/// Returns the cause as text for a log line.
 pub async fn fetch(from: SocketAddr) -> Result<Catalog, String> {
-    timeout(COPY, receive(from)).await.map_err(|_| "no copy in time".to_owned())?
+    timeout(COPY_TIMEOUT, receive(from)).await.map_err(|_| "timed out".to_owned())?
 }
 
 async fn receive(from: SocketAddr) -> Result<Catalog, String> {
-    let (mut sender, _connection) = upstream::connect(from, COPY).await.map_err(|unreachable| unreachable.cause)?;
-    let request = Request::get(PATH).header(header::HOST, from.to_string()).body(Full::default());
+    let (mut sender, _connection) =
+        upstream::connect(from, COPY_TIMEOUT).await.map_err(|unreachable| unreachable.cause)?;
+    let request = Request::get(CATALOG_PATH).header(header::HOST, from.to_string()).body(Full::default());
     let request = request.map_err(|error| error.to_string())?;
     let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
     if response.status() != StatusCode::OK {
         return Err(response.status().to_string());
     }
-    let body = Limited::new(response.into_body(), LONGEST).collect().await.map_err(|error| error.to_string())?;
-    let copy: wire::Copy = postcard::from_bytes(&body.to_bytes()).map_err(|error| error.to_string())?;
+    let body = Limited::new(response.into_body(), MAX_COPY_BYTES).collect().await.map_err(|error| error.to_string())?;
+    let copy: wire::CatalogCopy = postcard::from_bytes(&body.to_bytes()).map_err(|error| error.to_string())?;
     Ok(copy.into())
 }
