--- a/crates/relay/tests/it/caches.rs
+++ b/crates/relay/tests/it/caches.rs
@@ -6,15 +6,15 @@
 
 use crate::{
     caller,
-    server::{Act, Server, chunk, header, stream_head, whole},
-    site::{Kept, SERVICE, Site, catalog, endpoint, laddered},
+    server::{Action, Server, chunk, header, ok_response, stream_head},
+    site::{SERVICE, Site, StoreContents, cascade_route, catalog, endpoint},
 };
 
 /// Starts an engine whose cache query returns `cached`, one prompt part a line; every later
 /// request gets a stream.
 async fn engine(cached: &str) -> Server {
     let list = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{cached}", cached.len());
-    Server::open(vec![Act::Write(list), Act::Write(stream())]).await
+    Server::start(vec![Action::Write(list), Action::Write(stream())]).await
 }
 
 fn stream() -> String {
@@ -22,23 +22,24 @@
 }
 
 /// Returns a catalog whose service consists of engines.
-fn engines() -> Catalog {
-    let mut catalog = catalog(1, vec![laddered("/a/")]);
+fn engine_catalog() -> Catalog {
+    let mut catalog = catalog(1, vec![cascade_route("/a/")]);
     let service = Service { name: SERVICE.into(), memory_tokens: Some(100_000) };
     catalog.services.insert(SERVICE.into(), std::sync::Arc::new(service));
     catalog
 }
 
-async fn open(servers: &[&Server]) -> Site {
+async fn start(servers: &[&Server]) -> Site {
     let endpoints = servers.iter().enumerate().map(|(n, server)| endpoint(&format!("e{n}"), server.address)).collect();
-    Site::open_with(Kept { catalog: Some(engines()), endpoints, ..Kept::default() }, |_| {}).await
+    Site::start_with(StoreContents { catalog: Some(engine_catalog()), endpoints, ..StoreContents::default() }, |_| {})
+        .await
 }
 
-const PROMPT: &str = "X-Tokens: 6000,20\r\nX-Parts: aa:5000,bb:1000\r\nX-Model: *\r\n";
+const PROMPT_HEADERS: &str = "X-Tokens: 6000,20\r\nX-Parts: aa:5000,bb:1000\r\nX-Model: *\r\n";
 
 /// Returns the prompts that an engine received, without the cache queries.
-fn asked(server: &Server) -> Vec<String> {
-    server.seen().into_iter().filter(|request| request.contains("/a/x")).collect()
+fn prompts_received(server: &Server) -> Vec<String> {
+    server.requests().into_iter().filter(|request| request.contains("/a/x")).collect()
 }
 
 /// All instances crash and restart. A caller then resumes a stream that the large model had
@@ -46,43 +47,44 @@
 /// that model at once, without waiting for the small model's confidence or for the prompt to be
 /// read a second time.
 #[tokio::test]
-async fn resumed_stream_goes_where_its_prompt_was_read() {
+async fn resumed_stream_goes_to_the_engine_that_read_its_prompt() {
     for holder in 0..3 {
         let cached = |n| if n == holder { "aa small\nbb small\naa large\nbb large" } else { "aa large\nzz large" };
         let servers = [engine(cached(0)).await, engine(cached(1)).await, engine(cached(2)).await];
-        let site = open(&[&servers[0], &servers[1], &servers[2]]).await;
-        let prompt = format!("{PROMPT}Last-Event-Id: 7\r\n");
-        let got = caller::call(site.front(), "POST", "/a/x", &prompt, "prompt").await;
-        assert_eq!(got.status, 200, "{got:?}");
-        let seen = asked(&servers[holder]);
-        assert_eq!(seen.len(), 1, "{seen:?}");
-        assert_eq!(header(&seen[0], "x-model").as_deref(), Some("large"));
+        let site = start(&[&servers[0], &servers[1], &servers[2]]).await;
+        let headers = format!("{PROMPT_HEADERS}Last-Event-Id: 7\r\n");
+        let response = caller::call(site.front(), "POST", "/a/x", &headers, "prompt").await;
+        assert_eq!(response.status, 200, "{response:?}");
+        let requests = prompts_received(&servers[holder]);
+        assert_eq!(requests.len(), 1, "{requests:?}");
+        assert_eq!(header(&requests[0], "x-model").as_deref(), Some("large"));
     }
 }
 
 /// A new request does not resume a stream: it starts with the small model, whichever model has
 /// read its prompt, and goes to an engine that has the shared part in its cache.
 #[tokio::test]
-async fn new_request_finds_what_was_read_before_the_start() {
+async fn new_request_goes_to_an_engine_that_cached_its_prompt_before_the_start() {
     for holder in 0..3 {
         let cached = |n| if n == holder { "aa small\naa large" } else { "" };
         let servers = [engine(cached(0)).await, engine(cached(1)).await, engine(cached(2)).await];
-        let site = open(&[&servers[0], &servers[1], &servers[2]]).await;
-        caller::call(site.front(), "POST", "/a/x", PROMPT, "prompt").await;
-        let seen = asked(&servers[holder]);
-        assert_eq!(seen.len(), 1, "{seen:?}");
-        assert_eq!(header(&seen[0], "x-model").as_deref(), Some("small"));
+        let site = start(&[&servers[0], &servers[1], &servers[2]]).await;
+        caller::call(site.front(), "POST", "/a/x", PROMPT_HEADERS, "prompt").await;
+        let requests = prompts_received(&servers[holder]);
+        assert_eq!(requests.len(), 1, "{requests:?}");
+        assert_eq!(header(&requests[0], "x-model").as_deref(), Some("small"));
     }
 }
 
 /// One engine never answers the cache query, another returns a malformed list. Requests wait for
 /// the queries only briefly and are then served.
 #[tokio::test]
-async fn silent_engine_holds_up_nothing_for_long() {
-    let silent = Server::open(vec![Act::Hang(String::new()), Act::Write(whole("ok"))]).await;
+async fn silent_engine_delays_requests_only_briefly() {
+    let silent = Server::start(vec![Action::Hang(String::new()), Action::Write(ok_response("ok"))]).await;
     let odd = engine("\u{0}\u{1}{[").await;
-    let site = open(&[&silent, &odd]).await;
-    let asking = caller::call(site.front(), "POST", "/a/x", PROMPT, "prompt");
-    let got = tokio::time::timeout(Duration::from_secs(3), asking).await.expect("an answer soon");
-    assert_eq!(got.status, 200, "{got:?}");
+    let site = start(&[&silent, &odd]).await;
+    let call = caller::call(site.front(), "POST", "/a/x", PROMPT_HEADERS, "prompt");
+    let response =
+        tokio::time::timeout(Duration::from_secs(3), call).await.expect("a response should arrive within 3 s");
+    assert_eq!(response.status, 200, "{response:?}");
 }
--- a/crates/relay/tests/it/crashes.rs
+++ b/crates/relay/tests/it/crashes.rs
@@ -11,9 +11,9 @@
 
 use crate::{
     caller,
-    notices::prompt,
-    server::{Act, END, Server, event, stream_head, whole},
-    site::{Kept, Site, catalog, dialect, endpoint, laddered, route, settings},
+    notices::prompt_job,
+    server::{Action, LAST_CHUNK, Server, event, ok_response, stream_head},
+    site::{Site, StoreContents, cascade_route, catalog, dialect, endpoint, route, settings},
 };
 
 const RESUMABLE: Kind = Kind::Stream { resumable: true };
@@ -23,28 +23,29 @@
 
 /// Most endpoints that may crash under one request: three until it is quarantined, and three to
 /// which it is sent while instances learn of that.
-const MOST: usize = 6;
+const MAX_CRASHES: usize = 6;
 
 /// Starts endpoints that crash on a deadly request after writing `partial`, and perform
 /// `otherwise` for all others.
-async fn endpoints(count: usize, begun: &str, sound: Act) -> Vec<Server> {
+async fn start_endpoints(count: usize, partial: &str, otherwise: Action) -> Vec<Server> {
     let mut servers = Vec::new();
     for _ in 0..count {
-        servers.push(Server::open(vec![Act::CrashOn(DEADLY, begun.to_owned(), Box::new(sound.clone()))]).await);
+        servers
+            .push(Server::start(vec![Action::CrashOn(DEADLY, partial.to_owned(), Box::new(otherwise.clone()))]).await);
     }
     servers
 }
 
-fn kept(routes: Vec<Route>, servers: &[Server]) -> Kept {
+fn store_contents(routes: Vec<Route>, servers: &[Server]) -> StoreContents {
     let endpoints = servers.iter().enumerate().map(|(n, server)| endpoint(&format!("e{n}"), server.address));
-    Kept { catalog: Some(catalog(1, routes)), endpoints: endpoints.collect(), ..Kept::default() }
+    StoreContents { catalog: Some(catalog(1, routes)), endpoints: endpoints.collect(), ..StoreContents::default() }
 }
 
 /// Starts instances and waits until each knows all others.
-async fn instances(names: &[&str], kept: &Kept) -> Vec<Site> {
+async fn start_instances(names: &[&str], contents: &StoreContents) -> Vec<Site> {
     let mut sites: Vec<Site> = Vec::new();
     for name in names {
-        sites.push(joining(name, kept, &sites).await);
+        sites.push(start_instance(name, contents, &sites).await);
     }
     for site in &sites {
         while site.relay.desk().members() < sites.len() {
@@ -55,9 +56,9 @@
 }
 
 /// Starts an instance that knows the addresses of others.
-async fn joining(name: &str, kept: &Kept, others: &[Site]) -> Site {
+async fn start_instance(name: &str, contents: &StoreContents, others: &[Site]) -> Site {
     let seeds: Vec<SocketAddr> = others.iter().map(|site| site.relay.desk().settings.listeners.news).collect();
-    Site::open_with(kept.clone(), |settings| {
+    Site::start_with(contents.clone(), |settings| {
         settings.instance = name.into();
         settings.seeds = seeds;
     })
@@ -65,32 +66,37 @@
 }
 
 /// Returns the number of deadly requests that endpoints have received.
-fn reached(servers: &[Server]) -> usize {
-    servers.iter().flat_map(Server::seen).filter(|request| request.contains(DEADLY)).count()
+fn deadly_request_count(servers: &[Server]) -> usize {
+    servers.iter().flat_map(Server::requests).filter(|request| request.contains(DEADLY)).count()
 }
 
-async fn call(site: &Site, path: &str, body: &str) -> caller::Got {
+async fn call(site: &Site, path: &str, body: &str) -> caller::Response {
     caller::call(site.front(), "POST", path, "", body).await
 }
 
-fn sound_stream() -> Act {
-    Act::Write(stream_head(90) + &event(1) + END)
+fn complete_stream() -> Action {
+    Action::Write(stream_head(90) + &event(1) + LAST_CHUNK)
 }
 
 /// A caller repeats a request that crashes endpoints. Each repeat took down three more of them,
 /// along with everything they ran, until none was left.
 #[tokio::test]
 async fn request_that_crashes_endpoints_is_refused() {
-    let servers = endpoints(12, &(stream_head(90) + &event(1)), sound_stream()).await;
-    let site = Site::open_with(kept(vec![route("/s/", RESUMABLE)], &servers), |_| {}).await;
+    let servers = start_endpoints(12, &(stream_head(90) + &event(1)), complete_stream()).await;
+    let site = Site::start_with(store_contents(vec![route("/s/", RESUMABLE)], &servers), |_| {}).await;
     for _ in 0..6 {
         call(&site, "/s/x", DEADLY).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(reached(&servers) <= MOST, "sent {} times", reached(&servers));
+    assert!(
+        deadly_request_count(&servers) <= MAX_CRASHES,
+        "deadly request sent {} times",
+        deadly_request_count(&servers)
+    );
     let refused = call(&site, "/s/x", DEADLY).await;
     assert_eq!(refused.status, 503, "{refused:?}");
-    let after: f64 = refused.header("retry-after").expect("it says when").parse().unwrap();
+    let after: f64 =
+        refused.header("retry-after").expect("the response should have a retry-after header").parse().unwrap();
     assert!(after > 60.0, "{after}");
     // Other requests on the same path are served.
     assert_eq!(call(&site, "/s/x", "harmless").await.status, 200);
@@ -99,13 +105,19 @@
 /// The caller repeats the request at other instances, which had not seen it and forwarded it.
 #[tokio::test]
 async fn request_that_crashes_endpoints_is_refused_by_all_instances() {
-    let servers = endpoints(20, &(stream_head(90) + &event(1)), sound_stream()).await;
-    let sites = instances(&["here", "there", "elsewhere"], &kept(vec![route("/s/", RESUMABLE)], &servers)).await;
+    let servers = start_endpoints(20, &(stream_head(90) + &event(1)), complete_stream()).await;
+    let sites =
+        start_instances(&["here", "there", "elsewhere"], &store_contents(vec![route("/s/", RESUMABLE)], &servers))
+            .await;
     for turn in 0..6 {
         call(&sites[turn % sites.len()], "/s/x", DEADLY).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(reached(&servers) <= MOST, "sent {} times", reached(&servers));
+    assert!(
+        deadly_request_count(&servers) <= MAX_CRASHES,
+        "deadly request sent {} times",
+        deadly_request_count(&servers)
+    );
     for site in &sites {
         assert_eq!(call(site, "/s/x", DEADLY).await.status, 503);
         assert_eq!(call(site, "/s/x", "harmless").await.status, 200);
@@ -115,56 +127,56 @@
 /// An instance starts after the request was quarantined. It only learned of that by three more
 /// crashes.
 #[tokio::test]
-async fn instance_that_starts_later_refuses_it_too() {
-    let servers = endpoints(20, &(stream_head(90) + &event(1)), sound_stream()).await;
-    let kept = kept(vec![route("/s/", RESUMABLE)], &servers);
-    let mut sites = instances(&["here", "there"], &kept).await;
+async fn instance_that_starts_later_refuses_a_quarantined_request() {
+    let servers = start_endpoints(20, &(stream_head(90) + &event(1)), complete_stream()).await;
+    let contents = store_contents(vec![route("/s/", RESUMABLE)], &servers);
+    let mut sites = start_instances(&["here", "there"], &contents).await;
     for _ in 0..2 {
         call(&sites[0], "/s/x", DEADLY).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let before = reached(&servers);
-    sites.push(joining("late", &kept, &sites).await);
+    let before = deadly_request_count(&servers);
+    sites.push(start_instance("late", &contents, &sites).await);
     while sites[2].relay.desk().members() < 3 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(call(&sites[2], "/s/x", DEADLY).await.status, 503);
-    assert_eq!(reached(&servers), before);
+    assert_eq!(deadly_request_count(&servers), before);
 }
 
 /// All instances crash at once and restart. They had no record of the request, and only learned
 /// of it by three more crashes.
 #[tokio::test]
-async fn refusal_outlives_all_instances() {
-    let servers = endpoints(20, &(stream_head(90) + &event(1)), sound_stream()).await;
-    let lost = Site::open_with(kept(vec![route("/s/", RESUMABLE)], &servers), |_| {}).await;
+async fn quarantine_survives_the_restart_of_all_instances() {
+    let servers = start_endpoints(20, &(stream_head(90) + &event(1)), complete_stream()).await;
+    let first_site = Site::start_with(store_contents(vec![route("/s/", RESUMABLE)], &servers), |_| {}).await;
     for _ in 0..2 {
-        call(&lost, "/s/x", DEADLY).await;
+        call(&first_site, "/s/x", DEADLY).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let before = reached(&servers);
-    let store = Arc::clone(&lost.store);
-    drop(lost);
-    let site = Site::open_on(store, settings()).await;
+    let before = deadly_request_count(&servers);
+    let store = Arc::clone(&first_site.store);
+    drop(first_site);
+    let site = Site::start_on(store, settings()).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(call(&site, "/s/x", DEADLY).await.status, 503);
-    assert_eq!(reached(&servers), before);
+    assert_eq!(deadly_request_count(&servers), before);
 }
 
 /// The store refuses calls while a request is being quarantined. The record has to be written
 /// later, because all instances may be lost afterwards.
 #[tokio::test]
-async fn refusal_is_written_once_the_store_is_back() {
-    let servers = endpoints(20, &(stream_head(90) + &event(1)), sound_stream()).await;
-    let site = Site::open_with(kept(vec![route("/s/", RESUMABLE)], &servers), |_| {}).await;
-    site.store.change(|kept| kept.refuses = true);
+async fn quarantine_is_written_once_the_store_accepts_writes() {
+    let servers = start_endpoints(20, &(stream_head(90) + &event(1)), complete_stream()).await;
+    let site = Site::start_with(store_contents(vec![route("/s/", RESUMABLE)], &servers), |_| {}).await;
+    site.store.change(|contents| contents.refuses = true);
     for _ in 0..2 {
         call(&site, "/s/x", DEADLY).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert!(site.store.refused().is_empty());
-    site.store.change(|kept| kept.refuses = false);
+    site.store.change(|contents| contents.refuses = false);
     while site.store.refused().is_empty() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -172,10 +184,10 @@
 
 /// An expired record quarantines nothing, and is deleted from the store.
 #[tokio::test]
-async fn lapsed_refusal_is_taken_back() {
+async fn expired_quarantine_record_is_deleted() {
     let refused = Refused { content: Content { team: 1, work: 2 }, since: 1_000 };
-    let kept = Kept { refused: vec![refused], ..kept(vec![route("/s/", RESUMABLE)], &[]) };
-    let site = Site::open_with(kept, |_| {}).await;
+    let contents = StoreContents { refused: vec![refused], ..store_contents(vec![route("/s/", RESUMABLE)], &[]) };
+    let site = Site::start_with(contents, |_| {}).await;
     while !site.store.refused().is_empty() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -187,69 +199,75 @@
 #[tokio::test]
 async fn popular_request_is_served_after_a_mass_crash() {
     let slow: Vec<String> =
-        std::iter::once(stream_head(90)).chain((1..=6).map(event)).chain([END.to_owned()]).collect();
-    let servers = endpoints(8, "", Act::Slowly(slow)).await;
-    let sites = instances(&["here", "there"], &kept(vec![route("/s/", RESUMABLE)], &servers)).await;
+        std::iter::once(stream_head(90)).chain((1..=6).map(event)).chain([LAST_CHUNK.to_owned()]).collect();
+    let servers = start_endpoints(8, "", Action::WriteSlowly(slow)).await;
+    let sites = start_instances(&["here", "there"], &store_contents(vec![route("/s/", RESUMABLE)], &servers)).await;
     for site in &sites {
         assert_eq!(call(site, "/s/x", "popular").await.status, 200);
     }
-    let crowd: Vec<_> = (0..64)
+    let calls: Vec<_> = (0..64)
         .map(|turn| {
             let front = sites[turn % 2].front();
             tokio::spawn(async move { caller::call(front, "POST", "/s/x", "", "popular").await })
         })
         .collect();
-    while servers.iter().any(|server| server.seen().len() < 4) {
+    while servers.iter().any(|server| server.requests().len() < 4) {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     // Sent to the endpoints directly, so that the relay suspects no other request.
     let deadly = caller::request("POST", "/s/x", "", DEADLY);
     futures::future::join_all(servers[..4].iter().map(|server| caller::send(server.address, &deadly))).await;
-    for call in crowd {
-        let got = call.await.unwrap();
-        assert!(got.complete, "{got:?}");
+    for call in calls {
+        let response = call.await.unwrap();
+        assert!(response.complete, "{response:?}");
     }
     for site in &sites {
-        let got = call(site, "/s/x", "popular").await;
-        assert_eq!(got.status, 200, "{got:?}");
+        let response = call(site, "/s/x", "popular").await;
+        assert_eq!(response.status, 200, "{response:?}");
     }
 }
 
-/// The answers of two models to a request were dropped in favour of a larger model's, and its
-/// three endpoints are among many that crash at the same moment. The request did not cause that,
-/// but was quarantined for minutes.
+/// Two answers to a request were dropped in favour of a larger model's, and its three endpoints
+/// are among many that crash at the same moment. The request did not cause that, but was
+/// quarantined for minutes.
 #[tokio::test]
-async fn endpoints_that_crash_together_are_one_crash_to_their_unfinished_runs() {
-    let desk = Desk::new(settings(), dialect());
-    desk.install(catalog(1, vec![route("/s/", RESUMABLE)]));
+async fn endpoints_that_crash_together_count_as_one_crash_of_their_unfinished_request() {
+    let instance = Desk::new(settings(), dialect());
+    instance.install(catalog(1, vec![route("/s/", RESUMABLE)]));
     for id in 0..3 {
-        desk.enlist(endpoint(&format!("e{id}"), ([127, 0, 0, 1], 9 + id).into()));
+        instance.enlist(endpoint(&format!("e{id}"), ([127, 0, 0, 1], 9 + id).into()));
     }
     let content = Content { team: 1, work: 2 };
     let mut keys = Vec::new();
     for _ in 0..3 {
-        let mut run = desk.place(&Job { tried: &keys, ..prompt(None, 100) }).expect("an endpoint");
+        let mut run =
+            instance.place(&Job { tried: &keys, ..prompt_job(None, 100) }).expect("an endpoint should take the job");
         run.sent(content);
         keys.push(run.key);
     }
     for key in &keys {
-        desk.note_crash(*key);
+        instance.note_crash(*key);
     }
-    assert!(desk.suspects(content));
-    assert_eq!(desk.quarantined(content), None);
+    assert!(instance.suspects(content));
+    assert_eq!(instance.quarantined(content), None);
 }
 
 /// A non-idempotent request crashes its endpoint before any response. The relay may not retry
 /// it, so each attempt of its callers crashes one more endpoint.
 #[tokio::test]
-async fn call_that_crashes_endpoints_is_refused() {
-    let servers = endpoints(12, "", Act::Write(whole("ok"))).await;
-    let sites = instances(&["here", "there"], &kept(vec![route("/a/", Kind::NonIdempotent)], &servers)).await;
+async fn non_idempotent_request_that_crashes_endpoints_is_refused() {
+    let servers = start_endpoints(12, "", Action::Write(ok_response("ok"))).await;
+    let sites =
+        start_instances(&["here", "there"], &store_contents(vec![route("/a/", Kind::NonIdempotent)], &servers)).await;
     for turn in 0..10 {
         call(&sites[turn % 2], "/a/x", DEADLY).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(reached(&servers) <= MOST, "sent {} times", reached(&servers));
+    assert!(
+        deadly_request_count(&servers) <= MAX_CRASHES,
+        "deadly request sent {} times",
+        deadly_request_count(&servers)
+    );
     assert_eq!(call(&sites[0], "/a/x", DEADLY).await.status, 503);
     assert_eq!(call(&sites[1], "/a/x", "sheet").await.status, 200);
 }
@@ -258,29 +276,33 @@
 /// that: the relay has closed the connection by then and does not see it break.
 #[tokio::test]
 async fn crash_after_an_answer_was_dropped_counts() {
-    let servers = endpoints(20, &(stream_head(10) + &event(1)), sound_stream()).await;
-    let site = Site::open_with(kept(vec![laddered("/s/")], &servers), |_| {}).await;
-    let prompt = "X-Tokens: 100,10\r\nX-Model: *\r\nX-Parts: a:50,b:50\r\n";
+    let servers = start_endpoints(20, &(stream_head(10) + &event(1)), complete_stream()).await;
+    let site = Site::start_with(store_contents(vec![cascade_route("/s/")], &servers), |_| {}).await;
+    let headers = "X-Tokens: 100,10\r\nX-Model: *\r\nX-Parts: a:50,b:50\r\n";
     for _ in 0..6 {
-        caller::call(site.front(), "POST", "/s/x", prompt, DEADLY).await;
+        caller::call(site.front(), "POST", "/s/x", headers, DEADLY).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(reached(&servers) <= MOST, "sent {} times", reached(&servers));
+    assert!(
+        deadly_request_count(&servers) <= MAX_CRASHES,
+        "deadly request sent {} times",
+        deadly_request_count(&servers)
+    );
 }
 
 /// Connections break repeatedly under a request while the endpoints stay alive. The fault is in
 /// the network or the endpoints, so the request is still forwarded.
 #[tokio::test]
-async fn broken_connections_to_living_endpoints_count_for_nothing() {
-    let torn = Act::Reset(stream_head(90) + &event(1));
+async fn broken_connections_to_live_endpoints_do_not_count_as_crashes() {
+    let reset = Action::Reset(stream_head(90) + &event(1));
     let mut servers = Vec::new();
     for _ in 0..4 {
-        servers.push(Server::open(vec![torn.clone(), torn.clone(), torn.clone(), sound_stream()]).await);
+        servers.push(Server::start(vec![reset.clone(), reset.clone(), reset.clone(), complete_stream()]).await);
     }
-    let site = Site::open_with(kept(vec![route("/s/", RESUMABLE)], &servers), |_| {}).await;
+    let site = Site::start_with(store_contents(vec![route("/s/", RESUMABLE)], &servers), |_| {}).await;
     for _ in 0..5 {
-        let got = call(&site, "/s/x", "prompt").await;
-        assert_eq!(got.status, 200, "{got:?}");
+        let response = call(&site, "/s/x", "prompt").await;
+        assert_eq!(response.status, 200, "{response:?}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -288,30 +310,30 @@
 /// Requests that run beside the deadly one lose their endpoints as often as it does. In between
 /// they complete, which shows that they do not crash endpoints.
 #[tokio::test]
-async fn request_that_ends_well_in_between_is_served_on() {
-    let begun = stream_head(90) + &event(1);
-    let slow = std::iter::once(begun.clone()).chain((2..=12).map(event)).chain([END.to_owned()]).collect();
-    let servers = endpoints(4, &begun, Act::Slowly(slow)).await;
-    let sound = Server::open(vec![sound_stream()]).await;
-    let site = Site::open_with(kept(vec![route("/s/", RESUMABLE)], &servers[..1]), |_| {}).await;
+async fn request_that_completes_between_crashes_is_not_quarantined() {
+    let partial = stream_head(90) + &event(1);
+    let slow = std::iter::once(partial.clone()).chain((2..=12).map(event)).chain([LAST_CHUNK.to_owned()]).collect();
+    let servers = start_endpoints(4, &partial, Action::WriteSlowly(slow)).await;
+    let healthy = Server::start(vec![complete_stream()]).await;
+    let site = Site::start_with(store_contents(vec![route("/s/", RESUMABLE)], &servers[..1]), |_| {}).await;
     for (turn, server) in servers.iter().enumerate() {
         list_only(&site, endpoint(&format!("e{turn}"), server.address)).await;
         let front = site.front();
         let beside = tokio::spawn(async move { caller::call(front, "POST", "/s/x", "", "beside").await });
-        while !server.seen().iter().any(|request| request.contains("beside")) {
+        while !server.requests().iter().any(|request| request.contains("beside")) {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         call(&site, "/s/x", &format!("{DEADLY} {turn}")).await;
-        list_only(&site, endpoint(&format!("sound{turn}"), sound.address)).await;
+        list_only(&site, endpoint(&format!("sound{turn}"), healthy.address)).await;
         beside.await.unwrap();
-        let got = call(&site, "/s/x", "beside").await;
-        assert_eq!(got.status, 200, "after {turn} crashes: {got:?}");
+        let response = call(&site, "/s/x", "beside").await;
+        assert_eq!(response.status, 200, "after {turn} crashes: {response:?}");
     }
 }
 
 async fn list_only(site: &Site, only: relay::source::Endpoint) {
     let id = only.id.clone();
-    site.store.change(|kept| kept.endpoints = vec![only]);
+    site.store.change(|contents| contents.endpoints = vec![only]);
     while site.relay.desk().enlisted() != [id.as_str()] {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
--- a/crates/relay/tests/it/large_pool.rs
+++ b/crates/relay/tests/it/large_pool.rs
@@ -12,69 +12,69 @@
 };
 
 use crate::{
-    notices::prompt,
+    notices::prompt_job,
     site::{SERVICE, catalog, dialect, endpoint, route, settings},
 };
 
 const ENDPOINTS: u16 = 400;
 
-/// Returns an instance that knows 400 endpoints; every hundredth has version v2.
-fn knowing() -> Arc<Desk> {
-    let desk = Desk::new(settings(), dialect());
-    desk.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
+/// Returns an instance that knows 400 endpoints; every hundredth has the older version, v2.
+fn instance_with_large_pool() -> Arc<Desk> {
+    let instance = Desk::new(settings(), dialect());
+    instance.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
     for number in 0..ENDPOINTS {
         let version = if number % 100 == 99 { "v2" } else { "v1" };
         let domain = if number % 6 == 0 { "tartu-a" } else { "voru" };
         let registered = endpoint(&format!("e{number}"), ([127, 0, 0, 1], 1_000 + number).into());
-        desk.enlist(relay::source::Endpoint { version: version.into(), domain: domain.into(), ..registered });
+        instance.enlist(relay::source::Endpoint { version: version.into(), domain: domain.into(), ..registered });
     }
-    desk
+    instance
 }
 
 /// Some endpoints of a large pool were never sampled, and the others carried their load.
 #[test]
-fn load_is_spread_over_all() {
-    let desk = knowing();
-    let under_way: Vec<_> =
-        (0..8_000).map(|session| desk.place(&Job { session, ..prompt(None, 10) }).unwrap()).collect();
+fn load_is_spread_over_all_endpoints() {
+    let instance = instance_with_large_pool();
+    let runs: Vec<_> =
+        (0..8_000).map(|session| instance.place(&Job { session, ..prompt_job(None, 10) }).unwrap()).collect();
     let mut placed: HashMap<&str, usize> = HashMap::new();
-    for run in &under_way {
+    for run in &runs {
         *placed.entry(&run.endpoint.id).or_default() += 1;
     }
     assert_eq!(placed.len(), usize::from(ENDPOINTS - ENDPOINTS / 100));
 }
 
-/// The holder of a shared part is one of hundreds, and usually not in the sample.
+/// The holder of a shared part is one of hundreds, and need not be in the sample.
 #[test]
-fn holder_is_found_among_many() {
-    let desk = knowing();
+fn holder_of_a_shared_part_is_found_in_a_large_pool() {
+    let instance = instance_with_large_pool();
     for number in [7, 198, 311] {
         let endpoint = format!("e{number}");
-        desk.take_notice(Notice { endpoint: short_hash(&endpoint), reading_ms: 0.0, part: Some(number) });
-        let run = desk.place(&prompt(Some(number.into()), 100)).unwrap();
+        instance.take_notice(Notice { endpoint: short_hash(&endpoint), reading_ms: 0.0, part: Some(number) });
+        let run = instance.place(&prompt_job(Some(number.into()), 100)).unwrap();
         assert!(run.endpoint.id == endpoint && run.choice.preferred);
     }
 }
 
 /// Sessions stay on the old version, which only four of four hundred endpoints still have.
 #[test]
-fn rare_version_is_found_among_many() {
-    let desk = knowing();
+fn rare_version_is_found_in_a_large_pool() {
+    let instance = instance_with_large_pool();
     let over = Duration::from_mins(1);
-    desk.order(Rollout { service: SERVICE.into(), target: "v1".into(), over, stage: None, revision: 1 });
+    instance.order(Rollout { service: SERVICE.into(), target: "v1".into(), over, stage: None, revision: 1 });
     for session in 0..50 {
-        let run = desk.place(&Job { session, ..prompt(None, 10) }).unwrap();
+        let run = instance.place(&Job { session, ..prompt_job(None, 10) }).unwrap();
         assert_eq!(run.endpoint.version, "v2");
     }
 }
 
 /// Endpoints at which a request has already failed are not sampled for it again.
 #[test]
-fn tried_ones_are_not_drawn_again() {
-    let desk = knowing();
+fn tried_endpoints_are_not_chosen_again() {
+    let instance = instance_with_large_pool();
     let mut tried = Vec::new();
     for session in 0..60 {
-        let run = desk.place(&Job { session, tried: &tried, ..prompt(None, 10) }).unwrap();
+        let run = instance.place(&Job { session, tried: &tried, ..prompt_job(None, 10) }).unwrap();
         assert!(!tried.contains(&run.key));
         tried.push(run.key);
     }
@@ -82,14 +82,14 @@
 
 /// An endpoint that began to drain or was removed since the last decision is not chosen.
 #[test]
-fn leaving_one_is_not_drawn() {
-    let desk = knowing();
-    let part = prompt(Some(3), 100);
-    desk.take_notice(Notice { endpoint: short_hash("e5"), reading_ms: 0.0, part: Some(3) });
-    assert_eq!(desk.place(&part).unwrap().endpoint.id, "e5");
+fn leaving_endpoint_is_not_chosen() {
+    let instance = instance_with_large_pool();
+    let part = prompt_job(Some(3), 100);
+    instance.take_notice(Notice { endpoint: short_hash("e5"), reading_ms: 0.0, part: Some(3) });
+    assert_eq!(instance.place(&part).unwrap().endpoint.id, "e5");
     let registered = endpoint("e5", ([127, 0, 0, 1], 1_005).into());
-    desk.enlist(relay::source::Endpoint { draining: true, cold: Duration::ZERO, revision: 9, ..registered });
-    assert_ne!(desk.place(&part).unwrap().endpoint.id, "e5");
-    desk.delist("e5");
-    assert_ne!(desk.place(&part).unwrap().endpoint.id, "e5");
+    instance.enlist(relay::source::Endpoint { draining: true, cold: Duration::ZERO, revision: 9, ..registered });
+    assert_ne!(instance.place(&part).unwrap().endpoint.id, "e5");
+    instance.delist("e5");
+    assert_ne!(instance.place(&part).unwrap().endpoint.id, "e5");
 }
--- a/crates/relay/tests/it/lost.rs
+++ b/crates/relay/tests/it/lost_endpoints.rs
@@ -7,20 +7,20 @@
 
 use crate::{
     caller,
-    server::{Act, Server, whole},
-    site::{Kept, Site, catalog, endpoint, route},
+    server::{Action, Server, ok_response},
+    site::{Site, StoreContents, catalog, endpoint, route},
 };
 
 /// Starts a relay in front of endpoints, of which only the last is in another failure domain.
-async fn open(kind: Kind, addresses: &[SocketAddr]) -> Site {
+async fn start(kind: Kind, addresses: &[SocketAddr]) -> Site {
     let mut endpoints: Vec<_> = addresses.iter().enumerate().map(|(n, at)| endpoint(&format!("e{n}"), *at)).collect();
     endpoints.last_mut().expect("at least one endpoint").domain = "voru".into();
     let catalog = catalog(1, vec![route("/a/", kind)]);
-    Site::open_with(Kept { catalog: Some(catalog), endpoints, ..Kept::default() }, |_| {}).await
+    Site::start_with(StoreContents { catalog: Some(catalog), endpoints, ..StoreContents::default() }, |_| {}).await
 }
 
 /// Returns an address at which nothing listens.
-async fn closed() -> SocketAddr {
+async fn closed_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap()
 }
 
@@ -28,16 +28,16 @@
 /// Several attempts of a request are refused a connection, each within a millisecond, and the
 /// request failed though the remaining servers could run it.
 #[tokio::test]
-async fn request_gets_past_many_closed_endpoints() {
-    let server = Server::open(vec![Act::Write(whole("ok"))]).await;
+async fn request_succeeds_despite_many_closed_endpoints() {
+    let server = Server::start(vec![Action::Write(ok_response("ok"))]).await;
     let mut addresses = Vec::new();
     for _ in 0..8 {
-        addresses.push(closed().await);
+        addresses.push(closed_address().await);
     }
     addresses.push(server.address);
-    let site = open(Kind::NonIdempotent, &addresses).await;
-    let got = caller::call(site.front(), "POST", "/a/x", "", "sheet").await;
-    assert_eq!((got.status, got.body.as_str()), (200, "ok"), "{got:?}");
+    let site = start(Kind::NonIdempotent, &addresses).await;
+    let response = caller::call(site.front(), "POST", "/a/x", "", "sheet").await;
+    assert_eq!((response.status, response.body.as_str()), (200, "ok"), "{response:?}");
 }
 
 /// A server crashes and restarts at its address under a new name, while the store lists the old
@@ -45,17 +45,17 @@
 /// server, so every request tried it again and used up its attempts; it has to back off as from
 /// an endpoint that cannot be reached.
 #[tokio::test]
-async fn replaced_endpoint_is_left_alone() {
+async fn replaced_endpoint_is_in_backoff() {
     let moved = "HTTP/1.1 421 X\r\nx-request: {id}\r\ncontent-length: 0\r\n\r\n";
-    let replaced = Server::open(vec![Act::Write(moved.into())]).await;
-    let sound = Server::open(vec![Act::Write(whole("ok"))]).await;
-    let site = open(Kind::NonIdempotent, &[replaced.address, sound.address]).await;
+    let replaced = Server::start(vec![Action::Write(moved.into())]).await;
+    let healthy = Server::start(vec![Action::Write(ok_response("ok"))]).await;
+    let site = start(Kind::NonIdempotent, &[replaced.address, healthy.address]).await;
     for _ in 0..6 {
-        let got = caller::call(site.front(), "POST", "/a/x", "", "sheet").await;
-        assert_eq!(got.status, 200, "{got:?}");
+        let response = caller::call(site.front(), "POST", "/a/x", "", "sheet").await;
+        assert_eq!(response.status, 200, "{response:?}");
         // Longer than a server counts as full after it has refused a request.
         tokio::time::sleep(Duration::from_millis(180)).await;
     }
-    let asked = replaced.seen().len();
-    assert!(asked <= 3, "asked {asked} times within a second");
+    let attempts = replaced.requests().len();
+    assert!(attempts <= 3, "{attempts} attempts within about a second");
 }
--- a/crates/relay/tests/it/main.rs
+++ b/crates/relay/tests/it/main.rs
@@ -2,22 +2,22 @@
 //! endpoints that fail on purpose.
 
 mod answers;
-mod behind;
 mod caches;
 mod caller;
 mod crashes;
-mod foreign;
 mod large_pool;
-mod leaving;
 mod limits;
-mod lost;
+mod lost_endpoints;
 mod notices;
 mod proofs;
 mod requests;
 mod restarts;
 mod rollouts;
 mod server;
+mod shutdown;
 mod site;
-mod starting;
+mod stale_catalog;
+mod startup;
 mod streams;
-mod track;
+mod synchronization;
+mod unreadable_registrations;
--- a/crates/relay/tests/it/notices.rs
+++ b/crates/relay/tests/it/notices.rs
@@ -15,28 +15,28 @@
 
 use crate::{
     caller,
-    server::{Act, Server, header, whole},
-    site::{Kept, SERVICE, Site, catalog, dialect, endpoint, route, settings},
+    server::{Action, Server, header, ok_response},
+    site::{SERVICE, Site, StoreContents, catalog, dialect, endpoint, route, settings},
 };
 
 const ENDPOINTS: [&str; 3] = ["e0", "e1", "e2"];
 
 /// First byte of a datagram of notices.
-const NOTICES: u8 = 3;
+const NOTICES_TAG: u8 = 3;
 
 /// Returns an instance that knows three endpoints and another instance.
-fn knowing() -> Arc<Desk> {
-    let desk = Desk::new(settings(), dialect());
-    desk.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
+fn instance_with_endpoints() -> Arc<Desk> {
+    let instance = Desk::new(settings(), dialect());
+    instance.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
     for (id, port) in ENDPOINTS.into_iter().zip(9..) {
-        desk.enlist(endpoint(id, ([127, 0, 0, 1], port).into()));
+        instance.enlist(endpoint(id, ([127, 0, 0, 1], port).into()));
     }
-    desk.hear("other", ([127, 0, 0, 1], 1).into(), Word { pause: Duration::from_mins(1), ..Word::default() });
-    desk
+    instance.hear("other", ([127, 0, 0, 1], 1).into(), Word { pause: Duration::from_mins(1), ..Word::default() });
+    instance
 }
 
 /// Returns a job whose last shared part is `part`, if it has one.
-pub fn prompt(part: Option<u64>, own_tokens: u32) -> Job<'static> {
+pub fn prompt_job(part: Option<u64>, own_tokens: u32) -> Job<'static> {
     Job {
         service: SERVICE,
         model: Some(0),
@@ -56,44 +56,44 @@
 /// another instance would wait behind it until the next status update arrives; after a notice
 /// they go to the other endpoints.
 #[tokio::test]
-async fn long_prompt_of_another_instance_is_passed_by() {
-    let (here, there) = (knowing(), knowing());
-    let run = here.place(&prompt(None, 10_000)).unwrap();
+async fn requests_avoid_an_endpoint_with_a_long_prompt_of_another_instance() {
+    let (here, there) = (instance_with_endpoints(), instance_with_endpoints());
+    let run = here.place(&prompt_job(None, 10_000)).unwrap();
     let notices = here.notices().await;
     assert_eq!(notices.len(), 1);
     for notice in notices {
         there.take_notice(notice);
     }
     for _ in 0..50 {
-        assert_ne!(there.place(&prompt(None, 100)).unwrap().endpoint.id, run.endpoint.id);
+        assert_ne!(there.place(&prompt_job(None, 100)).unwrap().endpoint.id, run.endpoint.id);
     }
 }
 
 /// Load that a notice has announced is left out of the next status update: the other instances
 /// would count it twice.
 #[tokio::test]
-async fn what_was_told_at_once_is_left_out_of_the_news() {
-    let desk = knowing();
-    let long = desk.place(&prompt(None, 10_000)).unwrap();
-    assert_eq!(desk.notices().await.len(), 1);
-    let short = desk.place(&prompt(None, 100)).unwrap();
-    let loads = desk.own_loads();
-    let of = |id: &str| loads.iter().find(|(hash, _)| *hash == short_hash(id)).unwrap().1;
-    assert_eq!((of(&long.endpoint.id).runs, of(&long.endpoint.id).backlog_ms), (1.0, 0.0));
-    assert!(of(&short.endpoint.id).backlog_ms > 0.0);
+async fn load_announced_by_a_notice_is_left_out_of_status_updates() {
+    let instance = instance_with_endpoints();
+    let long = instance.place(&prompt_job(None, 10_000)).unwrap();
+    assert_eq!(instance.notices().await.len(), 1);
+    let short = instance.place(&prompt_job(None, 100)).unwrap();
+    let loads = instance.own_loads();
+    let load_of = |id: &str| loads.iter().find(|(hash, _)| *hash == short_hash(id)).unwrap().1;
+    assert_eq!((load_of(&long.endpoint.id).runs, load_of(&long.endpoint.id).backlog_ms), (1.0, 0.0));
+    assert!(load_of(&short.endpoint.id).backlog_ms > 0.0);
     drop((long, short));
-    assert!(desk.own_loads().is_empty());
+    assert!(instance.own_loads().is_empty());
 }
 
 /// Another instance has sent a shared part to one endpoint. The next request with that part goes
 /// there, whichever endpoint its hash selects.
 #[tokio::test]
-async fn shared_part_is_found_where_another_instance_sent_it() {
+async fn shared_part_is_reused_where_another_instance_sent_it() {
     for id in ENDPOINTS {
-        let desk = knowing();
+        let instance = instance_with_endpoints();
         let part = Some(7);
-        desk.take_notice(Notice { endpoint: short_hash(id), reading_ms: 0.0, part });
-        let run = desk.place(&prompt(part.map(u64::from), 100)).unwrap();
+        instance.take_notice(Notice { endpoint: short_hash(id), reading_ms: 0.0, part });
+        let run = instance.place(&prompt_job(part.map(u64::from), 100)).unwrap();
         assert!(run.endpoint.id == id && run.choice.preferred);
     }
 }
@@ -101,9 +101,9 @@
 /// A notice may name an endpoint that is already gone here, or not known yet.
 #[tokio::test]
 async fn notice_of_an_unknown_endpoint_is_harmless() {
-    let desk = knowing();
-    desk.take_notice(Notice { endpoint: 1, reading_ms: 300.0, part: Some(7) });
-    assert!(desk.place(&prompt(Some(7), 100)).is_some());
+    let instance = instance_with_endpoints();
+    instance.take_notice(Notice { endpoint: 1, reading_ms: 300.0, part: Some(7) });
+    assert!(instance.place(&prompt_job(Some(7), 100)).is_some());
 }
 
 /// The endpoint that has a shared part in its cache is reading a long prompt. The next request
@@ -111,75 +111,79 @@
 /// is not read a second time.
 #[tokio::test]
 async fn shared_part_is_copied_from_its_busy_holder() {
-    let acts = || vec![Act::Write(whole("ok")), Act::Write(whole("ok"))];
-    let servers = [Server::open(acts()).await, Server::open(acts()).await];
+    let actions = || vec![Action::Write(ok_response("ok")), Action::Write(ok_response("ok"))];
+    let servers = [Server::start(actions()).await, Server::start(actions()).await];
     let addresses = servers.each_ref().map(|server| server.address);
-    let site = Site::open(vec![route("/a/", Kind::Idempotent)], &addresses).await;
-    let prompt = "X-Tokens: 6000,20\r\nX-Parts: aa:5000,bb:1000\r\n";
-    assert_eq!(caller::call(site.front(), "POST", "/a/x", prompt, "prompt").await.status, 200);
-    let holder = usize::from(servers[0].seen().is_empty());
+    let site = Site::start(vec![route("/a/", Kind::Idempotent)], &addresses).await;
+    let headers = "X-Tokens: 6000,20\r\nX-Parts: aa:5000,bb:1000\r\n";
+    assert_eq!(caller::call(site.front(), "POST", "/a/x", headers, "prompt").await.status, 200);
+    let holder = usize::from(servers[0].requests().is_empty());
     let busy = Notice { endpoint: short_hash(&format!("e{holder}")), reading_ms: 10_000.0, part: None };
     site.relay.desk().take_notice(busy);
-    assert_eq!(caller::call(site.front(), "POST", "/a/x", prompt, "prompt").await.status, 200);
-    let seen = servers[1 - holder].seen();
-    assert_eq!(header(&seen[0], "x-fetch"), Some(addresses[holder].to_string()));
-    assert_eq!(header(&servers[holder].seen()[0], "x-fetch"), None);
+    assert_eq!(caller::call(site.front(), "POST", "/a/x", headers, "prompt").await.status, 200);
+    let requests = servers[1 - holder].requests();
+    assert_eq!(header(&requests[0], "x-fetch"), Some(addresses[holder].to_string()));
+    assert_eq!(header(&servers[holder].requests()[0], "x-fetch"), None);
 }
 
-/// Adds `each` instances in each of three failure domains, all at one address; the first of each
-/// domain has the most cores.
-fn meet_many(desk: &Desk, each: u16, news: SocketAddr) {
+/// Adds `per_domain` instances in each of three failure domains, all at one address; the first of
+/// each domain has the most cores.
+fn add_instances(instance: &Desk, per_domain: u16, news: SocketAddr) {
     for domain in ["tartu-a", "tartu-b", "voru"] {
-        for number in 0..each {
+        for number in 0..per_domain {
             let cores = Cores(if number == 0 { 50 } else { 12 });
-            let word = Word { domain: domain.into(), cores, pause: Duration::from_mins(1), ..Word::default() };
-            desk.hear(&format!("{domain}-{number}"), news, word);
+            let update = Word { domain: domain.into(), cores, pause: Duration::from_mins(1), ..Word::default() };
+            instance.hear(&format!("{domain}-{number}"), news, update);
         }
     }
     // Forwarding instances are selected with each round of status updates.
-    let _ = desk.audience(0, 16);
+    let _ = instance.audience(0, 16);
 }
 
 /// A notice of each long prompt went to each of 294 other instances: fifty thousand datagrams a
 /// second over the fleet, a third of its processor time.
 #[test]
-fn long_prompt_takes_a_datagram_a_failure_domain_in_a_large_fleet() {
-    let (small, large) = (knowing(), knowing());
-    meet_many(&small, 20, ([127, 0, 0, 1], 2).into());
-    meet_many(&large, 98, ([127, 0, 0, 1], 2).into());
+fn notices_go_to_few_forwarding_instances_in_a_large_fleet() {
+    let (small, large) = (instance_with_endpoints(), instance_with_endpoints());
+    add_instances(&small, 20, ([127, 0, 0, 1], 2).into());
+    add_instances(&large, 98, ([127, 0, 0, 1], 2).into());
     assert!(matches!(small.notice_audience(), Audience::All(all) if all.len() == 61));
     assert!(matches!(large.notice_audience(), Audience::Relays(relays) if relays.len() == 4));
 }
 
 /// A forwarding instance passes a notice on to its neighbours, and counts the load itself.
 #[tokio::test]
-async fn relay_passes_a_notice_on() {
+async fn forwarding_instance_passes_a_notice_on() {
     let neighbours = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let at = neighbours.local_addr().unwrap();
-    let open = async |name: &str, cores| {
+    let address = neighbours.local_addr().unwrap();
+    let start = async |name: &str, cores| {
         let server = endpoint("e0", ([127, 0, 0, 1], 9).into());
-        let kept = Kept { endpoints: vec![server], catalog: Some(catalog(1, Vec::new())), ..Kept::default() };
-        let site = Site::open_with(kept, |settings| {
+        let contents = StoreContents {
+            endpoints: vec![server],
+            catalog: Some(catalog(1, Vec::new())),
+            ..StoreContents::default()
+        };
+        let site = Site::start_with(contents, |settings| {
             settings.instance = name.into();
             settings.cores = cores;
         });
         site.await
     };
-    let (here, relay) = (open("a", Cores(12)).await, open("b", Cores(400)).await);
-    let word = Word { domain: "tartu-a".into(), cores: Cores(400), pause: Duration::from_mins(1), ..Word::default() };
-    here.relay.desk().hear("b", relay.relay.desk().settings.listeners.news, word);
+    let (here, relay) = (start("a", Cores(12)).await, start("b", Cores(400)).await);
+    let update = Word { domain: "tartu-a".into(), cores: Cores(400), pause: Duration::from_mins(1), ..Word::default() };
+    here.relay.desk().hear("b", relay.relay.desk().settings.listeners.news, update);
     for site in [&here, &relay] {
-        meet_many(site.relay.desk(), 40, at);
+        add_instances(site.relay.desk(), 40, address);
     }
-    let job = prompt(None, 10_000);
+    let job = prompt_job(None, 10_000);
     let before = relay.relay.desk().expect(&job).unwrap();
     let _run = here.relay.desk().place(&job).unwrap();
     let passed_on = async {
         let mut buffer = [0; 2_048];
-        while buffer[0] != NOTICES {
+        while buffer[0] != NOTICES_TAG {
             neighbours.recv(&mut buffer).await.unwrap();
         }
     };
-    timeout(Duration::from_secs(5), passed_on).await.expect("neighbours are told");
+    timeout(Duration::from_secs(5), passed_on).await.expect("the notice should reach the neighbours");
     assert!(relay.relay.desk().expect(&job).unwrap() > before + 100.0);
 }
--- a/crates/relay/tests/it/proofs.rs
+++ b/crates/relay/tests/it/proofs.rs
@@ -18,26 +18,29 @@
 use world::hash;
 
 use crate::{
-    site::{Kept, Site, catalog, dialect, route, settings},
-    track::knowing,
+    site::{Site, StoreContents, catalog, dialect, route, settings},
+    synchronization::instance_with_catalog,
 };
 
 /// Time to transfer the catalog: half a megabyte over 10 Mbit/s.
 const TRANSFER: Duration = Duration::from_millis(450);
 
 /// Pause between questions to an instance that watches the store.
-const ASK: Duration = Duration::from_millis(350);
+const QUESTION_PAUSE: Duration = Duration::from_millis(350);
 
 /// Pause between status updates.
-const HEARD_EACH: Duration = Duration::from_millis(250);
+const UPDATE_PAUSE: Duration = Duration::from_millis(250);
 
 /// Duration of a test; spans several reads and watches of the catalog.
-const WATCHED: Duration = Duration::from_secs(7);
+const TEST_TIME: Duration = Duration::from_secs(7);
 
-async fn open() -> Site {
-    let kept =
-        Kept { catalog: Some(catalog(1, vec![route("/a/", Kind::Idempotent)])), transfer: TRANSFER, ..Kept::default() };
-    Site::open_with(kept, |_| {}).await
+async fn start() -> Site {
+    let contents = StoreContents {
+        catalog: Some(catalog(1, vec![route("/a/", Kind::Idempotent)])),
+        transfer: TRANSFER,
+        ..StoreContents::default()
+    };
+    Site::start_with(contents, |_| {}).await
 }
 
 /// An instance with a narrow link watches the store. It read the whole catalog once a second to
@@ -45,17 +48,17 @@
 /// watched the store themselves and read the catalog as often, their links were full, callers
 /// got slow responses, and a change was read too late.
 #[tokio::test]
-async fn instance_with_a_narrow_link_keeps_others_in_step() {
-    let site = open().await;
-    let (watcher, other) = (site.relay.desk(), knowing(1));
-    let begun = Instant::now();
-    while begun.elapsed() < WATCHED {
+async fn instance_with_a_narrow_link_keeps_others_synchronized() {
+    let site = start().await;
+    let (watcher, other) = (site.relay.desk(), instance_with_catalog(1));
+    let started_at = Instant::now();
+    while started_at.elapsed() < TEST_TIME {
         if let Some(reply) = watcher.reply(other.question(), 60) {
             other.take_reply(clock::now(), reply);
-            assert!(other.led(), "not led after {:?}", begun.elapsed());
-            assert!(other.fresh(), "no proof of access keys after {:?}", begun.elapsed());
+            assert!(other.led(), "not synchronized after {:?}", started_at.elapsed());
+            assert!(other.fresh(), "no proof of access keys after {:?}", started_at.elapsed());
         }
-        sleep(ASK).await;
+        sleep(QUESTION_PAUSE).await;
     }
     assert!(other.led());
 }
@@ -63,11 +66,11 @@
 /// Reads of the catalog as proofs must leave most of the link to callers.
 #[tokio::test]
 async fn proofs_take_a_small_part_of_the_link() {
-    let site = open().await;
-    let begun = Instant::now();
-    sleep(WATCHED).await;
+    let site = start().await;
+    let started_at = Instant::now();
+    sleep(TEST_TIME).await;
     let reads = u32::try_from(site.store.catalog_reads.load(Ordering::Relaxed)).unwrap();
-    assert!(TRANSFER * reads < begun.elapsed() / 4, "{reads} readings in {:?}", begun.elapsed());
+    assert!(TRANSFER * reads < started_at.elapsed() / 4, "{reads} reads in {:?}", started_at.elapsed());
 }
 
 /// Checks whether instance `here` is to watch the store and keep the others synchronized, given
@@ -78,14 +81,14 @@
     names.sort_by_key(|name| hash::stable(name.as_bytes()));
     let name = |place: &str| names[place.parse::<usize>().unwrap()];
     let settings = relay::Settings { instance: name(here).into(), ..settings() };
-    let desk = Desk::new(settings, dialect());
-    desk.note_narrow(is_narrow);
+    let instance = Desk::new(settings, dialect());
+    instance.note_narrow(is_narrow);
     for (place, is_narrow) in others {
-        let word =
-            Word { run: 1, phase: Phase::Ready, in_touch: true, is_narrow, pause: HEARD_EACH, ..Word::default() };
-        desk.hear(name(place), ([127, 0, 0, 7], 7).into(), word);
+        let update =
+            Word { run: 1, phase: Phase::Ready, in_touch: true, is_narrow, pause: UPDATE_PAUSE, ..Word::default() };
+        instance.hear(name(place), ([127, 0, 0, 7], 7).into(), update);
     }
-    assert_eq!(desk.watches_store(), watches);
+    assert_eq!(instance.watches_store(), watches);
 }
 
 macro_rules! watching {
@@ -102,10 +105,10 @@
 // with links of 10 Mbit/s received it a second late, and so did all others, though some of those
 // had wide links.
 watching! {
-    among_alike_the_first_two_watch: "1", false, [("0", false), ("2", false), ("3", false)] => true;
-    among_alike_the_third_does_not: "2", false, [("0", false), ("1", false), ("3", false)] => false;
-    narrow_one_leaves_it_to_wide_ones: "0", true, [("1", false), ("2", false), ("3", true)] => false;
-    wide_one_goes_before_narrow_ones: "3", false, [("0", true), ("1", true), ("2", false)] => true;
-    one_wide_link_is_not_enough_for_two: "0", true, [("1", true), ("2", true), ("3", false)] => true;
-    narrow_ones_watch_where_all_are: "1", true, [("0", true), ("2", true), ("3", true)] => true;
+    first_two_of_equal_instances_watch: "1", false, [("0", false), ("2", false), ("3", false)] => true;
+    third_of_equal_instances_does_not_watch: "2", false, [("0", false), ("1", false), ("3", false)] => false;
+    narrow_instance_does_not_watch_beside_two_wide_ones: "0", true, [("1", false), ("2", false), ("3", true)] => false;
+    wide_instance_watches_before_narrow_ones: "3", false, [("0", true), ("1", true), ("2", false)] => true;
+    narrow_instance_watches_beside_a_single_wide_one: "0", true, [("1", true), ("2", true), ("3", false)] => true;
+    narrow_instance_watches_where_all_are_narrow: "1", true, [("0", true), ("2", true), ("3", true)] => true;
 }
--- a/crates/relay/tests/it/requests.rs
+++ b/crates/relay/tests/it/requests.rs
@@ -7,13 +7,13 @@
 
 use crate::{
     caller,
-    server::{Act, Server, header, whole},
-    site::{HOST, KEY, Kept, Site, catalog, endpoint, route},
+    server::{Action, Server, header, ok_response},
+    site::{HOST, KEY, Site, StoreContents, catalog, endpoint, route},
 };
 
-async fn open(kind: Kind) -> (Server, Site) {
-    let server = Server::open(vec![Act::Write(whole("ok"))]).await;
-    let site = Site::open(vec![route("/a/", kind)], &[server.address]).await;
+async fn start(kind: Kind) -> (Server, Site) {
+    let server = Server::start(vec![Action::Write(ok_response("ok"))]).await;
+    let site = Site::start(vec![route("/a/", kind)], &[server.address]).await;
     (server, site)
 }
 
@@ -21,20 +21,20 @@
 /// it is, and of the one endpoint that may run the request, whatever the caller claims in its
 /// headers.
 #[tokio::test]
-async fn endpoint_hears_the_team_and_never_the_key() {
-    let (server, site) = open(Kind::NonIdempotent).await;
+async fn endpoint_receives_the_customer_name_but_not_the_key() {
+    let (server, site) = start(Kind::NonIdempotent).await;
     let forged = "X-Team: others\r\nX-Rank: 0\r\nX-Expect: e9\r\nX-Note: kept\r\nX-Deadline: 4000\r\n";
-    let got = caller::call(site.front(), "POST", "/a/x?y=1", forged, "sheet").await;
-    assert_eq!((got.status, got.body.as_str()), (200, "ok"));
-    let seen = server.seen().remove(0);
-    assert!(seen.starts_with("POST /a/x?y=1 HTTP/1.1"), "{seen}");
-    assert!(seen.ends_with("\r\n\r\nsheet"), "{seen}");
-    assert!(!seen.contains(KEY), "{seen}");
-    assert_eq!(header(&seen, "x-team").as_deref(), Some("club"));
-    assert_eq!(header(&seen, "x-expect").as_deref(), Some("e0"));
-    assert_eq!(header(&seen, "x-note").as_deref(), Some("kept"));
-    assert_eq!(header(&seen, "x-rank"), None);
-    let left: u64 = header(&seen, "x-deadline").unwrap().parse().unwrap();
+    let response = caller::call(site.front(), "POST", "/a/x?y=1", forged, "sheet").await;
+    assert_eq!((response.status, response.body.as_str()), (200, "ok"));
+    let request = server.requests().remove(0);
+    assert!(request.starts_with("POST /a/x?y=1 HTTP/1.1"), "{request}");
+    assert!(request.ends_with("\r\n\r\nsheet"), "{request}");
+    assert!(!request.contains(KEY), "{request}");
+    assert_eq!(header(&request, "x-team").as_deref(), Some("club"));
+    assert_eq!(header(&request, "x-expect").as_deref(), Some("e0"));
+    assert_eq!(header(&request, "x-note").as_deref(), Some("kept"));
+    assert_eq!(header(&request, "x-rank"), None);
+    let left: u64 = header(&request, "x-deadline").unwrap().parse().unwrap();
     assert!((1..=4000).contains(&left), "{left}");
 }
 
@@ -43,10 +43,10 @@
         $(#[$doc])*
         #[tokio::test]
         async fn $name() {
-            let (server, site) = open(Kind::Idempotent).await;
-            let got = caller::send(site.front(), &$bytes).await;
-            assert_eq!(got.status, $status, "{got:?}");
-            assert_eq!(server.seen().len(), 0, "{:?}", server.seen());
+            let (server, site) = start(Kind::Idempotent).await;
+            let response = caller::send(site.front(), &$bytes).await;
+            assert_eq!(response.status, $status, "{response:?}");
+            assert_eq!(server.requests().len(), 0, "{:?}", server.requests());
         }
     )*};
 }
@@ -60,9 +60,9 @@
         caller::request("POST", "/a/x", "", "").replace("Length: 0", &format!("Length: {}", (4 << 20) + 1)) => 413;
     // The two lengths in the head differ; a server that uses the other one sees a second request
     // in the body.
-    length_twice_is_refused:
+    two_content_lengths_are_refused:
         caller::request("POST", "/a/x", "Content-Length: 0\r\n", "GET /a/y HTTP/1.1\r\n\r\n") => 400;
-    odd_length_is_refused: caller::request("POST", "/a/x", "Transfer-Encoding: gzip\r\n", "") => 400;
+    unsupported_transfer_encoding_is_refused: caller::request("POST", "/a/x", "Transfer-Encoding: gzip\r\n", "") => 400;
 }
 
 /// The body of one request contains another: a server that goes by the content length ends the
@@ -70,34 +70,37 @@
 /// with one length.
 #[tokio::test]
 async fn request_hidden_in_a_body_is_not_run() {
-    let (server, site) = open(Kind::Idempotent).await;
+    let (server, site) = start(Kind::Idempotent).await;
     let hidden = "GET /a/hidden HTTP/1.1\r\nHost: x\r\n\r\n";
     let body = format!("{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len());
     let bytes = format!(
         "POST /a/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request: r1\r\nX-Key: {KEY}\r\n\
          Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n{body}"
     );
-    let got = caller::send(site.front(), &bytes).await;
-    assert!(got.status == 200 || got.status == 400, "{got:?}");
+    let response = caller::send(site.front(), &bytes).await;
+    assert!(response.status == 200 || response.status == 400, "{response:?}");
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let seen = server.seen();
-    assert!(seen.len() <= 1, "{seen:?}");
-    assert!(seen.iter().all(|request| request.starts_with("POST /a/x ") && request.ends_with(hidden)), "{seen:?}");
+    let requests = server.requests();
+    assert!(requests.len() <= 1, "{requests:?}");
+    assert!(
+        requests.iter().all(|request| request.starts_with("POST /a/x ") && request.ends_with(hidden)),
+        "{requests:?}"
+    );
 }
 
 /// The caller disconnects while its request runs. The relay closes the connection to the
 /// endpoint, which can then stop working on it.
 #[tokio::test]
-async fn run_ends_when_its_caller_leaves() {
-    let server = Server::open(vec![Act::Hang(String::new())]).await;
-    let site = Site::open(vec![route("/a/", Kind::Idempotent)], &[server.address]).await;
+async fn run_is_canceled_when_its_caller_disconnects() {
+    let server = Server::start(vec![Action::Hang(String::new())]).await;
+    let site = Site::start(vec![route("/a/", Kind::Idempotent)], &[server.address]).await;
     let mut stream = TcpStream::connect(site.front()).await.unwrap();
     stream.write_all(caller::request("GET", "/a/x", "", "").as_bytes()).await.unwrap();
-    while server.seen().is_empty() {
+    while server.requests().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     drop(stream);
-    while server.gone() == 0 {
+    while server.disconnects() == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert_eq!(site.relay.desk().in_flight(), 0);
@@ -109,21 +112,21 @@
 /// working, it answers 503 to all requests with a key, with the time to retry; requests without
 /// a key are still served.
 #[tokio::test]
-async fn keys_are_not_believed_without_the_store() {
-    let server = Server::open(vec![Act::Write(whole("ok"))]).await;
+async fn keys_are_refused_after_a_while_without_the_store() {
+    let server = Server::start(vec![Action::Write(ok_response("ok"))]).await;
     let public = relay::catalog::Route { public: true, ..route("/p/", Kind::Idempotent) };
-    let kept = Kept {
+    let contents = StoreContents {
         catalog: Some(catalog(1, vec![route("/a/", Kind::Idempotent), public])),
         endpoints: vec![endpoint("e0", server.address)],
-        ..Kept::default()
+        ..StoreContents::default()
     };
-    let site = Site::open_with(kept, |settings| settings.revoke = Some(Duration::from_millis(1_600))).await;
+    let site = Site::start_with(contents, |settings| settings.revoke = Some(Duration::from_millis(1_600))).await;
     assert_eq!(caller::call(site.front(), "GET", "/a/x", "", "").await.status, 200);
-    site.store.change(|kept| kept.silent = true);
+    site.store.change(|contents| contents.silent = true);
     let refused = loop {
-        let got = caller::call(site.front(), "GET", "/a/x", "", "").await;
-        if got.status != 200 {
-            break got;
+        let response = caller::call(site.front(), "GET", "/a/x", "", "").await;
+        if response.status != 200 {
+            break response;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
@@ -139,7 +142,7 @@
 /// second or two too soon; it has to read between watches even while nothing changes.
 #[tokio::test]
 async fn keys_are_proven_by_reads_while_nothing_changes() {
-    let (_server, site) = open(Kind::Idempotent).await;
+    let (_server, site) = start(Kind::Idempotent).await;
     let reads = || site.store.catalog_reads.load(Ordering::Relaxed);
     let three_more = async {
         let before = reads();
@@ -147,14 +150,14 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), three_more).await.expect("the catalog is read again and again");
+    tokio::time::timeout(Duration::from_secs(20), three_more).await.expect("the catalog should be read repeatedly");
 }
 
 /// A catalog older than the one in force arrives late, for example from a stale read: a route
 /// that was removed must not come back.
 #[tokio::test]
-async fn older_catalog_does_not_come_back() {
-    let (_server, site) = open(Kind::Idempotent).await;
+async fn older_catalog_is_not_installed() {
+    let (_server, site) = start(Kind::Idempotent).await;
     assert!(site.relay.desk().install(catalog(3, vec![route("/b/", Kind::Idempotent)])));
     assert!(!site.relay.desk().install(catalog(2, vec![route("/a/", Kind::Idempotent)])));
     assert_eq!(caller::call(site.front(), "GET", "/a/x", "", "").await.status, 404);
--- a/crates/relay/tests/it/rollouts.rs
+++ b/crates/relay/tests/it/rollouts.rs
@@ -18,47 +18,47 @@
 
 use crate::{
     caller,
-    server::{Act, Server, head, whole},
-    site::{Kept, SERVICE, Site, catalog, endpoint, route},
-    track::knowing,
+    server::{Action, Server, ok_response, response_head},
+    site::{SERVICE, Site, StoreContents, catalog, endpoint, route},
+    synchronization::instance_with_catalog,
 };
 
-const OVER: Duration = Duration::from_mins(1);
+const ROLLOUT_TIME: Duration = Duration::from_mins(1);
 
-fn order() -> Rollout {
-    Rollout { service: SERVICE.into(), target: "v2".into(), over: OVER, stage: None, revision: 1 }
+fn rollout() -> Rollout {
+    Rollout { service: SERVICE.into(), target: "v2".into(), over: ROLLOUT_TIME, stage: None, revision: 1 }
 }
 
 /// Starts a relay in front of one endpoint of each version, with an order to roll the new one
 /// out.
-async fn open(new: Act) -> (Server, Server, Site) {
-    open_with(new, vec![order()]).await
+async fn start(new: Action) -> (Server, Server, Site) {
+    start_with(new, vec![rollout()]).await
 }
 
-async fn open_with(new: Act, rollouts: Vec<Rollout>) -> (Server, Server, Site) {
-    let old = Server::open(vec![Act::Slowly(vec![String::new(), whole("ok")])]).await;
-    let new = Server::open(vec![new]).await;
+async fn start_with(new: Action, rollouts: Vec<Rollout>) -> (Server, Server, Site) {
+    let old = Server::start(vec![Action::WriteSlowly(vec![String::new(), ok_response("ok")])]).await;
+    let new = Server::start(vec![new]).await;
     let target = relay::source::Endpoint { version: "v2".into(), ..endpoint("e1", new.address) };
-    let kept = Kept {
+    let contents = StoreContents {
         catalog: Some(catalog(1, vec![route("/a/", Kind::NonIdempotent)])),
         endpoints: vec![endpoint("e0", old.address), target],
         rollouts,
-        ..Kept::default()
+        ..StoreContents::default()
     };
-    // A large share of exposed requests, so that a few requests suffice.
-    let site = Site::open_with(kept, |settings| settings.exposure = 1.0).await;
+    // The new version may get a large share of the requests, so that few requests suffice.
+    let site = Site::start_with(contents, |settings| settings.exposure = 1.0).await;
     (old, new, site)
 }
 
-/// Sends requests of new sessions, five at a time.
+/// Sends requests of new sessions in batches of five.
 async fn send(site: &Site, requests: usize) {
-    static BEGUN: AtomicUsize = AtomicUsize::new(1_000_000);
-    send_from(site, BEGUN.fetch_add(requests, Ordering::Relaxed), requests).await;
+    static NEXT_BATCH: AtomicUsize = AtomicUsize::new(1_000_000);
+    send_from(site, NEXT_BATCH.fetch_add(requests, Ordering::Relaxed), requests).await;
 }
 
-/// Sends requests of the sessions numbered from `first` on, five at a time.
-async fn send_from(site: &Site, first: usize, requests: usize) {
-    for batch in first..first + requests / 5 {
+/// Sends requests in batches of five sessions, numbered from `first_batch` on.
+async fn send_from(site: &Site, first_batch: usize, requests: usize) {
+    for batch in first_batch..first_batch + requests / 5 {
         let calls = (0..5).map(|n| {
             let session = format!("X-Session: s{batch}-{n}\r\n");
             let at = site.front();
@@ -69,32 +69,32 @@
 }
 
 /// Sends requests until a stage has been reported; the test's own timeout limits this.
-async fn until(site: &Site, stage: Stage) {
+async fn send_until_reported(site: &Site, stage: Stage) {
     while !site.store.reported.lock().unwrap().contains(&stage) {
         send(site, 20).await;
     }
 }
 
 macro_rules! bad_versions {
-    ($($(#[$doc:meta])* $name:ident: $act:expr;)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $action:expr;)*) => {$(
         $(#[$doc])*
         #[tokio::test]
         async fn $name() {
-            let (_old, new, site) = open($act).await;
-            until(&site, Stage::Reverted).await;
-            let met = new.seen().len();
+            let (_old, new, site) = start($action).await;
+            send_until_reported(&site, Stage::Reverted).await;
+            let received = new.requests().len();
             send(&site, 40).await;
-            assert_eq!(new.seen().len(), met, "nobody meets it any more");
+            assert_eq!(new.requests().len(), received, "the reverted version should get no more requests");
         }
     )*};
 }
 
 bad_versions! {
     // Some callers receive failures that the old version does not produce.
-    failing_version_is_left: Act::Write(head(500, 0));
+    failing_version_is_reverted: Action::Write(response_head(500, 0));
     // It answers every request, but several times more slowly than the old version. The answers
     // are correct, so only their time shows that it is worse.
-    slow_version_is_left: Act::Slowly([vec![String::new(); 12], vec![whole("ok")]].concat());
+    slow_version_is_reverted: Action::WriteSlowly([vec![String::new(); 12], vec![ok_response("ok")]].concat());
 }
 
 /// Sessions are in progress when the roll-out is ordered.
@@ -102,28 +102,28 @@
 /// Callers notice when the version changes within a session, so these stay on the old version
 /// for as long as they last; only sessions that begin later may reach the new one.
 #[tokio::test]
-async fn session_under_way_keeps_its_version() {
-    let (_old, new, site) = open_with(Act::Slowly(vec![String::new(), whole("ok")]), Vec::new()).await;
+async fn session_in_progress_keeps_its_version() {
+    let (_old, new, site) = start_with(Action::WriteSlowly(vec![String::new(), ok_response("ok")]), Vec::new()).await;
     send_from(&site, 0, 60).await;
-    site.store.change(|kept| kept.rollouts = vec![order()]);
+    site.store.change(|contents| contents.rollouts = vec![rollout()]);
     for _ in 0..30 {
         send_from(&site, 0, 60).await;
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    assert_eq!(new.seen().len(), 0, "those under way stay");
-    while new.seen().is_empty() {
+    assert_eq!(new.requests().len(), 0, "sessions in progress should keep their version");
+    while new.requests().is_empty() {
         send(&site, 60).await;
     }
 }
 
 #[tokio::test]
 async fn good_version_stays_on_trial() {
-    let (old, new, site) = open(Act::Slowly(vec![String::new(), whole("ok")])).await;
-    while new.seen().len() <= 20 {
+    let (old, new, site) = start(Action::WriteSlowly(vec![String::new(), ok_response("ok")])).await;
+    while new.requests().len() <= 20 {
         send(&site, 30).await;
     }
     assert!(!site.store.reported.lock().unwrap().contains(&Stage::Reverted));
-    let (old, new) = (old.seen().len(), new.seen().len());
+    let (old, new) = (old.requests().len(), new.requests().len());
     assert!(new < old, "{new} of {}", new + old);
 }
 
@@ -131,17 +131,17 @@
 /// alone it took seconds until any instance knew of enough of them. The instances that watch the
 /// store therefore receive reports every third of a second.
 #[test]
-fn evidence_of_many_instances_condemns_a_version() {
-    let desk = knowing(1);
-    desk.order(order());
-    let order = desk.trial_reports().remove(0).order;
+fn evidence_of_many_instances_reverts_a_version() {
+    let instance = instance_with_catalog(1);
+    instance.order(rollout());
+    let order = instance.trial_reports().remove(0).order;
     let tally = |runs, bad| Tally { runs, bad, lateness: Lateness::default() };
     for number in 0..30_u16 {
         let name = format!("i{number}");
-        desk.hear(&name, ([127, 0, 0, 1], 2_000 + number).into(), Word::default());
+        instance.hear(&name, ([127, 0, 0, 1], 2_000 + number).into(), Word::default());
         let own = Tallies { new: tally(3, 2), old: tally(40, 1) };
         let report = Report { order, stage: Stage::Trial, elapsed: Duration::from_secs(3), own };
-        desk.take_reports(short_hash(&name), vec![report]);
+        instance.take_reports(short_hash(&name), vec![report]);
     }
-    assert!(desk.advance_trials().iter().any(|(_, stage)| *stage == Stage::Reverted));
+    assert!(instance.advance_trials().iter().any(|(_, stage)| *stage == Stage::Reverted));
 }
--- a/crates/relay/tests/it/server.rs
+++ b/crates/relay/tests/it/server.rs
@@ -15,7 +15,7 @@
 
 /// How the endpoint responds to a request.
 #[derive(Debug, Clone)]
-pub enum Act {
+pub enum Action {
     /// Writes bytes and closes the connection. `{id}` is replaced by the request's id.
     Write(String),
     /// Writes bytes and resets the connection.
@@ -23,10 +23,10 @@
     /// Writes bytes and then stays silent with the connection open.
     Hang(String),
     /// Writes each part, with a pause after it.
-    Slowly(Vec<String>),
+    WriteSlowly(Vec<String>),
     /// Crashes on a request that contains the word: writes the bytes, resets every connection
     /// and stops listening. Other requests get the boxed action.
-    CrashOn(&'static str, String, Box<Act>),
+    CrashOn(&'static str, String, Box<Action>),
 }
 
 /// A test endpoint and the requests that it received.
@@ -34,8 +34,8 @@
 pub struct Server {
     /// Address on which it listens.
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<String>>>,
-    gone: Arc<Mutex<u32>>,
+    requests: Arc<Mutex<Vec<String>>>,
+    disconnects: Arc<Mutex<u32>>,
     task: AbortHandle,
 }
 
@@ -47,84 +47,103 @@
 
 impl Server {
     /// Starts an endpoint that performs one action per connection; the last one repeats.
-    pub async fn open(acts: Vec<Act>) -> Self {
+    pub async fn start(actions: Vec<Action>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let gone = Arc::new(Mutex::new(0));
-        let (noted, left) = (Arc::clone(&seen), Arc::clone(&gone));
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let disconnects = Arc::new(Mutex::new(0));
+        let (recorded_requests, recorded_disconnects) = (Arc::clone(&requests), Arc::clone(&disconnects));
         let task = tokio::spawn(async move {
             let mut turn = 0;
             let crash = Crash::new();
-            let down = crash.clone();
+            let crashed = crash.clone();
             let accepting = async move {
                 loop {
                     let (stream, _) = listener.accept().await.unwrap();
-                    let act = acts[turn.min(acts.len() - 1)].clone();
+                    let action = actions[turn.min(actions.len() - 1)].clone();
                     turn += 1;
-                    tokio::spawn(serve(stream, act, Arc::clone(&noted), Arc::clone(&left), crash.clone()));
+                    tokio::spawn(serve(
+                        stream,
+                        action,
+                        Arc::clone(&recorded_requests),
+                        Arc::clone(&recorded_disconnects),
+                        crash.clone(),
+                    ));
                 }
             };
             // Ending the task closes the listener.
             tokio::select! {
                 () = accepting => {}
-                () = down.cancelled() => {}
+                () = crashed.cancelled() => {}
             }
         });
-        Self { address, seen, gone, task: task.abort_handle() }
+        Self { address, requests, disconnects, task: task.abort_handle() }
     }
 
     /// Returns the requests received so far, with heads and bodies.
-    pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    pub fn requests(&self) -> Vec<String> {
+        self.requests.lock().unwrap().clone()
     }
 
     /// Returns the number of connections that were closed while the endpoint hung.
-    pub fn gone(&self) -> u32 {
-        *self.gone.lock().unwrap()
+    pub fn disconnects(&self) -> u32 {
+        *self.disconnects.lock().unwrap()
     }
 }
 
-async fn serve(mut stream: TcpStream, act: Act, seen: Arc<Mutex<Vec<String>>>, gone: Arc<Mutex<u32>>, crash: Crash) {
+async fn serve(
+    mut stream: TcpStream,
+    action: Action,
+    requests: Arc<Mutex<Vec<String>>>,
+    disconnects: Arc<Mutex<u32>>,
+    crash: Crash,
+) {
     let Some(request) = read(&mut stream).await else { return };
     let id = header(&request, "x-request").unwrap_or_default();
-    seen.lock().unwrap().push(request.clone());
+    requests.lock().unwrap().push(request.clone());
     tokio::select! {
-        () = play(&mut stream, act, &request, &id, &gone, &crash) => {}
+        () = perform(&mut stream, action, &request, &id, &disconnects, &crash) => {}
         () = crash.cancelled() => {
             stream.set_zero_linger().ok();
         }
     }
 }
 
-async fn play(stream: &mut TcpStream, act: Act, request: &str, id: &str, gone: &Mutex<u32>, crash: &Crash) {
+async fn perform(
+    stream: &mut TcpStream,
+    action: Action,
+    request: &str,
+    id: &str,
+    disconnects: &Mutex<u32>,
+    crash: &Crash,
+) {
     let fill = |text: &str| text.replace("{id}", id);
-    match act {
-        Act::CrashOn(word, text, _) if request.contains(word) => {
+    match action {
+        Action::CrashOn(word, text, _) if request.contains(word) => {
             stream.write_all(fill(&text).as_bytes()).await.ok();
             // Gives the bytes time to reach the relay before the reset does.
             tokio::time::sleep(Duration::from_millis(30)).await;
             crash.cancel();
             std::future::pending::<()>().await;
         }
-        Act::CrashOn(_, _, other) => Box::pin(play(stream, *other, request, id, gone, crash)).await,
-        Act::Write(text) => {
+        Action::CrashOn(_, _, other) => Box::pin(perform(stream, *other, request, id, disconnects, crash)).await,
+        Action::Write(text) => {
             stream.write_all(fill(&text).as_bytes()).await.ok();
         }
-        Act::Reset(text) => {
+        Action::Reset(text) => {
             stream.write_all(fill(&text).as_bytes()).await.ok();
             // Gives the bytes time to reach the relay before the reset does.
             tokio::time::sleep(Duration::from_millis(30)).await;
             stream.set_zero_linger().ok();
         }
-        Act::Hang(text) => {
+        Action::Hang(text) => {
             stream.write_all(fill(&text).as_bytes()).await.ok();
             let mut rest = [0; 16];
             if matches!(stream.read(&mut rest).await, Ok(0) | Err(_)) {
-                *gone.lock().unwrap() += 1;
+                *disconnects.lock().unwrap() += 1;
             }
         }
-        Act::Slowly(parts) => {
+        Action::WriteSlowly(parts) => {
             for part in parts {
                 if stream.write_all(fill(&part).as_bytes()).await.is_err() {
                     return;
@@ -160,12 +179,12 @@
 }
 
 /// Formats a complete, signed response with status 200.
-pub fn whole(body: &str) -> String {
-    format!("{}{body}", head(200, body.len()))
+pub fn ok_response(body: &str) -> String {
+    format!("{}{body}", response_head(200, body.len()))
 }
 
 /// Formats the signed head of a response with a body of `length` bytes.
-pub fn head(status: u16, length: usize) -> String {
+pub fn response_head(status: u16, length: usize) -> String {
     format!("HTTP/1.1 {status} X\r\nx-request: {{id}}\r\nx-signature: s\r\ncontent-length: {length}\r\n\r\n")
 }
 
@@ -188,4 +207,4 @@
 }
 
 /// Last chunk of a chunked body.
-pub const END: &str = "0\r\n\r\n";
+pub const LAST_CHUNK: &str = "0\r\n\r\n";
--- a/crates/relay/tests/it/leaving.rs
+++ b/crates/relay/tests/it/shutdown.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     caller,
-    server::{Act, END, Server, event, stream_head, whole},
+    server::{Action, LAST_CHUNK, Server, event, ok_response, stream_head},
     site::{Site, route},
 };
 
@@ -18,16 +18,16 @@
 /// It would be cut off midway, so it is refused as not run, and the caller can send it to
 /// another address at once. Short requests are served to the end.
 #[tokio::test]
-async fn late_stream_is_refused_and_short_request_served() {
-    let server = Server::open(vec![Act::Write(whole("ok"))]).await;
+async fn late_stream_is_refused_and_short_request_served_during_shutdown() {
+    let server = Server::start(vec![Action::Write(ok_response("ok"))]).await;
     let brief = relay::catalog::Route { timeout: Duration::from_millis(300), ..route("/a/", Kind::Idempotent) };
-    let site = Site::open(vec![route("/s/", RESUMABLE), brief], &[server.address]).await;
+    let site = Site::start(vec![route("/s/", RESUMABLE), brief], &[server.address]).await;
     let at = site.front();
     let leaving = tokio::spawn(site.relay.shutdown());
     let refused = loop {
-        let got = caller::call(at, "POST", "/s/x", "", "prompt").await;
-        if got.status == 503 {
-            break got;
+        let response = caller::call(at, "POST", "/s/x", "", "prompt").await;
+        if response.status == 503 {
+            break response;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
@@ -40,16 +40,16 @@
 
 /// A stream that began before the shutdown runs to its end.
 #[tokio::test]
-async fn stream_under_way_ends_before_the_instance_does() {
-    let parts = [vec![stream_head(90)], (1..=30).map(event).collect(), vec![END.into()]].concat();
-    let server = Server::open(vec![Act::Slowly(parts)]).await;
-    let site = Site::open(vec![route("/s/", RESUMABLE)], &[server.address]).await;
+async fn stream_in_progress_completes_before_the_shutdown_ends() {
+    let parts = [vec![stream_head(90)], (1..=30).map(event).collect(), vec![LAST_CHUNK.into()]].concat();
+    let server = Server::start(vec![Action::WriteSlowly(parts)]).await;
+    let site = Site::start(vec![route("/s/", RESUMABLE)], &[server.address]).await;
     let at = site.front();
     let caller = tokio::spawn(async move { caller::call(at, "POST", "/s/x", "", "prompt").await });
-    while server.seen().is_empty() {
+    while server.requests().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     site.relay.shutdown().await;
-    let got = caller.await.unwrap();
-    assert!(got.complete && got.body.contains("d30"), "{got:?}");
+    let response = caller.await.unwrap();
+    assert!(response.complete && response.body.contains("d30"), "{response:?}");
 }
--- a/crates/relay/tests/it/site.rs
+++ b/crates/relay/tests/it/site.rs
@@ -33,11 +33,11 @@
 
 /// Contents of the store, and how it answers. Tests change it, and watches are notified.
 #[derive(Debug, Clone, Default)]
-pub struct Kept {
+pub struct StoreContents {
     /// The catalog, if there is one.
     pub catalog: Option<Catalog>,
     /// Catalog that listings of any age return instead of the current one.
-    pub old_catalog: Option<Catalog>,
+    pub stale_catalog: Option<Catalog>,
     /// Registered endpoints.
     pub endpoints: Vec<Endpoint>,
     /// Names of endpoints whose registrations cannot be read.
@@ -51,7 +51,7 @@
     /// Whether every listing and every write of the quarantine is refused.
     pub refuses: bool,
     /// Time until the answer to a listing begins.
-    pub slow: Duration,
+    pub delay: Duration,
     /// Time that the answer to a listing takes to arrive.
     pub transfer: Duration,
     /// Revision of the last change.
@@ -60,13 +60,13 @@
 
 /// A store in memory.
 pub struct Store {
-    kept: watch::Sender<Kept>,
+    contents: watch::Sender<StoreContents>,
     /// Roll-out stages that were reported.
     pub reported: Mutex<Vec<Stage>>,
     /// Number of catalog reads, refused ones included.
     pub catalog_reads: AtomicUsize,
     /// Number of catalog reads that accepted a copy of any age.
-    pub old_catalog_reads: AtomicUsize,
+    pub any_age_catalog_reads: AtomicUsize,
     /// Number of endpoint listings.
     pub endpoint_reads: AtomicUsize,
     /// Number of listings of any kind that asked for the latest state.
@@ -83,13 +83,13 @@
 
 impl Store {
     /// Creates a store with the given contents.
-    pub fn open(kept: Kept) -> Self {
-        let (kept, _) = watch::channel(Kept { revision: 1, ..kept });
+    pub fn new(contents: StoreContents) -> Self {
+        let (contents, _) = watch::channel(StoreContents { revision: 1, ..contents });
         Self {
-            kept,
+            contents,
             reported: Mutex::default(),
             catalog_reads: AtomicUsize::default(),
-            old_catalog_reads: AtomicUsize::default(),
+            any_age_catalog_reads: AtomicUsize::default(),
             endpoint_reads: AtomicUsize::default(),
             latest_reads: AtomicUsize::default(),
             instance_reads: AtomicUsize::default(),
@@ -97,20 +97,20 @@
     }
 
     /// Changes the contents and notifies watches.
-    pub fn change(&self, change: impl FnOnce(&mut Kept)) {
-        self.kept.send_modify(|kept| {
-            change(kept);
-            kept.revision += 1;
+    pub fn change(&self, change: impl FnOnce(&mut StoreContents)) {
+        self.contents.send_modify(|contents| {
+            change(contents);
+            contents.revision += 1;
         });
     }
 
     /// Returns the quarantined requests in the store.
     pub fn refused(&self) -> Vec<Refused> {
-        self.kept.borrow().refused.clone()
+        self.contents.borrow().refused.clone()
     }
 
-    fn write(&self, change: impl FnOnce(&mut Kept)) -> BoxFuture<'_, Result<(), Fault>> {
-        if self.kept.borrow().refuses {
+    fn write(&self, change: impl FnOnce(&mut StoreContents)) -> BoxFuture<'_, Result<(), Fault>> {
+        if self.contents.borrow().refuses {
             return Box::pin(async { Err(Fault::Refused("429".into())) });
         }
         self.change(change);
@@ -118,26 +118,26 @@
     }
 
     fn records(&self, kind: source::Kind) -> Listing {
-        let kept = self.kept.borrow();
+        let contents = self.contents.borrow();
         let record = |name: &str, record| Change { name: name.to_owned(), record: Some(record) };
         let records = match kind {
             source::Kind::Catalog => {
-                kept.catalog.iter().map(|c| record("main", Record::Catalog(Box::new(c.clone())))).collect()
+                contents.catalog.iter().map(|c| record("main", Record::Catalog(Box::new(c.clone())))).collect()
             }
             source::Kind::Endpoints => {
-                kept.endpoints.iter().map(|e| record(&e.id, Record::Endpoint(e.clone()))).collect()
+                contents.endpoints.iter().map(|e| record(&e.id, Record::Endpoint(e.clone()))).collect()
             }
             source::Kind::Rollouts => {
-                kept.rollouts.iter().map(|r| record(&r.service, Record::Rollout(r.clone()))).collect()
+                contents.rollouts.iter().map(|r| record(&r.service, Record::Rollout(r.clone()))).collect()
             }
             source::Kind::Instances => Vec::new(),
             source::Kind::Quarantine => {
-                kept.refused.iter().map(|r| record(&r.content.to_string(), Record::Refused(*r))).collect()
+                contents.refused.iter().map(|r| record(&r.content.to_string(), Record::Refused(*r))).collect()
             }
         };
         let is_endpoints = kind == source::Kind::Endpoints;
-        let unreadable = if is_endpoints { kept.unreadable.clone() } else { Vec::new() };
-        Listing { revision: kept.revision, records, unreadable }
+        let unreadable = if is_endpoints { contents.unreadable.clone() } else { Vec::new() };
+        Listing { revision: contents.revision, records, unreadable }
     }
 }
 
@@ -155,14 +155,14 @@
             if read == source::Read::Latest {
                 self.latest_reads.fetch_add(1, Ordering::Relaxed);
             }
-            if self.kept.borrow().silent {
+            if self.contents.borrow().silent {
                 std::future::pending::<()>().await;
             }
-            let slow = self.kept.borrow().slow;
-            tokio::time::sleep(slow).await;
+            let delay = self.contents.borrow().delay;
+            tokio::time::sleep(delay).await;
             let (refuses, transfer) = {
-                let kept = self.kept.borrow();
-                (kept.refuses, kept.transfer)
+                let contents = self.contents.borrow();
+                (contents.refuses, contents.transfer)
             };
             if !refuses {
                 progress.note();
@@ -173,8 +173,8 @@
                 self.catalog_reads.fetch_add(1, Ordering::Relaxed);
             }
             if (kind, read) == (source::Kind::Catalog, source::Read::AnyAge) {
-                self.old_catalog_reads.fetch_add(1, Ordering::Relaxed);
-                let old = self.kept.borrow().old_catalog.clone();
+                self.any_age_catalog_reads.fetch_add(1, Ordering::Relaxed);
+                let old = self.contents.borrow().stale_catalog.clone();
                 if let Some(old) = old.filter(|_| !refuses) {
                     let record = Some(Record::Catalog(Box::new(old)));
                     let records = vec![Change { name: "main".into(), record }];
@@ -199,10 +199,10 @@
         progress: &'a Progress,
     ) -> BoxFuture<'a, Result<Batch, Fault>> {
         Box::pin(async move {
-            let mut heard = self.kept.subscribe();
-            let changed = heard.wait_for(|kept| kept.revision > from && !kept.silent);
+            let mut receiver = self.contents.subscribe();
+            let changed = receiver.wait_for(|contents| contents.revision > from && !contents.silent);
             if tokio::time::timeout(wait, changed).await.is_err() {
-                if self.kept.borrow().silent {
+                if self.contents.borrow().silent {
                     std::future::pending::<()>().await;
                 }
                 progress.note();
@@ -228,11 +228,11 @@
     }
 
     fn refuse<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
-        self.write(|kept| kept.refused.push(*refused))
+        self.write(|contents| contents.refused.push(*refused))
     }
 
     fn allow<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
-        self.write(|kept| kept.refused.retain(|kept| kept.content != refused.content))
+        self.write(|contents| contents.refused.retain(|other| other.content != refused.content))
     }
 }
 
@@ -246,21 +246,21 @@
 
 impl Site {
     /// Starts a relay in front of endpoints and waits until it is ready.
-    pub async fn open(routes: Vec<Route>, servers: &[SocketAddr]) -> Self {
+    pub async fn start(routes: Vec<Route>, servers: &[SocketAddr]) -> Self {
         let catalog = catalog(1, routes);
         let endpoints = servers.iter().enumerate().map(|(n, at)| endpoint(&format!("e{n}"), *at)).collect();
-        Self::open_with(Kept { catalog: Some(catalog), endpoints, ..Kept::default() }, |_| {}).await
+        Self::start_with(StoreContents { catalog: Some(catalog), endpoints, ..StoreContents::default() }, |_| {}).await
     }
 
     /// Starts a relay on a new store with the given contents.
-    pub async fn open_with(kept: Kept, adjust: impl FnOnce(&mut Settings)) -> Self {
+    pub async fn start_with(contents: StoreContents, adjust: impl FnOnce(&mut Settings)) -> Self {
         let mut settings = settings();
         adjust(&mut settings);
-        Self::open_on(Arc::new(Store::open(kept)), settings).await
+        Self::start_on(Arc::new(Store::new(contents)), settings).await
     }
 
     /// Starts a relay on a store that another relay may have used before.
-    pub async fn open_on(store: Arc<Store>, settings: Settings) -> Self {
+    pub async fn start_on(store: Arc<Store>, settings: Settings) -> Self {
         let source: Arc<dyn Source> = store.clone();
         let relay = relay::spawn(settings, dialect(), source).await.expect("free ports can be bound");
         while !relay.desk().ready() {
@@ -345,7 +345,7 @@
 }
 
 /// Returns a route for streams that can go from a small to a large model.
-pub fn laddered(prefix: &str) -> Route {
+pub fn cascade_route(prefix: &str) -> Route {
     let model = |name: &str, cost| Model { name: name.into(), cost };
     let kind = Kind::Stream { resumable: true };
     Route { models: vec![model("small", 0.1), model("large", 1.0)], ..route(prefix, kind) }
--- a/crates/relay/tests/it/starting.rs
+++ b/crates/relay/tests/it/startup.rs
@@ -10,60 +10,60 @@
 
 use crate::{
     caller,
-    server::{Act, Server, whole},
-    site::{Kept, Site, Store, catalog, dialect, endpoint, route, settings},
+    server::{Action, Server, ok_response},
+    site::{Site, Store, StoreContents, catalog, dialect, endpoint, route, settings},
 };
 
 /// All instances crash at once and restart. Their waiting callers retry within milliseconds,
 /// before an instance has read the catalog. All were refused and retried in a burst; now
 /// requests wait those milliseconds.
-async fn check(slow: Duration, status: u16) {
-    let server = Server::open(vec![Act::Write(whole("ok"))]).await;
-    let kept = Kept {
+async fn check_first_request(delay: Duration, status: u16) {
+    let server = Server::start(vec![Action::Write(ok_response("ok"))]).await;
+    let contents = StoreContents {
         catalog: Some(catalog(1, vec![route("/a/", Kind::NonIdempotent)])),
         endpoints: vec![endpoint("e0", server.address)],
-        slow,
-        ..Kept::default()
+        delay,
+        ..StoreContents::default()
     };
-    let source: Arc<dyn Source> = Arc::new(Store::open(kept));
+    let source: Arc<dyn Source> = Arc::new(Store::new(contents));
     let relay = relay::spawn(settings(), dialect(), source).await.expect("free ports can be bound");
     let front = relay.desk().settings.listeners.front;
-    let got = caller::call(front, "POST", "/a/x", "", "sheet").await;
-    assert_eq!(got.status, status, "{got:?}");
-    assert_eq!(got.header("retry-after").is_some(), status == 503, "{got:?}");
+    let response = caller::call(front, "POST", "/a/x", "", "sheet").await;
+    assert_eq!(response.status, status, "{response:?}");
+    assert_eq!(response.header("retry-after").is_some(), status == 503, "{response:?}");
 }
 
 #[tokio::test]
-async fn request_waits_for_a_start_under_way() {
-    check(Duration::from_millis(200), 200).await;
+async fn request_waits_for_a_start_in_progress() {
+    check_first_request(Duration::from_millis(200), 200).await;
 }
 
 /// The store is unavailable, so the instance may know no catalog for seconds. The caller is
 /// refused at once with the time to retry.
 #[tokio::test]
-async fn request_does_not_wait_for_a_lost_store() {
-    check(Duration::from_secs(1), 503).await;
+async fn request_does_not_wait_for_an_unavailable_store() {
+    check_first_request(Duration::from_secs(1), 503).await;
 }
 
 /// Starts an instance that serves, and another one with a seed address: that of the first, or
 /// one that never answers. Each has its own store.
 async fn start_with_seed(is_seed_up: bool) -> (Site, Site) {
-    let kept = || Kept {
+    let contents = || StoreContents {
         catalog: Some(catalog(1, vec![route("/a/", Kind::Idempotent)])),
         endpoints: vec![endpoint("e0", ([127, 0, 0, 1], 9).into())],
-        ..Kept::default()
+        ..StoreContents::default()
     };
-    let seed = Site::open_with(kept(), |settings| settings.instance = "seed".into()).await;
+    let seed = Site::start_with(contents(), |settings| settings.instance = "seed".into()).await;
     let silent = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let address = if is_seed_up { seed.relay.desk().settings.listeners.news } else { silent.local_addr().unwrap() };
-    let started = Site::open_with(kept(), |settings| settings.seeds = vec![address]).await;
+    let started = Site::start_with(contents(), |settings| settings.seeds = vec![address]).await;
     (seed, started)
 }
 
 /// Hundreds of instances start together. Each read the registrations of all others from the
 /// store: six calls per start that nothing depended on.
 #[tokio::test]
-async fn others_are_heard_of_from_a_seed() {
+async fn other_instances_are_learned_from_a_seed() {
     let (_seed, started) = start_with_seed(true).await;
     while started.relay.desk().members() < 2 {
         sleep(Duration::from_millis(10)).await;
@@ -74,7 +74,7 @@
 
 /// Where no seed answers, the other instances are looked up in the store.
 #[tokio::test]
-async fn others_are_looked_for_where_no_seed_answers() {
+async fn other_instances_are_read_from_the_store_if_no_seed_answers() {
     let (_seed, started) = start_with_seed(false).await;
     while started.store.instance_reads.load(Ordering::Relaxed) == 0 {
         sleep(Duration::from_millis(10)).await;
