--- a/crates/relay/tests/it/main.rs
+++ b/crates/relay/tests/it/main.rs
@@ -1,23 +1,23 @@
-//! The relay between callers and endpoints, on real sockets, with a store in
-//! memory and endpoints that misbehave on order.
+//! Tests of the relay between callers and endpoints, on real sockets, with a store in memory and
+//! endpoints that fail on purpose.
 
 mod answers;
-mod behind;
 mod caches;
 mod caller;
 mod crashes;
-mod foreign;
 mod large_pool;
-mod leaving;
 mod limits;
-mod lost;
+mod lost_endpoints;
 mod notices;
 mod proofs;
 mod requests;
 mod restarts;
 mod rollouts;
 mod server;
+mod shutdown;
 mod site;
-mod starting;
+mod stale_catalog;
+mod startup;
 mod streams;
-mod track;
+mod synchronization;
+mod unreadable_registrations;
--- a/crates/relay/tests/it/site.rs
+++ b/crates/relay/tests/it/site.rs
@@ -1,4 +1,4 @@
-//! One relay, its store in memory, and names of the wire of our own.
+//! A relay with a store in memory, and the header names and paths that the tests use.
 
 use std::{
     collections::HashMap,
@@ -24,54 +24,54 @@
 use route::relay::{allowance, canary::Stage};
 use tokio::sync::watch;
 
-/// The host of every route.
+/// Host of every route.
 pub const HOST: &str = "clubs.example";
-/// The key that the team `club` has.
+/// Key of the customer `club`.
 pub const KEY: &str = "key-of-club";
-/// The service that every route leads to.
+/// Service that every route leads to.
 pub const SERVICE: &str = "logbook";
 
-/// What the store holds; tests change it and watches hear of it.
+/// Contents of the store, and how it answers. Tests change it, and watches are notified.
 #[derive(Debug, Clone, Default)]
-pub struct Kept {
-    /// The catalog.
+pub struct StoreContents {
+    /// The catalog, if there is one.
     pub catalog: Option<Catalog>,
-    /// What a listing of any age shows in its place, if not the same.
-    pub old_catalog: Option<Catalog>,
-    /// Endpoints.
+    /// Catalog that listings of any age return instead of the current one.
+    pub stale_catalog: Option<Catalog>,
+    /// Registered endpoints.
     pub endpoints: Vec<Endpoint>,
-    /// Names of endpoints whose registrations do not read.
+    /// Names of endpoints whose registrations cannot be read.
     pub unreadable: Vec<String>,
-    /// Orders.
+    /// Ordered roll-outs.
     pub rollouts: Vec<Rollout>,
-    /// Refused requests.
+    /// Quarantined requests.
     pub refused: Vec<Refused>,
-    /// Whether no call is answered.
+    /// Whether calls are never answered.
     pub silent: bool,
-    /// Whether every listing is refused.
+    /// Whether every listing and every write of the quarantine is refused.
     pub refuses: bool,
-    /// Time until a listing begins to come.
-    pub slow: Duration,
-    /// Time that it takes to come in.
+    /// Time until the answer to a listing begins.
+    pub delay: Duration,
+    /// Time that the answer to a listing takes to arrive.
     pub transfer: Duration,
-    /// The revision of the last change.
+    /// Revision of the last change.
     pub revision: u64,
 }
 
 /// A store in memory.
 pub struct Store {
-    kept: watch::Sender<Kept>,
-    /// Stages that were reported.
+    contents: watch::Sender<StoreContents>,
+    /// Roll-out stages that were reported.
     pub reported: Mutex<Vec<Stage>>,
-    /// Times that the catalog was read.
+    /// Number of catalog reads, refused ones included.
     pub catalog_reads: AtomicUsize,
-    /// Those of them that could be of any age.
-    pub old_catalog_reads: AtomicUsize,
-    /// Times that the endpoints were read.
+    /// Number of catalog reads that accepted a copy of any age.
+    pub any_age_catalog_reads: AtomicUsize,
+    /// Number of endpoint listings.
     pub endpoint_reads: AtomicUsize,
-    /// Readings of the latest state, of any kind.
+    /// Number of listings of any kind that asked for the latest state.
     pub latest_reads: AtomicUsize,
-    /// Times that the instances were read.
+    /// Number of instance listings.
     pub instance_reads: AtomicUsize,
 }
 
@@ -82,35 +82,35 @@
 }
 
 impl Store {
-    /// A store that holds something.
-    pub fn open(kept: Kept) -> Self {
-        let (kept, _) = watch::channel(Kept { revision: 1, ..kept });
+    /// Creates a store with the given contents.
+    pub fn new(contents: StoreContents) -> Self {
+        let (contents, _) = watch::channel(StoreContents { revision: 1, ..contents });
         Self {
-            kept,
+            contents,
             reported: Mutex::default(),
             catalog_reads: AtomicUsize::default(),
-            old_catalog_reads: AtomicUsize::default(),
+            any_age_catalog_reads: AtomicUsize::default(),
             endpoint_reads: AtomicUsize::default(),
             latest_reads: AtomicUsize::default(),
             instance_reads: AtomicUsize::default(),
         }
     }
 
-    /// Changes what is kept.
-    pub fn change(&self, change: impl FnOnce(&mut Kept)) {
-        self.kept.send_modify(|kept| {
-            change(kept);
-            kept.revision += 1;
+    /// Changes the contents and notifies watches.
+    pub fn change(&self, change: impl FnOnce(&mut StoreContents)) {
+        self.contents.send_modify(|contents| {
+            change(contents);
+            contents.revision += 1;
         });
     }
 
-    /// Requests that are kept as refused.
+    /// Returns the quarantined requests in the store.
     pub fn refused(&self) -> Vec<Refused> {
-        self.kept.borrow().refused.clone()
+        self.contents.borrow().refused.clone()
     }
 
-    fn write(&self, change: impl FnOnce(&mut Kept)) -> BoxFuture<'_, Result<(), Fault>> {
-        if self.kept.borrow().refuses {
+    fn write(&self, change: impl FnOnce(&mut StoreContents)) -> BoxFuture<'_, Result<(), Fault>> {
+        if self.contents.borrow().refuses {
             return Box::pin(async { Err(Fault::Refused("429".into())) });
         }
         self.change(change);
@@ -118,26 +118,26 @@
     }
 
     fn records(&self, kind: source::Kind) -> Listing {
-        let kept = self.kept.borrow();
+        let contents = self.contents.borrow();
         let record = |name: &str, record| Change { name: name.to_owned(), record: Some(record) };
         let records = match kind {
             source::Kind::Catalog => {
-                kept.catalog.iter().map(|c| record("main", Record::Catalog(Box::new(c.clone())))).collect()
+                contents.catalog.iter().map(|c| record("main", Record::Catalog(Box::new(c.clone())))).collect()
             }
             source::Kind::Endpoints => {
-                kept.endpoints.iter().map(|e| record(&e.id, Record::Endpoint(e.clone()))).collect()
+                contents.endpoints.iter().map(|e| record(&e.id, Record::Endpoint(e.clone()))).collect()
             }
             source::Kind::Rollouts => {
-                kept.rollouts.iter().map(|r| record(&r.service, Record::Rollout(r.clone()))).collect()
+                contents.rollouts.iter().map(|r| record(&r.service, Record::Rollout(r.clone()))).collect()
             }
             source::Kind::Instances => Vec::new(),
             source::Kind::Quarantine => {
-                kept.refused.iter().map(|r| record(&r.content.to_string(), Record::Refused(*r))).collect()
+                contents.refused.iter().map(|r| record(&r.content.to_string(), Record::Refused(*r))).collect()
             }
         };
         let is_endpoints = kind == source::Kind::Endpoints;
-        let unreadable = if is_endpoints { kept.unreadable.clone() } else { Vec::new() };
-        Listing { revision: kept.revision, records, unreadable }
+        let unreadable = if is_endpoints { contents.unreadable.clone() } else { Vec::new() };
+        Listing { revision: contents.revision, records, unreadable }
     }
 }
 
@@ -155,14 +155,14 @@
             if read == source::Read::Latest {
                 self.latest_reads.fetch_add(1, Ordering::Relaxed);
             }
-            if self.kept.borrow().silent {
+            if self.contents.borrow().silent {
                 std::future::pending::<()>().await;
             }
-            let slow = self.kept.borrow().slow;
-            tokio::time::sleep(slow).await;
+            let delay = self.contents.borrow().delay;
+            tokio::time::sleep(delay).await;
             let (refuses, transfer) = {
-                let kept = self.kept.borrow();
-                (kept.refuses, kept.transfer)
+                let contents = self.contents.borrow();
+                (contents.refuses, contents.transfer)
             };
             if !refuses {
                 progress.note();
@@ -173,8 +173,8 @@
                 self.catalog_reads.fetch_add(1, Ordering::Relaxed);
             }
             if (kind, read) == (source::Kind::Catalog, source::Read::AnyAge) {
-                self.old_catalog_reads.fetch_add(1, Ordering::Relaxed);
-                let old = self.kept.borrow().old_catalog.clone();
+                self.any_age_catalog_reads.fetch_add(1, Ordering::Relaxed);
+                let old = self.contents.borrow().stale_catalog.clone();
                 if let Some(old) = old.filter(|_| !refuses) {
                     let record = Some(Record::Catalog(Box::new(old)));
                     let records = vec![Change { name: "main".into(), record }];
@@ -199,17 +199,17 @@
         progress: &'a Progress,
     ) -> BoxFuture<'a, Result<Batch, Fault>> {
         Box::pin(async move {
-            let mut heard = self.kept.subscribe();
-            let changed = heard.wait_for(|kept| kept.revision > from && !kept.silent);
+            let mut receiver = self.contents.subscribe();
+            let changed = receiver.wait_for(|contents| contents.revision > from && !contents.silent);
             if tokio::time::timeout(wait, changed).await.is_err() {
-                if self.kept.borrow().silent {
+                if self.contents.borrow().silent {
                     std::future::pending::<()>().await;
                 }
                 progress.note();
                 return Ok(Batch { revision: from, changes: Vec::new() });
             }
             progress.note();
-            // History is not kept: whoever is behind lists again.
+            // The store keeps no history: a watch that is behind has to list again.
             Err(Fault::Compacted)
         })
     }
@@ -228,11 +228,11 @@
     }
 
     fn refuse<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
-        self.write(|kept| kept.refused.push(*refused))
+        self.write(|contents| contents.refused.push(*refused))
     }
 
     fn allow<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
-        self.write(|kept| kept.refused.retain(|kept| kept.content != refused.content))
+        self.write(|contents| contents.refused.retain(|other| other.content != refused.content))
     }
 }
 
@@ -240,27 +240,27 @@
 pub struct Site {
     /// The relay.
     pub relay: Handle,
-    /// Its store.
+    /// The store that it reads.
     pub store: Arc<Store>,
 }
 
 impl Site {
     /// Starts a relay in front of endpoints and waits until it is ready.
-    pub async fn open(routes: Vec<Route>, servers: &[SocketAddr]) -> Self {
+    pub async fn start(routes: Vec<Route>, servers: &[SocketAddr]) -> Self {
         let catalog = catalog(1, routes);
         let endpoints = servers.iter().enumerate().map(|(n, at)| endpoint(&format!("e{n}"), *at)).collect();
-        Self::open_with(Kept { catalog: Some(catalog), endpoints, ..Kept::default() }, |_| {}).await
+        Self::start_with(StoreContents { catalog: Some(catalog), endpoints, ..StoreContents::default() }, |_| {}).await
     }
 
-    /// Starts a relay on a store that holds something.
-    pub async fn open_with(kept: Kept, adjust: impl FnOnce(&mut Settings)) -> Self {
+    /// Starts a relay on a new store with the given contents.
+    pub async fn start_with(contents: StoreContents, adjust: impl FnOnce(&mut Settings)) -> Self {
         let mut settings = settings();
         adjust(&mut settings);
-        Self::open_on(Arc::new(Store::open(kept)), settings).await
+        Self::start_on(Arc::new(Store::new(contents)), settings).await
     }
 
-    /// Starts a relay on a store that may have served another.
-    pub async fn open_on(store: Arc<Store>, settings: Settings) -> Self {
+    /// Starts a relay on a store that another relay may have used before.
+    pub async fn start_on(store: Arc<Store>, settings: Settings) -> Self {
         let source: Arc<dyn Source> = store.clone();
         let relay = relay::spawn(settings, dialect(), source).await.expect("free ports can be bound");
         while !relay.desk().ready() {
@@ -269,13 +269,13 @@
         Self { relay, store }
     }
 
-    /// Where callers connect.
+    /// Returns the address to which callers connect.
     pub fn front(&self) -> SocketAddr {
         self.relay.desk().settings.listeners.front
     }
 }
 
-/// Settings on the loopback address, with free ports.
+/// Returns settings for the loopback address with free ports.
 pub fn settings() -> Settings {
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
@@ -295,7 +295,7 @@
     }
 }
 
-/// An endpoint of the service.
+/// Returns the registration of an endpoint of the service.
 pub fn endpoint(id: &str, address: SocketAddr) -> Endpoint {
     Endpoint {
         id: id.into(),
@@ -311,7 +311,7 @@
     }
 }
 
-/// A catalog of routes, with one team.
+/// Returns a catalog of routes with one customer.
 pub fn catalog(version: u64, routes: Vec<Route>) -> Catalog {
     let team = Arc::new(Team { name: "club".into(), rank: None });
     let service = Arc::new(Service { name: SERVICE.into(), memory_tokens: None });
@@ -327,7 +327,7 @@
     catalog
 }
 
-/// A route of a kind, with three attempts where it may be repeated.
+/// Returns a route with at most three attempts.
 pub fn route(prefix: &str, kind: Kind) -> Route {
     Route {
         name: prefix.trim_matches('/').into(),
@@ -344,14 +344,14 @@
     }
 }
 
-/// A route whose models stand in a ladder.
-pub fn laddered(prefix: &str) -> Route {
+/// Returns a route for streams that can go from a small to a large model.
+pub fn cascade_route(prefix: &str) -> Route {
     let model = |name: &str, cost| Model { name: name.into(), cost };
     let kind = Kind::Stream { resumable: true };
     Route { models: vec![model("small", 0.1), model("large", 1.0)], ..route(prefix, kind) }
 }
 
-/// Names of our own.
+/// Returns the header names, paths and formats that the tests use.
 pub fn dialect() -> Dialect {
     let name = HeaderName::from_static;
     Dialect {
--- /dev/null
+++ b/crates/relay/tests/it/synchronization.rs
@@ -0,0 +1,551 @@
+//! Instances that another one keeps synchronized, in place of the store.
+
+use std::{
+    collections::HashMap,
+    sync::{Arc, atomic::Ordering},
+    time::Duration,
+};
+
+use relay::{
+    catalog::Kind,
+    clock,
+    desk::{
+        Desk,
+        fleet::{Job, Load, short_hash},
+        peers::{Asking, Phase, Word},
+        track::{Change, Question, Reply},
+    },
+    settings::Cores,
+};
+use route::relay::freshness::Proof;
+use world::hash;
+
+use crate::site::{SERVICE, Site, StoreContents, catalog, dialect, endpoint, route, settings};
+
+/// Returns an instance that has a catalog and one endpoint, as of revision 10.
+pub fn instance_with_catalog(version: u64) -> Arc<Desk> {
+    let instance = Desk::new(settings(), dialect());
+    instance.install(catalog(version, vec![route("/a/", Kind::Idempotent)]));
+    instance.enlist(endpoint("e0", ([127, 0, 0, 1], 9).into()));
+    instance.note_listing(10);
+    instance.note_orders();
+    instance.mark_listed();
+    instance
+}
+
+fn endpoint_ids(instance: &Desk) -> Vec<String> {
+    let mut names = instance.enlisted();
+    names.sort();
+    names
+}
+
+#[test]
+fn changes_are_passed_on_in_order() {
+    let (watcher, other) = (instance_with_catalog(1), instance_with_catalog(1));
+    watcher.renew(clock::now(), Proof::Read);
+    let e1 = endpoint("e1", ([127, 0, 0, 1], 10).into());
+    watcher.note_changes(12, vec![Change::Known(e1), Change::Gone("e0".into())]);
+    let reply = watcher.reply(other.question(), 60).unwrap();
+    assert!(!reply.gap);
+    other.take_reply(clock::now(), reply);
+    assert_eq!(endpoint_ids(&other), ["e1"]);
+    assert_eq!(other.question(), Question { revision: 12 });
+}
+
+/// A listing was in progress when a newer change arrived from another instance: the endpoint
+/// that the change added must not be dropped because the listing lacks it, since no later
+/// message would add it again.
+#[tokio::test]
+async fn older_listing_does_not_undo_newer_changes() {
+    let contents = StoreContents {
+        catalog: Some(catalog(1, vec![route("/a/", Kind::Idempotent)])),
+        endpoints: vec![endpoint("e0", ([127, 0, 0, 1], 9).into())],
+        ..StoreContents::default()
+    };
+    let site = Site::start_with(contents, |_| {}).await;
+    let instance = site.relay.desk();
+    let newer = Change::Known(endpoint("e1", ([127, 0, 0, 1], 10).into()));
+    instance.enlist(endpoint("e1", ([127, 0, 0, 1], 10).into()));
+    instance.note_changes(1_000, vec![newer]);
+    let reads = || site.store.endpoint_reads.load(Ordering::Relaxed);
+    let before = reads();
+    site.store.change(|contents| contents.catalog = Some(catalog(2, vec![route("/a/", Kind::Idempotent)])));
+    while reads() < before + 2 {
+        tokio::time::sleep(Duration::from_millis(10)).await;
+        site.store.change(|_| {});
+    }
+    assert_eq!(endpoint_ids(instance), ["e0", "e1"]);
+}
+
+/// The watcher lists the endpoints again after the store has compacted its history. It has no
+/// changes from before the listing, so the other instance has to list as well and must not count
+/// as synchronized.
+#[test]
+fn gap_is_reported_and_requires_a_listing() {
+    let (watcher, other) = (instance_with_catalog(1), instance_with_catalog(1));
+    watcher.renew(clock::now(), Proof::Read);
+    watcher.note_listing(40);
+    let reply = watcher.reply(other.question(), 60).unwrap();
+    assert!(reply.gap);
+    other.take_reply(clock::now(), reply);
+    assert_eq!(other.question(), Question { revision: 10 });
+}
+
+/// Fifty servers crash at once. Each reply carries the changes that fit a datagram, all those of
+/// one revision together, and after the last reply none is missing: the other instance does not
+/// have to list.
+#[test]
+fn many_changes_are_sent_in_several_replies() {
+    let (watcher, other) = (instance_with_catalog(1), instance_with_catalog(1));
+    watcher.renew(clock::now(), Proof::Read);
+    let registered = |n: u16| Change::Known(endpoint(&format!("n{n:02}"), ([127, 0, 0, 1], 100 + n).into()));
+    // Each revision has two changes.
+    for n in (0..50).step_by(2) {
+        watcher.note_changes(u64::from(20 + n), vec![registered(n), registered(n + 1)]);
+    }
+    let mut replies = 0;
+    while other.endpoints_revision() < watcher.endpoints_revision() {
+        let reply = watcher.reply(other.question(), 15).unwrap();
+        assert!(!reply.gap && reply.changes.len() <= 16, "{reply:?}");
+        other.take_reply(clock::now(), reply);
+        replies += 1;
+    }
+    assert_eq!((other.enlisted().len(), replies), (51, 4));
+}
+
+/// The store compacts its history, and the watcher has to list again. It derives the changes
+/// from what it knew before and passes them on; without that, each other instance had to list as
+/// well, sixty at once on a large deployment.
+#[tokio::test]
+async fn relisting_is_passed_on_as_changes() {
+    let contents = StoreContents {
+        catalog: Some(catalog(1, vec![route("/a/", Kind::Idempotent)])),
+        endpoints: vec![endpoint("e0", ([127, 0, 0, 1], 9).into()), endpoint("e1", ([127, 0, 0, 1], 10).into())],
+        ..StoreContents::default()
+    };
+    let site = Site::start_with(contents, |_| {}).await;
+    let watcher = site.relay.desk();
+    let asked = watcher.question();
+    site.store.change(|contents| {
+        contents.endpoints.remove(0);
+        contents.endpoints.push(endpoint("e2", ([127, 0, 0, 1], 11).into()));
+    });
+    while watcher.endpoints_revision() == asked.revision {
+        tokio::time::sleep(Duration::from_millis(10)).await;
+    }
+    let reply = watcher.reply(asked, 60).unwrap();
+    let e2 = Change::Known(endpoint("e2", ([127, 0, 0, 1], 11).into()));
+    assert_eq!((reply.gap, reply.changes), (false, vec![Change::Gone("e0".into()), e2]));
+    assert_eq!(endpoint_ids(watcher), ["e1", "e2"]);
+}
+
+/// An instance loses power. About a second after its last status update, callers are not sent to
+/// it any more, and its pending requests no longer count as load.
+#[tokio::test]
+async fn silent_instance_is_left_out() {
+    let here = instance_with_catalog(1);
+    let front = ([127, 0, 0, 9], 80).into();
+    let load = Load { runs: 40.0, backlog_ms: 900.0 };
+    let update = Word {
+        front: Some(front),
+        run: 1,
+        phase: Phase::Ready,
+        fresh: true,
+        pause: Duration::from_millis(250),
+        loads: HashMap::from([(short_hash("e0"), load)]),
+        ..Word::default()
+    };
+    here.hear("there", ([127, 0, 0, 9], 7).into(), update);
+    let job = Job {
+        service: SERVICE,
+        model: None,
+        size: 1.0,
+        affinity: None,
+        whole: None,
+        shared_tokens: 0,
+        own_tokens: 0,
+        session: 1,
+        in_session: false,
+        tried: &[],
+        version: None,
+    };
+    let busy_ms = here.expect(&job).unwrap();
+    assert!(here.fronts(&Asking::default()).contains(&front));
+    assert_eq!(here.members(), 2);
+
+    tokio::time::sleep(Duration::from_millis(1_200)).await;
+    assert!(!here.fronts(&Asking::default()).contains(&front));
+    assert_eq!(here.members(), 1);
+    // Loads are recomputed with the next status update from any instance.
+    here.hear("else", ([127, 0, 0, 8], 7).into(), Word { pause: Duration::from_millis(250), ..Word::default() });
+    assert!(here.expect(&job).unwrap() < busy_ms);
+}
+
+/// A key is revoked after the question was sent, and the reply takes long to arrive. The proof
+/// counts from the question, so it can only look older than it is.
+#[test]
+fn proof_counts_from_the_question() {
+    let (watcher, other) = (instance_with_catalog(1), instance_with_catalog(1));
+    let asked = clock::now();
+    std::thread::sleep(Duration::from_millis(30));
+    watcher.renew(clock::now(), Proof::Read);
+    other.take_reply(asked, watcher.reply(other.question(), 60).unwrap());
+    assert!(other.keys_age().unwrap() >= Duration::from_millis(30));
+}
+
+/// The watcher proves a catalog that the other instance does not have: the older keys of that
+/// instance are not proven by it.
+#[test]
+fn older_catalog_is_not_proven() {
+    let (watcher, other) = (instance_with_catalog(2), instance_with_catalog(1));
+    watcher.renew(clock::now(), Proof::Read);
+    other.take_reply(clock::now(), watcher.reply(other.question(), 60).unwrap());
+    assert_eq!(other.keys_age(), None);
+    assert!(!other.fresh());
+}
+
+/// An endpoint's lease expired during an outage of the store, and the endpoint is kept for a
+/// while. Meanwhile the instance that keeps this one synchronized reports that the endpoint has
+/// registered again. It must not be removed when that time ends, since no later message would
+/// add it again.
+#[test]
+fn expired_endpoint_that_another_instance_reports_is_kept() {
+    let (watcher, other) = (instance_with_catalog(1), instance_with_catalog(1));
+    watcher.renew(clock::now(), Proof::Read);
+    let lapsed = clock::now();
+    std::thread::sleep(Duration::from_millis(1));
+    watcher.note_changes(12, vec![Change::Known(endpoint("e0", ([127, 0, 0, 1], 9).into()))]);
+    other.take_reply(clock::now(), watcher.reply(other.question(), 60).unwrap());
+    assert!(!other.delist_lapsed("e0", lapsed));
+    assert_eq!(endpoint_ids(&other), ["e0"]);
+    assert!(other.delist_lapsed("e0", clock::now()));
+    assert!(endpoint_ids(&other).is_empty());
+}
+
+/// A catalog change makes every instance of the fleet read the catalog. Each first takes a
+/// listing of any age, which costs the store little; where that shows nothing new, it reads the
+/// latest state at once, because the change has to be in force within a time limit.
+///
+/// `old` is the version that listings of any age show, `reads` the expected numbers of all
+/// catalog reads and of those of any age.
+async fn check_announced_catalog(old: Option<u64>, reads: [usize; 2]) {
+    let routes = || vec![route("/a/", Kind::Idempotent)];
+    let contents = StoreContents { catalog: Some(catalog(1, routes())), ..StoreContents::default() };
+    let site = Site::start_with(contents, |_| {}).await;
+    let (instance, watcher) = (site.relay.desk(), instance_with_catalog(2));
+    let counts = || [&site.store.catalog_reads, &site.store.any_age_catalog_reads].map(|n| n.load(Ordering::Relaxed));
+    let synchronize = || {
+        watcher.renew(clock::now(), Proof::Read);
+        instance.take_reply(clock::now(), watcher.reply(Question { revision: 10 }, 60).unwrap());
+    };
+    // Kept synchronized for as long as one of its own calls to the store may take.
+    for _ in 0..10 {
+        synchronize();
+        tokio::time::sleep(Duration::from_millis(100)).await;
+    }
+    site.store.change(|contents| {
+        contents.catalog = Some(catalog(2, routes()));
+        contents.stale_catalog = old.map(|version| catalog(version, routes()));
+    });
+    let before = counts();
+    while instance.catalog().unwrap().version < 2 {
+        synchronize();
+        tokio::time::sleep(Duration::from_millis(100)).await;
+    }
+    let after = counts();
+    assert_eq!([after[0] - before[0], after[1] - before[1]], reads);
+}
+
+#[tokio::test]
+async fn announced_catalog_is_read_at_any_age() {
+    check_announced_catalog(None, [1, 1]).await;
+}
+
+#[tokio::test]
+async fn announced_catalog_is_read_again_if_the_listing_is_stale() {
+    check_announced_catalog(Some(1), [2, 1]).await;
+}
+
+/// The instance that keeps this one synchronized was cut off from the store without a reset: its
+/// watch hangs, and for seconds it still proves the catalog that it has. The operator changes
+/// the catalog. A third instance has the new one and says so in its status update, which makes
+/// this one read it.
+#[tokio::test]
+async fn newer_catalog_in_any_status_update_is_read() {
+    let routes = || vec![route("/a/", Kind::Idempotent)];
+    let contents = StoreContents { catalog: Some(catalog(1, routes())), ..StoreContents::default() };
+    // The instances with the lowest hashes watch the store, so this one has the highest.
+    let mut names = ["a", "b", "c", "d"];
+    names.sort_by_key(|name| hash::stable(name.as_bytes()));
+    let site = Site::start_with(contents, |settings| settings.instance = names[3].into()).await;
+    let (instance, cut_off) = (site.relay.desk(), instance_with_catalog(1));
+    let update = |catalog| Word {
+        run: 1,
+        phase: Phase::Ready,
+        in_touch: true,
+        pause: Duration::from_millis(250),
+        catalog,
+        ..Word::default()
+    };
+    let synchronize = || {
+        for (name, port) in [(names[0], 7), (names[1], 8)] {
+            instance.hear(name, ([127, 0, 0, 7], port).into(), update(1));
+        }
+        cut_off.renew(clock::now(), Proof::Read);
+        instance.take_reply(clock::now(), cut_off.reply(Question { revision: 10 }, 60).unwrap());
+    };
+    for _ in 0..15 {
+        synchronize();
+        tokio::time::sleep(Duration::from_millis(100)).await;
+    }
+    assert!(instance.led());
+    site.store.change(|contents| contents.catalog = Some(catalog(2, routes())));
+    for _ in 0..5 {
+        synchronize();
+        tokio::time::sleep(Duration::from_millis(100)).await;
+    }
+    assert_eq!(instance.catalog().unwrap().version, 1);
+    instance.hear(names[2], ([127, 0, 0, 7], 9).into(), update(2));
+    let read = async {
+        while instance.catalog().unwrap().version < 2 {
+            synchronize();
+            tokio::time::sleep(Duration::from_millis(100)).await;
+        }
+    };
+    assert!(tokio::time::timeout(Duration::from_secs(5), read).await.is_ok());
+}
+
+/// A watcher that has lost the store keeps no other instance synchronized.
+#[test]
+fn watcher_without_a_fresh_proof_synchronizes_no_instance() {
+    let (watcher, other) = (instance_with_catalog(1), instance_with_catalog(1));
+    assert!(watcher.reply(other.question(), 60).is_none());
+    watcher.renew(clock::now().saturating_sub(Duration::from_secs(4)), Proof::Read);
+    other.take_reply(clock::now(), watcher.reply(other.question(), 60).unwrap());
+    assert!(!other.led());
+    assert_eq!(other.keys_age(), None);
+}
+
+/// The store refuses this instance and serves all others, which go on to announce a newer
+/// catalog many times a second. The instance must not react to each announcement with another
+/// call that is refused, and has to have the catalog soon after the store serves it again.
+#[tokio::test]
+async fn refused_read_of_an_announced_catalog_is_not_repeated_at_once() {
+    let routes = || vec![route("/a/", Kind::Idempotent)];
+    let contents = StoreContents { catalog: Some(catalog(1, routes())), ..StoreContents::default() };
+    let mut names = ["a", "b", "c"];
+    names.sort_by_key(|name| hash::stable(name.as_bytes()));
+    let site = Site::start_with(contents, |settings| settings.instance = names[2].into()).await;
+    let (instance, watcher) = (site.relay.desk(), instance_with_catalog(2));
+    let synchronize = async || {
+        for (name, port) in [(names[0], 7), (names[1], 8)] {
+            let update = Word {
+                run: 1,
+                phase: Phase::Ready,
+                in_touch: true,
+                pause: Duration::from_millis(250),
+                catalog: 2,
+                ..Word::default()
+            };
+            instance.hear(name, ([127, 0, 0, 7], port).into(), update);
+        }
+        watcher.renew(clock::now(), Proof::Read);
+        instance.take_reply(clock::now(), watcher.reply(Question { revision: 10 }, 60).unwrap());
+        tokio::time::sleep(Duration::from_millis(20)).await;
+    };
+    site.store.change(|contents| contents.refuses = true);
+    while !instance.led() {
+        synchronize().await;
+    }
+    let reads = || site.store.catalog_reads.load(Ordering::Relaxed);
+    let before = reads();
+    for _ in 0..150 {
+        synchronize().await;
+    }
+    assert!(reads() - before <= 9, "{} calls in three seconds", reads() - before);
+    site.store.change(|contents| {
+        contents.refuses = false;
+        contents.catalog = Some(catalog(2, routes()));
+    });
+    let served = async {
+        while instance.catalog().unwrap().version < 2 {
+            synchronize().await;
+        }
+    };
+    tokio::time::timeout(Duration::from_secs(2), served)
+        .await
+        .expect("the catalog should be read soon after the store serves it");
+}
+
+/// A fleet starts before an operator has written the first catalog. No instance is ready, and
+/// each one watched the store itself, with tens of calls, until the catalog appeared. Now an
+/// instance that has found no catalog keeps others synchronized too, and its proof that there is
+/// none counts from its own read.
+#[test]
+fn instance_without_a_catalog_keeps_others_synchronized() {
+    let empty = || {
+        let instance = Desk::new(settings(), dialect());
+        instance.note_listing(10);
+        instance.note_orders();
+        instance.mark_listed();
+        instance.note_touch(true);
+        instance
+    };
+    let (watcher, other) = (empty(), empty());
+    let read = clock::now();
+    watcher.renew(read, Proof::Read);
+    std::thread::sleep(Duration::from_millis(20));
+    let reply = watcher.reply(other.question(), 60).unwrap();
+    assert_eq!(reply.catalog, 0);
+    assert!(reply.proof_age >= Duration::from_millis(20));
+    for (name, port) in [("a", 7), ("b", 8)] {
+        let update = Word { in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
+        other.hear(name, ([127, 0, 0, 7], port).into(), update);
+    }
+    other.take_reply(clock::now(), reply);
+    assert!(!other.ready() && !other.behind());
+    assert!(other.whom_to_ask(0).is_some() || !other.led());
+}
+
+/// Instances that are leaving keep no others synchronized: they end within seconds.
+#[test]
+fn leaving_instance_is_not_asked() {
+    let instance = instance_with_catalog(1);
+    let update = |phase| Word { phase, in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
+    instance.hear("a", ([127, 0, 0, 7], 7).into(), update(Phase::Leaving));
+    assert_eq!(instance.whom_to_ask(0), None);
+    instance.hear("b", ([127, 0, 0, 7], 8).into(), update(Phase::Starting));
+    assert_eq!(instance.whom_to_ask(0), Some(([127, 0, 0, 7], 8).into()));
+}
+
+/// Many instances start at once. Each finds some of the others in the store and is found by
+/// others. An instance found in the store is sent status updates at once, until one arrives from
+/// it; an instance that sends its first one gets one in return.
+#[test]
+fn new_instances_are_sent_status_updates_at_once() {
+    let instance = instance_with_catalog(1);
+    let (found, heard) = (([127, 0, 0, 7], 7).into(), ([127, 0, 0, 7], 8).into());
+    instance.meet("found", found);
+    assert_eq!(instance.strangers(), [found]);
+    let update = || Word { pause: Duration::from_millis(250), ..Word::default() };
+    instance.hear("heard", heard, update());
+    assert_eq!(instance.strangers(), [heard, found]);
+    instance.hear("heard", heard, update());
+    instance.hear("found", found, update());
+    assert_eq!(instance.strangers(), [found]);
+    assert!(instance.strangers().is_empty());
+}
+
+/// Delivers replies of two instances that watch the store, with the times for which they say the
+/// store has been silent, and checks whether this instance still counts as synchronized.
+fn check_proof_ages(silences_ms: &[u64], is_synchronized: bool) {
+    let (watcher, instance) = (instance_with_catalog(1), instance_with_catalog(1));
+    let update =
+        || Word { run: 1, phase: Phase::Ready, in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
+    for (name, port) in [("a", 7), ("b", 8)] {
+        instance.hear(name, ([127, 0, 0, 7], port).into(), update());
+    }
+    for silence in silences_ms {
+        watcher.renew(clock::now(), Proof::Read);
+        let reply = watcher.reply(instance.question(), 60).unwrap();
+        let silence = Duration::from_millis(*silence);
+        instance.take_reply(clock::now(), Reply { proof_age: silence, silence, ..reply });
+    }
+    assert_eq!(instance.led(), is_synchronized);
+}
+
+macro_rules! proof_ages {
+    ($($name:ident: $silences_ms:expr => $is_synchronized:expr;)*) => { $(#[test] fn $name() { check_proof_ages($silences_ms, $is_synchronized); })* };
+}
+
+// Both instances that watch the store are cut off from it and still reach this one. They go on
+// proving the old catalog, with proofs that grow older, while the operator removes a route: the
+// route must not be served for longer than the operator allows.
+proof_ages! {
+    renewed_proofs_keep_an_instance_synchronized: &[300, 1_000, 700, 1_300] => true;
+    one_old_proof_does_not_end_synchronization: &[300, 1_500, 200, 1_500] => true;
+    two_old_proofs_in_a_row_end_synchronization: &[300, 1_500, 1_500] => false;
+    renewed_proof_restores_synchronization: &[300, 1_500, 1_500, 200] => true;
+}
+
+/// The proof of the first instance is too old: the next question goes to the other one.
+#[test]
+fn instance_with_an_old_proof_is_not_asked_next() {
+    let (watcher, instance) = (instance_with_catalog(1), instance_with_catalog(1));
+    let update =
+        || Word { run: 1, phase: Phase::Ready, in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
+    for (name, port) in [("a", 7), ("b", 8)] {
+        instance.hear(name, ([127, 0, 0, 7], port).into(), update());
+    }
+    watcher.renew(clock::now(), Proof::Read);
+    let first = instance.whom_to_ask(0).unwrap();
+    let reply = watcher.reply(instance.question(), 60).unwrap();
+    let silence = Duration::from_millis(1_500);
+    instance.take_reply(clock::now(), Reply { proof_age: silence, silence, ..reply });
+    assert_ne!(instance.whom_to_ask(0).unwrap(), first);
+}
+
+/// `lost` of the other four instances have lost the store, and callers are told of `fronts`
+/// instances in total.
+fn check_fronts(lost: u16, fronts: usize) {
+    let here = instance_with_catalog(1);
+    here.renew(clock::now(), Proof::Read);
+    here.note_touch(true);
+    for number in 0..4_u16 {
+        let update = Word {
+            front: Some(([127, 0, 0, 9], 80 + number).into()),
+            phase: Phase::Ready,
+            fresh: true,
+            in_touch: number >= lost,
+            pause: Duration::from_mins(1),
+            ..Word::default()
+        };
+        here.hear(&format!("i{number}"), ([127, 0, 0, 9], 7 + number).into(), update);
+    }
+    assert_eq!(here.fronts(&Asking::default()).len(), fronts);
+}
+
+/// Callers were sent to instances that depend on the proofs of others, though most instances
+/// could reach the store themselves.
+#[test]
+fn instances_that_lost_the_store_are_left_out() {
+    check_fronts(2, 3);
+}
+
+/// The remaining instances could not carry the load of all callers.
+#[test]
+fn majority_that_lost_the_store_is_not_left_out() {
+    check_fronts(3, 5);
+}
+
+/// The store is down. As soon as the instances that watch it reported that, every instance of a
+/// large fleet called it for each kind of record, six times in the first second: some five
+/// thousand calls, each refused and each paid for.
+#[tokio::test]
+async fn lost_store_is_polled_by_few_instances() {
+    let site = Site::start(vec![route("/a/", Kind::Idempotent)], &[]).await;
+    let (instance, watcher) = (site.relay.desk(), instance_with_catalog(1));
+    let update = || Word { cores: Cores(400), in_touch: true, pause: Duration::from_mins(1), ..Word::default() };
+    for (name, port) in [("a", 7), ("b", 8)] {
+        instance.hear(name, ([127, 0, 0, 7], port).into(), update());
+    }
+    let reply = || {
+        watcher.renew(clock::now(), Proof::Read);
+        watcher.reply(instance.question(), 60).unwrap()
+    };
+    for _ in 0..10 {
+        instance.take_reply(clock::now(), reply());
+        tokio::time::sleep(Duration::from_millis(100)).await;
+    }
+    assert!(instance.led());
+    site.store.change(|contents| contents.refuses = true);
+    let before = site.store.latest_reads.load(Ordering::Relaxed);
+    let silence = Duration::from_secs(2);
+    for _ in 0..2 {
+        instance.take_reply(clock::now(), Reply { silence, ..reply() });
+    }
+    assert!(!instance.led());
+    tokio::time::sleep(Duration::from_millis(1_900)).await;
+    let listings = site.store.latest_reads.load(Ordering::Relaxed) - before;
+    assert!(listings <= 2, "{listings} listings");
+}
