--- a/crates/route/src/address.rs
+++ b/crates/route/src/address.rs
@@ -1,10 +1,10 @@
-//! Which instances a customer's callers use.
+//! Selects the instances that a customer's callers use.
 //!
-//! Each customer gets a small set, the same at every instance that is asked:
-//! fewer budget grants, warmer prefix caches, and a customer that misbehaves
-//! reaches few instances. Rendezvous hashing picks it, so that an instance
-//! that goes changes only the sets it was in, each by one member. The set
-//! spreads over failure domains before it takes a second instance of one.
+//! Each customer gets a small set, the same at every instance that is asked. This needs
+//! fewer budget grants, keeps prefix caches warm, and limits a misbehaving customer to few
+//! instances. Sets are selected by rendezvous hashing, so the loss of an instance changes
+//! only the sets that contain it, each by one member. A set covers all failure domains
+//! before it contains a second instance of one.
 
 use world::{
     Millis,
@@ -15,16 +15,18 @@
     session,
 };
 
-/// How sets are cut.
+/// Parameters for the size and lifetime of sets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Fewest instances in a set, where there are as many.
+    /// Minimum number of instances in a set, if there are as many.
     pub min: usize,
-    /// Concurrent requests one instance of a set should carry for a customer.
+    /// Number of concurrent requests of a customer that one instance of its set should
+    /// handle.
     pub load_per_instance: f64,
-    /// How long callers may keep an answer, in milliseconds.
+    /// Time for which callers may cache an answer, in milliseconds.
     pub keep_ms: Millis,
-    /// The same while an instance of the set is suspect.
+    /// Time for which callers may cache an answer that contains a suspect instance, in
+    /// milliseconds.
     pub unsettled_keep_ms: Millis,
 }
 
@@ -34,33 +36,32 @@
     }
 }
 
-/// Who asks.
+/// The caller that asks for instances.
 #[derive(Debug, Clone, Copy)]
 pub struct Caller<'a> {
-    /// Whose caller.
+    /// Customer that the caller belongs to.
     pub customer: &'a Customer,
-    /// Its session, where it named one.
+    /// Session of the caller, if it sent one.
     pub session: Option<&'a session::Id>,
-    /// Its failure domain, where it named one.
+    /// Failure domain of the caller, if it sent one.
     pub domain: Option<&'a Domain>,
-    /// The customer's concurrent requests over all instances.
+    /// Number of concurrent requests of the customer over all instances.
     pub load: f64,
 }
 
-/// The answer, best instance first.
+/// The answer to a caller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct List<'a> {
-    /// Instances to use, in this order.
+    /// Instances to use, in order of preference.
     pub instances: Vec<&'a Instance>,
-    /// How long the answer may be kept, in milliseconds.
+    /// Time for which the answer may be cached, in milliseconds.
     pub keep_ms: Millis,
 }
 
-/// The instances a caller uses.
+/// Returns the instances that a caller should use.
 ///
-/// Leaving and gone instances are left out; suspect ones stand last, since a
-/// suspicion is often wrong and dropping them at once would move customers
-/// twice.
+/// Instances that are leaving or gone are omitted. Suspect instances are listed last, since
+/// a suspicion is often wrong and omitting them at once would move customers twice.
 #[must_use]
 pub fn list<'a>(policy: &Policy, instances: &'a [Instance], caller: &Caller<'_>) -> List<'a> {
     let mut set = set(policy, instances, caller);
@@ -75,7 +76,7 @@
     List { instances: set, keep_ms }
 }
 
-/// The customer's set, by rank.
+/// Returns the customer's set in order of rank.
 fn set<'a>(policy: &Policy, instances: &'a [Instance], caller: &Caller<'_>) -> Vec<&'a Instance> {
     let key = hash::stable(caller.customer.as_str().as_bytes());
     let mut ranked: Vec<_> = instances.iter().filter(|i| matches!(i.state, State::Live | State::Suspect)).collect();
@@ -96,7 +97,7 @@
     chosen
 }
 
-/// Instances a load needs, one spare included.
+/// Returns the number of instances that a load needs, including one spare.
 fn size(policy: &Policy, load: f64) -> usize {
     let needed = (load.max(0.0) / policy.load_per_instance).ceil();
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded by u32, never negative")]
@@ -104,7 +105,9 @@
     policy.min.max(needed + 1)
 }
 
-/// A session's requests meet at one instance; other calls of a customer do too.
+/// Returns the hash key that determines the order of the instances. It depends on the
+/// session, so that a session's requests go to the same instance. Requests without a
+/// session use one key per customer.
 fn order_key(caller: &Caller<'_>) -> u64 {
     match caller.session {
         Some(session) => hash::stable(format!("{}/{session}", caller.customer).as_bytes()),
@@ -112,6 +115,7 @@
     }
 }
 
+/// Returns the rendezvous weight of an instance for a key.
 fn weight(key: u64, instance: &Instance) -> u64 {
     hash::rendezvous(key, instance.id.as_str().as_bytes())
 }
--- a/crates/route/src/endpoint.rs
+++ b/crates/route/src/endpoint.rs
@@ -1,16 +1,15 @@
-//! Which endpoint a run goes to.
+//! Selects the endpoint that a run is sent to.
 //!
-//! A [`Fleet`] is what one instance knows of the endpoints it works with: its
-//! own runs exactly, the rest from reports that are seconds old. It is plain
-//! state, owned by one task, that changes by [`Event`]s and is asked with
-//! [`Fleet::choose`]. Time and draws are arguments.
+//! A [`Fleet`] holds what one instance knows of the endpoints it uses: its own runs
+//! exactly, other load from reports that are seconds old. It is plain state owned by one
+//! task. It is updated by [`Event`]s and queried with [`Fleet::choose`]. Time and random
+//! numbers are arguments.
 //!
-//! A prompt prefix has a preferred endpoint, the same at every instance, so
-//! that the engine's prefix cache is hit. The preferred one is passed over
-//! while it holds more than its bounded share of the load; then the less
-//! loaded of two drawn ones is taken, not the least loaded of all: every
-//! instance sees the same old reports, and would send its work to the same
-//! endpoint.
+//! A prompt prefix has a preferred endpoint, the same at every instance, so that the
+//! engine's prefix cache is hit. The preferred endpoint is skipped while it exceeds its
+//! bounded share of the load. Then the less loaded of two randomly drawn endpoints is
+//! chosen rather than the least loaded of all: every instance sees the same old reports and
+//! would send its work to the same endpoint.
 
 mod choice;
 mod health;
@@ -34,19 +33,20 @@
 use subset::Subset;
 
 slotmap::new_key_type! {
-    /// An endpoint within a [`Fleet`]; a key of one that is gone finds nothing.
+    /// Key of an endpoint within a [`Fleet`]. The key of a removed endpoint matches
+    /// nothing.
     pub struct Key;
 }
 
-/// Runs an endpoint is given, as a multiple of its slots: a batch that has to
-/// wait for news of each ended run would stand half empty.
+/// Runs that an endpoint is given, as a multiple of its slots. Without headroom a batch
+/// would be partly empty until the instance learns of each completed run.
 const HEADROOM: f64 = 1.1;
-/// Known holders of prefixes; all are forgotten when there are more.
+/// Maximum number of prefixes whose holder is stored. All are dropped when it is exceeded.
 const MAX_HOLDERS: usize = 8_192;
-/// Most of a target's endpoints that may be ejected at a time.
+/// Maximum fraction of a target's endpoints that may be ejected at a time.
 const MAX_EJECTED: f64 = 0.34;
 
-/// What one instance knows of its endpoints.
+/// Endpoints that one instance uses and what it knows of them.
 #[derive(Debug)]
 pub struct Fleet {
     me: Peer,
@@ -58,7 +58,7 @@
 }
 
 impl Fleet {
-    /// An empty fleet of the instance `me`.
+    /// Creates an empty fleet for the instance `me`.
     #[must_use]
     pub fn new(me: Peer) -> Self {
         Self {
@@ -71,10 +71,11 @@
         }
     }
 
-    /// Takes in a catalog and the live instances, this one included or not.
+    /// Applies a catalog and the list of live instances, which may or may not include this
+    /// one.
     ///
-    /// What is known of endpoints that stay is kept. Linear in endpoints and
-    /// instances, not in their product.
+    /// The state of endpoints that remain is kept. The cost is linear in the sum of
+    /// endpoints and instances, not in their product.
     pub fn apply(&mut self, catalog: &Catalog, instances: &[Peer]) {
         let ranks = subset::Ranks::new(&self.me, instances);
         self.instances = instances.len().max(1);
@@ -100,7 +101,7 @@
         self.holders.retain(|_, key| servers.contains_key(*key));
     }
 
-    /// Takes in what has happened.
+    /// Updates the state with an event.
     pub fn on(&mut self, event: Event<'_>, now: Timestamp) {
         match event {
             Event::Dispatched(key) => self.with(key, |server| server.dispatched(now)),
@@ -127,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] when none takes it.
+    /// Returns a [`Refusal`] if no endpoint accepts the run.
     pub fn choose(&self, wanted: &Wanted<'_>, now: Timestamp) -> Result<Choice, Refusal> {
         let subset = self.targets.get(wanted.target).ok_or(Refusal::NoPool)?;
         if subset.members.is_empty() {
@@ -136,30 +137,30 @@
         self.weighed(subset, wanted, now).ok_or(Refusal::NoneLeft)
     }
 
-    /// The key of an endpoint in this instance's subset.
+    /// Returns the key of an endpoint in this instance's subset.
     #[must_use]
     pub fn key(&self, endpoint: &endpoint::Id) -> Option<Key> {
         self.names.get(endpoint).copied()
     }
 
-    /// An endpoint by its key.
+    /// Returns an endpoint by its key.
     #[must_use]
     pub fn endpoint(&self, key: Key) -> Option<&Endpoint> {
         self.servers.get(key).map(|server| &server.endpoint)
     }
 
-    /// Endpoints this instance works with.
+    /// Returns the endpoints that this instance uses.
     pub fn endpoints(&self) -> impl Iterator<Item = (Key, &Endpoint)> {
         self.servers.iter().map(|(key, server)| (key, &server.endpoint))
     }
 
-    /// Runs that this instance may have under way for any of `targets`: those
-    /// it has and its part of the free slots, and never less than an even part
-    /// of all slots.
+    /// Returns the number of runs that this instance may have active for any of `targets`.
+    /// It is the number of its active runs plus its part of the free slots, and at least an
+    /// equal part of all slots.
     ///
-    /// What lies waiting in an engine cannot be ranked any more, so work in
-    /// excess of this waits in the instance's own queue. An endpoint that
-    /// serves several of the targets counts once.
+    /// Runs that wait in an engine's queue can no longer be prioritized, so work beyond
+    /// this limit waits in the instance's own queue. An endpoint that serves several of the
+    /// targets counts once.
     #[must_use]
     pub fn limit<'a>(&self, targets: impl IntoIterator<Item = &'a Target>, now: Timestamp) -> u32 {
         let subsets: Vec<_> = targets.into_iter().filter_map(|target| self.targets.get(target)).collect();
@@ -180,8 +181,8 @@
         }
         let even = slots / f64::from(u32::try_from(self.instances).unwrap_or(u32::MAX));
         let part = if own + others > 0.0 { own / (own + others) } else { 1.0 };
-        // Below zero when the endpoints are over-full: who has most gives most
-        // back, so that an instance with a new customer gets its even part.
+        // Negative if the endpoints are overfull. The instances with the most runs then
+        // give back the most, so that an instance with a new customer gets its equal part.
         let free = slots - own - others;
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "slots are few and positive")]
         let limit = part.mul_add(free, own).max(even).max(1.0).round() as u32;
@@ -230,11 +231,11 @@
         });
     }
 
-    /// Whether one more endpoint of a target may be ejected.
+    /// Returns whether one more endpoint of a target may be ejected.
     ///
-    /// When most endpoints look bad at a time the cause is elsewhere (a bad
-    /// version, a broken network); ejecting them would send the whole load to
-    /// the few left and take those down too.
+    /// If most endpoints look bad at a time, the cause is elsewhere, such as a bad version
+    /// or a broken network. Ejecting them would send the whole load to the few that are
+    /// left and overload those too.
     fn may_eject(&self, target: &Target, now: Timestamp) -> bool {
         let Some(subset) = self.targets.get(target) else { return false };
         let ejected = subset.members.iter().filter(|m| self.servers.get(m.key).is_some_and(|s| s.health.ejected(now)));
@@ -255,8 +256,9 @@
 
     fn stored(&mut self, endpoint: &endpoint::Id, prefix: u64) {
         let Some(key) = self.key(endpoint) else { return };
-        // Events come late and with gaps. Losing all holders costs hits for a
-        // while, never a wrong answer, so the bound needs no order of use.
+        // Events may be late or missing. Dropping all holders only reduces cache hits for a
+        // while and never affects correctness, so the limit does not need an eviction
+        // order.
         if self.holders.len() >= MAX_HOLDERS {
             self.holders.clear();
         }
@@ -264,6 +266,7 @@
     }
 }
 
+/// Returns the targets of a catalog that have endpoints, with their endpoints.
 fn served(catalog: &Catalog) -> impl Iterator<Item = (Target, &[Endpoint])> {
     let versions = catalog.models().iter().flat_map(|(id, model)| {
         model.versions.iter().map(|release| Version { model: id.clone(), number: release.version.clone() })
--- a/crates/route/src/endpoint/choice.rs
+++ b/crates/route/src/endpoint/choice.rs
@@ -1,4 +1,4 @@
-//! Weighing a subset's endpoints for one run.
+//! Scores the endpoints of a subset for one run.
 
 use world::Timestamp;
 
@@ -8,15 +8,16 @@
     subset::{self, Subset},
 };
 
-/// Load up to which a preferred endpoint is taken whatever the mean: while most
-/// slots are free, a hit saves more than an even load.
+/// Load up to which a preferred endpoint is chosen regardless of the mean. While most slots
+/// are free, a cache hit saves more than balanced load.
 const FREE: f64 = 0.3;
-/// Rounding of a mean; without it equal loads might all lie above theirs.
+/// Tolerance for rounding of a mean. Without it all of several equal loads might exceed
+/// their mean.
 const ROUNDING: f64 = 1e-9;
-/// Load added to an endpoint of another failure domain, in its slots.
+/// Load added to an endpoint of another failure domain, as a fraction of its slots.
 const REMOTE: f64 = 0.05;
 
-/// One endpoint's load as estimated for a choice.
+/// Estimated load of one endpoint for a choice.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     key: Key,
@@ -29,6 +30,7 @@
 }
 
 impl Candidate {
+    /// Computes the load and the score. The endpoint with the lowest score is the best.
     fn settle(&mut self, field: &Field, now: Timestamp) {
         self.load = (self.seen.own + self.seen.others_now(field, now) + 1.0) / self.seen.slots;
         self.score = self.load / self.weight + self.remote;
@@ -36,7 +38,7 @@
 }
 
 impl Fleet {
-    /// Weighs a subset's endpoints for a run; nothing when none takes it.
+    /// Chooses an endpoint of a subset for a run, or returns `None` if none accepts it.
     pub(super) fn weighed(&self, subset: &Subset, wanted: &Wanted<'_>, now: Timestamp) -> Option<Choice> {
         let usable = subset.members.iter().filter(|member| self.usable(subset, member, wanted, now));
         let mut candidates: Vec<Candidate> = usable.map(|member| self.candidate(member, wanted, now)).collect();
@@ -90,7 +92,7 @@
     }
 }
 
-/// Two different positions below `len`, at least 2, from one draw.
+/// Returns two different indices below `len` from one random number. `len` is at least 2.
 fn two(draw: u64, len: usize) -> (usize, usize) {
     let len = len as u64;
     let first = (draw >> 32) % len;
--- a/crates/route/src/endpoint/health.rs
+++ b/crates/route/src/endpoint/health.rs
@@ -1,50 +1,57 @@
-//! Whether an endpoint is fit for work: ejected when it fails or crawls, let
-//! back in gradually.
+//! Health of an endpoint: it is ejected when it fails or becomes very slow, and readmitted
+//! gradually.
 
 use serde::{Deserialize, Serialize};
 use world::{Millis, Timestamp};
 
-/// Failures in a row that eject.
+/// Consecutive failures that eject an endpoint.
 const ROW: u32 = 5;
-/// Failures in a row that eject again while coming back.
+/// Consecutive failures that eject an endpoint again while it is being readmitted.
 const ROW_WHILE_RETURNING: u32 = 1;
-/// Pace, as a multiple of the typical, that ejects.
+/// Relative run time, as a multiple of the typical one, above which an endpoint is ejected.
 const CRAWL: f64 = 4.0;
-/// Runs before a pace is believed.
+/// Number of runs before the average relative run time is used.
 const PACE_RUNS: u32 = 10;
-/// Share of the newest run in the pace.
+/// Weight of the newest run in the average relative run time.
 const PACE_STEP: f64 = 0.2;
-/// First ejection; each further one is twice as long.
+/// Duration of the first ejection. Each further one is twice as long.
 const EJECT_MS: Millis = 10_000;
-/// Longest ejection.
+/// Maximum duration of an ejection.
 const MAX_EJECT_MS: Millis = 300_000;
-/// Time from the end of an ejection to full weight.
+/// Time from the end of an ejection until the endpoint has its full weight again.
 const RETURN_MS: Millis = 30_000;
-/// Weight at the start of the return.
+/// Minimum weight of an endpoint that is not ejected.
 const LEAST_WEIGHT: f64 = 0.1;
 
-/// How a run failed.
+/// Kind of failure of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Failure {
-    /// The endpoint is full and ran nothing; no fault of its health.
+    /// The endpoint is full and ran nothing. Does not count against its health.
     Full,
-    /// It does not have the version loaded and ran nothing.
+    /// The endpoint does not have the version loaded and ran nothing. Does not count
+    /// against its health.
     NotLoaded,
-    /// It answered with an error.
+    /// The endpoint answered with an error.
     Error,
-    /// The connection could not be made or broke.
+    /// The connection could not be established or was lost.
     Broken,
-    /// It gave no sign in time.
+    /// The endpoint did not respond in time.
     Timeout,
 }
 
+/// Health of one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Health {
+    /// Failures since the last successful run.
     row: u32,
+    /// Ejections since the endpoint was last healthy for long enough.
     ejections: u32,
+    /// End of the last ejection.
     until: Timestamp,
+    /// Average run time relative to the typical one.
     pace: f64,
+    /// Number of runs in that average.
     paced: u32,
 }
 
@@ -53,7 +60,8 @@
         now < self.until
     }
 
-    /// Share of its normal work that it should get, above 0 to 1.
+    /// Returns the fraction of its normal work that the endpoint should get, above 0 and at
+    /// most 1.
     pub fn weight(&self, now: Timestamp) -> f64 {
         if self.ejections == 0 {
             return self.pace_weight();
@@ -64,6 +72,7 @@
         share.max(LEAST_WEIGHT) * self.pace_weight()
     }
 
+    /// Records a successful run. `pace` is its run time relative to the typical one.
     pub fn finished(&mut self, pace: f64, may_eject: bool, now: Timestamp) {
         self.row = 0;
         self.paced = self.paced.saturating_add(1);
@@ -77,6 +86,7 @@
         }
     }
 
+    /// Records a failed run.
     pub fn failed(&mut self, failure: Failure, may_eject: bool, now: Timestamp) {
         match failure {
             Failure::Full | Failure::NotLoaded => return,
@@ -98,6 +108,7 @@
         self.paced = 0;
     }
 
+    /// Returns the weight that follows from the average relative run time.
     fn pace_weight(&self) -> f64 {
         if self.paced < PACE_RUNS || self.pace <= 1.0 { 1.0 } else { (1.0 / self.pace).max(LEAST_WEIGHT) }
     }
--- a/crates/route/src/endpoint/message.rs
+++ b/crates/route/src/endpoint/message.rs
@@ -1,4 +1,4 @@
-//! What a fleet is told and asked, and what it answers.
+//! Inputs and results of a fleet of endpoints.
 
 use std::fmt;
 
@@ -7,146 +7,147 @@
 
 use super::{Key, health::Failure};
 
-/// What endpoints are asked for.
+/// What a run needs an endpoint for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
-    /// A model's version.
+    /// A version of a model.
     Version(Version),
     /// A plain service.
     Service(service::Id),
 }
 
-/// A run that needs an endpoint.
+/// Properties of a run that needs an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct Wanted<'a> {
-    /// What it runs on.
+    /// Version or service that the run needs.
     pub target: &'a Target,
-    /// Hash of the prompt's prefix; nothing where no cache helps.
+    /// Hash of the prompt's prefix, or `None` if caching does not help.
     pub prefix: Option<u64>,
-    /// Endpoints that have failed it already.
+    /// Endpoints that already failed this request.
     pub avoid: &'a [Key],
-    /// A number drawn for this attempt; its hash will do.
+    /// Random number for this attempt. A hash of the attempt is sufficient.
     pub draw: u64,
 }
 
-/// An endpoint chosen, and why.
+/// The chosen endpoint and the reason for it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Choice {
-    /// The endpoint.
+    /// Key of the chosen endpoint.
     #[serde(skip)]
     pub key: Key,
-    /// What settled it.
+    /// Rule that decided the choice.
     pub rule: Rule,
-    /// Its estimated load, as a share of its slots.
+    /// Estimated load of the endpoint, as a fraction of its slots.
     pub load: f64,
-    /// Mean of the same over the endpoints weighed.
+    /// Mean estimated load of the endpoints considered.
     pub mean: f64,
-    /// Endpoints weighed.
+    /// Number of endpoints considered.
     pub considered: u32,
 }
 
-/// What settled a choice.
+/// Rule that decided a choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Holds the prompt's prefix, by its cache events.
+    /// The endpoint holds the prompt's prefix according to its cache events.
     Holder,
-    /// The prefix's preferred one.
+    /// The endpoint is the preferred one of the prompt's prefix.
     Preferred,
-    /// The less loaded of two drawn.
+    /// The endpoint is the less loaded of two randomly drawn ones.
     LessLoaded,
-    /// The only one left.
+    /// The endpoint is the only one available.
     Only,
 }
 
-/// No endpoint takes the run; nothing has run.
+/// Reason why no endpoint accepts a run. Nothing has been executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// No pool serves it, or none of its endpoints is in this instance's subset.
+    /// No pool serves the target, or none of its endpoints is in this instance's subset.
     NoPool,
-    /// All its endpoints are leaving, do not have it loaded, or have failed this request.
+    /// All endpoints of the target are leaving, ejected or without the version, or already
+    /// failed this request.
     NoneLeft,
 }
 
-/// A load report of an engine.
+/// Load report of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Report<'a> {
-    /// When it held.
+    /// Time that the report describes.
     pub as_of: Timestamp,
-    /// Runs in the batch.
+    /// Number of runs in the batch.
     pub running: u32,
-    /// Runs waiting.
+    /// Number of runs in the engine's queue.
     pub queued: u32,
-    /// Runs it can batch.
+    /// Maximum number of runs in the batch.
     pub slots: u32,
-    /// Versions it has loaded; nothing when it does not say.
+    /// Versions that the engine has loaded, or `None` if it does not report them.
     pub loaded: Option<&'a [Version]>,
 }
 
-/// What has happened to an endpoint.
+/// Event that concerns an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub enum Event<'a> {
-    /// A run was sent to it.
+    /// A run was sent to the endpoint.
     Dispatched(Key),
-    /// A run ended well.
+    /// A run completed successfully.
     Finished {
-        /// Where.
+        /// Endpoint that executed the run.
         key: Key,
-        /// What was run.
+        /// Version or service that was run.
         target: &'a Target,
-        /// How long it took.
+        /// Duration of the run in milliseconds.
         millis: Millis,
-        /// Output tokens; 1 for a plain service.
+        /// Number of output tokens; 1 for a plain service.
         tokens: u32,
     },
-    /// A run ended otherwise.
+    /// A run failed.
     Failed {
-        /// Where.
+        /// Endpoint that the run was sent to.
         key: Key,
-        /// What was run.
+        /// Version or service that was run.
         target: &'a Target,
-        /// How.
+        /// Kind of failure.
         failure: Failure,
     },
-    /// A run was cancelled by us; says nothing about the endpoint.
+    /// A run was cancelled by this instance. Does not affect the endpoint's health.
     Cancelled(Key),
-    /// A report came in.
+    /// A load report arrived.
     Load {
-        /// Whose.
+        /// Endpoint that sent the report.
         endpoint: &'a endpoint::Id,
-        /// What it says.
+        /// Content of the report.
         report: Report<'a>,
     },
-    /// A prefix entered its cache.
+    /// A prefix was added to the endpoint's cache.
     Stored {
-        /// Whose.
+        /// Endpoint that stores the prefix.
         endpoint: &'a endpoint::Id,
-        /// The prefix's hash.
+        /// Hash of the prefix.
         prefix: u64,
     },
-    /// A prefix left its cache.
+    /// A prefix was evicted from the endpoint's cache.
     Evicted {
-        /// Whose.
+        /// Endpoint that evicted the prefix.
         endpoint: &'a endpoint::Id,
-        /// The prefix's hash.
+        /// Hash of the prefix.
         prefix: u64,
     },
-    /// It is leaving, or back.
+    /// The endpoint is leaving, or is no longer leaving.
     Leaving {
-        /// Which.
+        /// Endpoint whose state changed.
         endpoint: &'a endpoint::Id,
-        /// Whether it takes no new work.
+        /// Whether the endpoint accepts no new work.
         leaving: bool,
     },
 }
 
-/// An instance as the subsets need to know it.
+/// An instance, as far as it matters for computing subsets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the instance.
     pub id: instance::Id,
-    /// Where it stands.
+    /// Failure domain of the instance.
     pub domain: Domain,
 }
 
--- a/crates/route/src/endpoint/server.rs
+++ b/crates/route/src/endpoint/server.rs
@@ -1,4 +1,4 @@
-//! One endpoint's load as this instance knows it.
+//! Load of one endpoint as this instance knows it.
 
 use std::collections::VecDeque;
 
@@ -6,52 +6,61 @@
 
 use super::{Report, health::Health};
 
-/// Own runs are remembered this long, to tell what an old report counted.
+/// Time for which the number of own runs is kept, to subtract it from the total of an old
+/// report.
 const HISTORY_MS: Millis = 5_000;
-/// Own runs are remembered at this grain.
+/// Time resolution of that history.
 const GRAIN_MS: Millis = 50;
-/// Most runs that each other instance is thought to send for one of ours.
+/// Maximum number of runs that each other instance is assumed to send per own run.
 const MAX_RATIO: f64 = 2.0;
-/// Least age of a report, in runs.
+/// Minimum age of a report, as a multiple of a run's duration.
 const LEAST_AGE: f64 = 0.01;
 
+/// State of one endpoint.
 #[derive(Debug)]
 pub(super) struct Server {
     pub endpoint: Endpoint,
     pub health: Health,
     pub leaving: bool,
+    /// Active runs of this instance.
     own: u32,
+    /// Runs that this instance has sent in total, wrapping around.
     sent: u32,
+    /// Active runs of this instance at the last report.
     own_then: f64,
+    /// Runs that this instance had sent in total at the last report.
     sent_then: u32,
+    /// Recent history of `own` and `sent`, oldest first.
     history: VecDeque<Sample>,
+    /// Active runs of other instances at the last report.
     others: f64,
+    /// Time that the last report describes.
     as_of: Timestamp,
 }
 
-/// An endpoint's load as far as it is known.
+/// Snapshot of an endpoint's known load.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Seen {
-    /// This instance's runs.
+    /// Active runs of this instance.
     pub own: f64,
-    /// This instance's runs at the last report.
+    /// Active runs of this instance at the last report.
     pub own_then: f64,
-    /// The others' runs at the last report.
+    /// Active runs of other instances at the last report.
     pub others: f64,
-    /// Runs this instance has sent since the last report.
+    /// Runs that this instance has sent since the last report.
     pub sent: f64,
-    /// When the last report held.
+    /// Time that the last report describes.
     pub as_of: Timestamp,
-    /// Runs it batches.
+    /// Maximum number of runs in a batch.
     pub slots: f64,
 }
 
-/// What the endpoints weighed together have in common.
+/// Estimates over all endpoints that are considered together.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Field {
-    /// Others' runs for one of ours, as of the reports.
+    /// Runs of other instances per own run, at the time of the reports.
     ratio: f64,
-    /// Time of a run in a batch, in milliseconds.
+    /// Duration of a run in a batch, in milliseconds.
     run_ms: f64,
 }
 
@@ -68,14 +77,14 @@
 }
 
 impl Seen {
-    /// The others' runs by now.
+    /// Estimates the current number of active runs of other instances.
     ///
-    /// Of the runs in the report some have ended, at the pace of the batch.
-    /// Of those that others have sent since, nothing is heard yet; but they
-    /// decide as we do, with the same reports and the same preferred
-    /// endpoints, so they have sent in proportion to what we have sent. Without
-    /// that every instance sees the same idle endpoint for the two seconds that
-    /// a report is old, and all of them fill it.
+    /// Some of the reported runs have ended, at the rate at which the batch completes. Runs
+    /// that others sent after the report are unknown. The others decide with the same
+    /// reports and the same preferred endpoints, so they are assumed to have sent runs in
+    /// proportion to this instance. Without that estimate every instance would see the same
+    /// idle endpoint for the two seconds that a report is old, and all of them would fill
+    /// it.
     pub fn others_now(&self, field: &Field, now: Timestamp) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "an age is far below 2^52 milliseconds")]
         let age_ms = now.since(self.as_of) as f64;
@@ -91,7 +100,7 @@
     }
 }
 
-/// Own runs under way, and sent so far, from a moment on.
+/// Number of active own runs, and of own runs sent in total, from a point in time on.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     from: Timestamp,
@@ -126,10 +135,10 @@
         self.remember(now);
     }
 
-    /// Takes in a report: what of it is not ours is the others'.
+    /// Applies a report. All reported runs that are not own runs belong to other instances.
     ///
-    /// Our own part is known exactly as of now, so only the others' part is as
-    /// old as the report.
+    /// The number of own runs is always known exactly, so only the others' part is as old
+    /// as the report.
     pub fn report(&mut self, report: &Report<'_>) {
         if report.as_of < self.as_of {
             return;
@@ -145,7 +154,7 @@
         }
     }
 
-    /// All that a choice looks at.
+    /// Returns the load data that a choice needs.
     pub fn seen(&self) -> Seen {
         Seen {
             own: f64::from(self.own),
@@ -157,17 +166,20 @@
         }
     }
 
+    /// Returns the sample that was valid at a time.
     fn at(&self, time: Timestamp) -> Sample {
         let held = self.history.iter().rev().find(|sample| sample.from <= time).or(self.history.front());
         held.copied().unwrap_or(Sample { from: time, own: self.own, sent: self.sent })
     }
 
+    /// Adds the current numbers of own runs to the history.
     fn remember(&mut self, now: Timestamp) {
         match self.history.back_mut() {
             Some(last) if now.since(last.from) < GRAIN_MS => (last.own, last.sent) = (self.own, self.sent),
             _ => self.history.push_back(Sample { from: now, own: self.own, sent: self.sent }),
         }
-        // The oldest sample kept is the one that holds at the horizon.
+        // Keep the newest sample that is older than the horizon, since it is valid at the
+        // horizon.
         while self.history.get(1).is_some_and(|second| now.since(second.from) > HISTORY_MS) {
             self.history.pop_front();
         }
--- a/crates/route/src/endpoint/subset.rs
+++ b/crates/route/src/endpoint/subset.rs
@@ -1,10 +1,10 @@
-//! The part of a target's endpoints that one instance works with.
+//! Selects the subset of a target's endpoints that one instance uses.
 //!
-//! Endpoints and instances are each ordered by hash. An instance takes a run
-//! of endpoints that starts at its own rank: every endpoint is in as many
-//! subsets as any other (give or take one), none is left out, and one instance
-//! more or less shifts the runs by a little. Ranks need one look at each
-//! instance and each endpoint, never at pairs of them.
+//! Endpoints and instances are each ordered by hash. An instance uses a contiguous range of
+//! endpoints that starts in proportion to its own rank. Every endpoint is in as many
+//! subsets as any other (give or take one), none is left out, and adding or removing an
+//! instance shifts the ranges only slightly. Ranks are computed in one pass over the
+//! instances and one over the endpoints, never over pairs.
 
 use std::collections::HashMap;
 
@@ -12,18 +12,18 @@
 
 use super::{Key, Peer};
 
-/// Endpoints of a target taken in the instance's own failure domain.
+/// Number of a target's endpoints used in the instance's own failure domain.
 const LOCAL: usize = 24;
-/// Endpoints of a target taken wherever they stand.
+/// Number of a target's endpoints used in any failure domain.
 const ANYWHERE: usize = 8;
-/// How long an endpoint that answered "not loaded" is left out.
+/// Time for which an endpoint that answered "not loaded" is skipped.
 const ABSENT_MS: Millis = 2_000;
-/// Share of the newest run in the typical pace.
+/// Weight of the newest run in the typical time per token.
 const STEP: f64 = 0.02;
 
-/// Step by which the time of a run follows.
+/// Relative step by which the estimated run duration follows each run.
 const RUN_STEP: f64 = 0.005;
-/// Time of a run before the first has ended.
+/// Estimated run duration before the first run has ended.
 const BLANK_RUN_MS: f64 = 1_000.0;
 
 /// One endpoint of a subset.
@@ -34,12 +34,15 @@
     pub local: bool,
 }
 
-/// The endpoints of one target.
+/// The endpoints of one target that this instance uses.
 #[derive(Debug)]
 pub(super) struct Subset {
     pub members: Vec<Member>,
+    /// Endpoints without the target, and the time until which they are skipped.
     absent: HashMap<Key, Timestamp>,
+    /// Typical time per output token, in milliseconds.
     pace: Option<f64>,
+    /// Estimated duration of a run in a batch, in milliseconds.
     run_ms: f64,
 }
 
@@ -49,31 +52,34 @@
         Self { members, absent, pace: before.and_then(|b| b.pace), run_ms: before.map_or(BLANK_RUN_MS, |b| b.run_ms) }
     }
 
-    /// Takes in a run's time and says how slow it was against the typical one.
+    /// Records the duration of a run and returns its time per token relative to the typical
+    /// one.
     pub fn observe(&mut self, millis: Millis, tokens: u32) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "run times are far below 2^52 milliseconds")]
         let millis = millis.max(1) as f64;
         let pace = millis / f64::from(tokens.max(1));
-        // Follows the lower quartile: waits in an engine's queue must not count
-        // as time in its batch.
+        // Tracks the lower quartile, because waits in an engine's queue must not count as
+        // time in its batch.
         let step = if millis < self.run_ms { -3.0 * RUN_STEP } else { RUN_STEP };
         self.run_ms *= 1.0 + step;
         let typical = self.pace.get_or_insert(pace);
-        // A mean of logarithms: one run that hung for minutes must not make
-        // every slow endpoint look typical.
+        // Averages logarithms, so that one run that hung for minutes does not make every
+        // slow endpoint look typical.
         *typical = (STEP.mul_add(pace.ln() - typical.ln(), typical.ln())).exp();
         pace / *typical
     }
 
-    /// Time of a run in a batch, in milliseconds.
+    /// Returns the estimated duration of a run in a batch, in milliseconds.
     pub fn run_ms(&self) -> f64 {
         self.run_ms.max(1.0)
     }
 
+    /// Skips an endpoint that answered that it does not have the target loaded.
     pub fn absent(&mut self, key: Key, now: Timestamp) {
         self.absent.insert(key, now.plus(ABSENT_MS));
     }
 
+    /// Records whether an endpoint reports the target as loaded.
     pub fn loaded(&mut self, key: Key, loaded: bool) {
         if loaded {
             self.absent.remove(&key);
@@ -87,14 +93,14 @@
     }
 }
 
-/// An instance's place among the live ones.
+/// Ranks of an instance among the live instances.
 #[derive(Debug)]
 pub(super) struct Ranks {
     local: Rank,
     all: Rank,
 }
 
-/// A place: the `at`th of `of`.
+/// Zero-based rank `at` among `of` instances.
 #[derive(Debug, Clone, Copy)]
 struct Rank {
     at: usize,
@@ -109,8 +115,9 @@
         }
     }
 
-    /// The endpoints of a target that this instance works with: a run of its
-    /// own failure domain's, and a run of all for when that one is full or gone.
+    /// Returns the endpoints of a target that this instance uses: a range of those in its
+    /// own failure domain, and a range of all of them for when the local ones are full or
+    /// lost.
     pub fn subset<'a>(&self, domain: &Domain, endpoints: &'a [Endpoint]) -> Vec<&'a Endpoint> {
         let local = endpoints.iter().filter(|endpoint| endpoint.domain == *domain).collect();
         let mut subset = run(local, self.local, LOCAL);
@@ -135,10 +142,10 @@
     rank
 }
 
-/// A run of endpoints that starts at the instance's rank.
+/// Returns the range of endpoints that starts at the instance's rank.
 ///
-/// Where the runs of all instances would leave some endpoints out, they are
-/// lengthened until they touch.
+/// If the ranges of all instances would leave some endpoints out, they are extended until
+/// they touch.
 fn run(mut endpoints: Vec<&Endpoint>, rank: Rank, most: usize) -> Vec<&Endpoint> {
     let count = endpoints.len();
     let wanted = most.max(count.div_ceil(rank.of));
@@ -150,7 +157,8 @@
     (start..start + wanted).map(|position| endpoints[position % count]).collect()
 }
 
-/// How strongly a prefix prefers an endpoint; the highest wins.
+/// Returns the rendezvous weight of an endpoint for a prefix. The highest weight is
+/// preferred.
 pub(super) fn weight(prefix: u64, endpoint: u64) -> u64 {
     hash::rendezvous(prefix, &endpoint.to_le_bytes())
 }
--- a/crates/route/src/relay.rs
+++ b/crates/route/src/relay.rs
@@ -1,16 +1,18 @@
-//! Decisions about requests that pass through unchanged.
+//! Decisions about requests that are relayed to endpoints unchanged.
 //!
-//! [`placement`] picks the endpoint, [`allowance`] bounds repeated
-//! dispatches over the fleet, [`freshness`] says how long access keys may be
-//! believed, [`canary`] deals requests to a version under roll-out and judges
-//! it, [`ladder`] picks the model, [`pace`] learns how long reading takes,
-//! [`mod@patience`] bounds the wait for a first byte,
-//! [`notice`] keeps what endpoints still have to read for other instances,
-//! [`holders`] what they have read; [`fronts`] picks the instances that a caller is
-//! told of; [`content`] tells requests apart by what they ask for, and
-//! [`quarantine`] keeps those from endpoints that crash under them; [`throttle`]
-//! shares out the limits that endpoints name. Time is a [`std::time::Duration`]
-//! since any fixed moment of the process, on a clock that also counts suspension.
+//! [`placement`] picks the endpoint, [`ladder`] picks the model, and [`mod@patience`] sets
+//! the timeout for the first byte, based on the latency that [`pace`] estimates.
+//! [`holders`] tracks which endpoints have a prompt prefix in their cache, and [`notice`]
+//! tracks the prompt processing that other instances have sent to them. [`allowance`]
+//! bounds retries over the whole fleet, and [`throttle`] divides the rate limits that
+//! endpoints announce among the instances. [`freshness`] decides how long access keys and
+//! the catalog may be used without confirmation. [`canary`] assigns requests to a version
+//! under roll-out and evaluates it. [`fronts`] picks the instances that are listed to a
+//! caller. [`content`] identifies equal requests, and [`quarantine`] refuses those that
+//! crash endpoints.
+//!
+//! Time is a [`std::time::Duration`] since an arbitrary fixed moment of the process, on a
+//! clock that also counts time in which the machine is suspended.
 
 pub mod allowance;
 pub mod canary;
--- a/crates/route/src/relay/allowance.rs
+++ b/crates/route/src/relay/allowance.rs
@@ -1,43 +1,42 @@
-//! A bound on dispatches beyond the first of each request.
+//! A limit on dispatches beyond the first of each request.
 //!
-//! The load pattern: many servers of a service fail at once, each failed
-//! request is sent again, and the repeats overload the servers that are left.
-//! Every instance counts its own first dispatches and its own extra ones in a
-//! sliding window and allows an extra one only within a share of the first
-//! ones plus its part of a fleet-wide reserve. Sums of such windows keep the
-//! same bound over the fleet, so instances need not agree on anything but how
-//! many they are.
+//! Guards against retry storms: many servers of a service fail at once, each failed request
+//! is sent again, and the retries overload the remaining servers. Every instance counts its
+//! own first dispatches and its own extra ones in a sliding window. It allows an extra one
+//! only within a ratio of its first ones plus its part of a fleet-wide reserve. The sums
+//! over all instances keep the same bound, so instances need to agree only on how many they
+//! are.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// Slices a window is counted in; more would only refine what a slice rounds.
+/// Number of slices a window is counted in. More would only reduce the rounding error.
 const SLICES: u32 = 20;
 
-/// What extra dispatches may cost.
+/// Limit on extra dispatches.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Extra dispatches per first one, over the fleet.
+    /// Extra dispatches per first dispatch, over the fleet.
     pub ratio: f64,
-    /// Extra dispatches in a window on top, over the fleet.
+    /// Additional extra dispatches per window, over the fleet.
     pub reserve: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Purpose of an extra dispatch.
+/// Reason for an extra dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// Repairs a failed one.
+    /// Retries a failed dispatch.
     Repair,
-    /// Asks a larger model; leaves part of the allowance for repairs.
+    /// Asks a larger model. Leaves part of the allowance for retries.
     Escalation,
 }
 
-/// Part of the bound in use: the rest covers windows that slide across two
-/// slices and members that are counted wrongly while membership changes.
+/// Part of the bound that is used. The rest covers windows that cut through two slices and
+/// instances that are miscounted while the membership changes.
 const USED: f64 = 0.85;
 
-/// Part of what is in use that escalations leave for repairs.
+/// Part of the usable bound that is reserved for retries and not available to escalations.
 const FOR_REPAIRS: f64 = 0.12;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -47,7 +46,7 @@
     extras: f64,
 }
 
-/// One service's counts at this instance.
+/// Counts of one service at this instance.
 #[derive(Debug, Clone)]
 pub struct Allowance {
     policy: Policy,
@@ -55,20 +54,20 @@
 }
 
 impl Allowance {
-    /// An allowance that nothing has been earned or spent of.
+    /// Creates an allowance without any counted dispatch.
     #[must_use]
     pub fn new(policy: Policy) -> Self {
         Self { policy, slices: VecDeque::new() }
     }
 
-    /// Counts a request's first dispatch.
+    /// Counts the first dispatch of a request.
     pub fn earn(&mut self, now: Duration) {
         self.slice(now).firsts += 1.0;
     }
 
-    /// Counts an extra dispatch if the bound has room for it.
+    /// Counts an extra dispatch if the bound allows it, and returns whether it does.
     ///
-    /// `members` is the number of instances believed to send now.
+    /// `members` is the number of instances that are believed to be dispatching.
     pub fn spend(&mut self, now: Duration, members: usize, purpose: Purpose) -> bool {
         if self.left(now, members, purpose) < 1.0 {
             return false;
@@ -77,7 +76,7 @@
         true
     }
 
-    /// Extra dispatches the bound has room for.
+    /// Returns the number of extra dispatches that the bound still allows.
     #[must_use]
     pub fn left(&mut self, now: Duration, members: usize, purpose: Purpose) -> f64 {
         self.slice(now);
--- a/crates/route/src/relay/canary.rs
+++ b/crates/route/src/relay/canary.rs
@@ -1,102 +1,104 @@
-//! Dealing requests to a version under roll-out, and judging it.
+//! Assigns requests to a version under roll-out and evaluates it.
 //!
-//! A small, fixed share of callers' sessions meets the new version while it is
-//! on trial; the share is by hash, so every instance deals alike, and it stays
-//! far below what a bad version may get. Once it has stood the trial everybody
-//! moves to it, runs on the old version end, and the roll-out is done. A
-//! version that fails is left at once by whichever instance has the evidence.
+//! While the version is on trial, a small, fixed share of the callers' sessions is sent to
+//! it. Sessions are selected by hash, so every instance selects the same ones, and the
+//! share stays far below the exposure that a bad version may get. After a successful trial
+//! all sessions move to the new version, the runs on the old version end, and the roll-out
+//! is done. Any instance that has the evidence against a version reverts it at once.
 
 use std::time::Duration;
 
 use world::hash;
 
-/// Share of sessions that meet a version on trial, over the exposure allowed:
-/// retries and small services may push the share of dispatches above it.
+/// Share of sessions that are sent to a version on trial, relative to the exposure allowed.
+/// Retries and small services may raise the share of dispatches above the share of
+/// sessions.
 const TRIAL_OF_EXPOSURE: f64 = 0.4;
 
-/// Time from an order until a trial begins: by then each instance has heard
-/// which sessions are on the old version at the others.
+/// Delay between the order to roll out and the start of the trial. By then each instance
+/// has received the list of sessions that use the old version at the other instances.
 const HEARSAY: Duration = Duration::from_millis(1_500);
 
-/// Part of the time for a roll-out that its trial takes. The rest must
-/// suffice to move everybody and to end the longest runs on the old version.
+/// Fraction of the roll-out time after which the trial may end. The rest must suffice to
+/// move all sessions and to finish the longest runs on the old version.
 const TRIAL: f64 = 0.62;
 
-/// Part of the time for a roll-out after which it is declared done.
+/// Fraction of the roll-out time after which the roll-out is declared done.
 const DONE: f64 = 0.88;
 
-/// Fewest answers a version must have given before it can be judged good.
+/// Minimum number of answers of a version before it can be accepted.
 const MIN_ANSWERS: u32 = 20;
 
-/// Least variance of the logarithms that is believed: a handful of runs may
-/// agree by chance.
+/// Lower bound of the estimated variance of the logarithms. A handful of runs may agree by
+/// chance.
 const LEAST_VARIANCE: f64 = 0.1;
 
-/// Fewest bad answers that can condemn a version: below it, chance.
+/// Minimum number of bad answers for which a version can be rejected. Fewer may be chance.
 const MIN_BAD: u32 = 5;
 
-/// Share of bad answers over its predecessor's that condemns, if it is beyond
-/// chance: servers that fail or slow down by themselves strike a small pool
-/// harder.
+/// Excess of the failure rate over the old version's rate above which a version is
+/// rejected, if it is also statistically significant. A smaller excess may come from
+/// servers that fail or slow down by themselves, which affects a small pool more.
 const EXCESS: f64 = 0.10;
 
-/// Standard deviations beyond chance that condemn. The evidence is looked at
-/// some hundred times over a roll-out; at three and a half, about one good
-/// roll-out in a hundred is given up.
+/// Significance, in standard deviations, at which a failure rate rejects a version. The
+/// evidence is evaluated some hundred times over a roll-out; at 3.5, about one good
+/// roll-out in a hundred is rejected.
 const BEYOND_CHANCE: f64 = 3.5;
 
-/// Share of bad answers over its predecessor's with which a version may go on
-/// to everybody: one that is not condemned only for want of evidence must not.
+/// Largest excess of the failure rate over the old version's rate with which a version may
+/// leave the trial. A version that is not rejected only for lack of evidence must not.
 const ACCEPTED: f64 = 0.06;
 
-/// Factor between the versions' typical times to the first byte that condemns,
-/// if it is beyond chance. Bad versions are several times slower; slow servers
-/// among a small pool make up less than twice.
+/// Factor between the typical first-byte times of the new and the old version above which a
+/// version is rejected, if it is also statistically significant. Bad versions are several
+/// times slower; slow servers in a small pool account for less than a factor of two.
 const SLOWER: f64 = 2.0;
 
-/// Standard deviations beyond chance that condemn a slow version.
+/// Significance, in standard deviations, at which slowness rejects a version.
 const SLOWER_BEYOND_CHANCE: f64 = 4.0;
 
-/// Where a roll-out stands.
+/// Stage of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// A few sessions meet the new version.
+    /// A small share of the sessions uses the new version.
     Trial,
-    /// Everybody moves to the new version.
+    /// All sessions move to the new version.
     Shift,
     /// The new version is the only one.
     Done,
-    /// Nobody meets the new version.
+    /// No session uses the new version.
     Reverted,
 }
 
-/// What a version's runs came to.
+/// Outcome counts of a version's runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tally {
-    /// Answers and failures.
+    /// Number of answers and failures.
     pub runs: u32,
-    /// Failures.
+    /// Number of failures.
     pub bad: u32,
-    /// How late first bytes were.
+    /// Statistics of the time to the first byte.
     pub lateness: Lateness,
 }
 
-/// Logarithms of times to the first byte over the expected ones, summed.
+/// Statistics of the logarithm of the ratio of actual to expected time to the first byte.
 ///
-/// Logarithms, since times spread by factors; and over the expected ones, so
-/// that long prompts and short ones count alike.
+/// Logarithms are used because times vary by factors. Dividing by the expected time makes
+/// long and short prompts comparable.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Lateness {
-    /// Their number.
+    /// Number of samples.
     pub runs: u32,
-    /// Their sum.
+    /// Sum of the logarithms.
     pub sum: f64,
-    /// The sum of their squares.
+    /// Sum of the squared logarithms.
     pub squares: f64,
 }
 
 impl Lateness {
-    /// One run's, by its time over the expected one.
+    /// Creates the statistics of a single run from the ratio of its actual to its expected
+    /// time.
     #[must_use]
     pub fn of(ratio: f64) -> Self {
         let log = ratio.max(f64::MIN_POSITIVE).ln();
@@ -107,7 +109,7 @@
         self.sum / f64::from(self.runs.max(1))
     }
 
-    /// Variance of the mean.
+    /// Returns the variance of the mean.
     fn spread(self) -> f64 {
         let runs = f64::from(self.runs.max(2));
         let variance = (self.squares - runs * self.mean().powi(2)) / (runs - 1.0);
@@ -116,7 +118,7 @@
 }
 
 impl Tally {
-    /// Sums two tallies.
+    /// Returns the sum of two tallies.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -130,43 +132,45 @@
         }
     }
 
-    /// Share of bad runs.
+    /// Returns the share of runs that failed.
     #[must_use]
     pub fn rate(self) -> f64 {
         if self.runs == 0 { 0.0 } else { f64::from(self.bad) / f64::from(self.runs) }
     }
 }
 
-/// Whether the evidence condemns a version against its predecessor.
+/// Returns whether the evidence shows that a version is worse than its predecessor.
 #[must_use]
 pub fn bad(new: Tally, old: Tally) -> bool {
     let fails = new.bad >= MIN_BAD && new.rate() > old.rate() + EXCESS && beyond_chance(new, old) > BEYOND_CHANCE;
     fails || slow(new.lateness, old.lateness)
 }
 
-/// Whether a version is slower than its predecessor (Welch's test of the mean
-/// logarithms): late runs of both, while the service is busy, cancel out.
+/// Returns whether a version is significantly slower than its predecessor, by Welch's test
+/// on the mean logarithms. Delays that affect both versions, as under overload, cancel out.
 fn slow(new: Lateness, old: Lateness) -> bool {
     let slower = new.mean() - old.mean();
     let chance = (new.spread() + old.spread()).sqrt();
     new.runs >= MIN_BAD && old.runs >= MIN_BAD && slower > SLOWER.ln() && slower > SLOWER_BEYOND_CHANCE * chance
 }
 
-/// Standard deviations between two shares of bad answers if both versions were
-/// alike (a pooled two-proportion z-test).
+/// Returns the difference of two failure rates in standard deviations under the hypothesis
+/// that both versions are alike (a pooled two-proportion z-test).
 fn beyond_chance(new: Tally, old: Tally) -> f64 {
     let both = new.plus(old).rate();
     let spread = both * (1.0 - both) * (1.0 / f64::from(new.runs.max(1)) + 1.0 / f64::from(old.runs.max(1)));
     if spread <= 0.0 { 0.0 } else { (new.rate() - old.rate()) / spread.sqrt() }
 }
 
-/// Whether the evidence speaks for a version.
+/// Returns whether the evidence suffices to accept a version.
 fn good(new: Tally, old: Tally) -> bool {
     let slower = new.lateness.mean() - old.lateness.mean();
     new.runs >= MIN_ANSWERS && new.rate() <= old.rate() + ACCEPTED && slower < SLOWER.ln()
 }
 
-/// The stage that follows from time and evidence.
+/// Returns the stage that follows from the elapsed time and the evidence.
+///
+/// `elapsed` counts from the order; `over` is the total time for the roll-out.
 #[must_use]
 pub fn advance(stage: Stage, elapsed: Duration, over: Duration, new: Tally, old: Tally) -> Stage {
     match stage {
@@ -177,21 +181,21 @@
     }
 }
 
-/// Whether a session is one of the few that meet versions on trial.
+/// Returns whether a session is one of the few that try versions on trial.
 ///
-/// The same few for every version, so that an instance can remember on which
-/// version each of them was before any order comes. `exposure` is the share of
-/// a service's requests that a bad version may get.
+/// The same sessions are selected for every version, so that an instance can remember which
+/// version each of them used before any roll-out is ordered. `exposure` is the share of a
+/// service's requests that a bad version may get.
 #[must_use]
 pub fn tries_versions(session: u64, exposure: f64) -> bool {
     fraction(session) < exposure * TRIAL_OF_EXPOSURE
 }
 
-/// Whether a session meets the new version at a stage.
+/// Returns whether a session uses the new version at a stage.
 ///
-/// `elapsed` counts from the order. A session that was on the old version a
-/// moment ago stays there while the version is on trial (`settled`): callers
-/// notice when versions change within a session.
+/// `elapsed` counts from the order. A session that used the old version a moment ago
+/// (`settled`) stays there during the trial, since callers notice when versions change
+/// within a session.
 #[must_use]
 pub fn meets(stage: Stage, elapsed: Duration, session: u64, settled: bool, exposure: f64) -> bool {
     match stage {
@@ -201,7 +205,7 @@
     }
 }
 
-/// Where a session lies from 0 to 1.
+/// Maps a session to a uniformly distributed number from 0 to 1.
 fn fraction(session: u64) -> f64 {
     let mixed = hash::rendezvous(session, b"canary");
     #[expect(clippy::cast_precision_loss, reason = "53 bits fill an f64's mantissa exactly")]
--- a/crates/route/src/relay/content.rs
+++ b/crates/route/src/relay/content.rs
@@ -1,30 +1,30 @@
-//! What a request asks for, whoever carries it and however often it comes.
+//! Identity of a request by its content, independent of its sender and of repeats.
 //!
-//! Each attempt of a caller has its own id. Attempts with the same team, method,
-//! host, path and body are the same work, and do the same to whatever runs them.
+//! Each attempt of a caller has its own id. Attempts with the same customer, method, host,
+//! path and body are the same work and have the same effect on the endpoint that runs them.
 
 use std::{fmt, str::FromStr};
 
 use world::hash;
 
-/// Digits of a team's hash as text.
+/// Number of hexadecimal digits of the customer's hash in the text form.
 const TEAM_TEXT: usize = 8;
 
-/// Digits of a content as text.
+/// Number of hexadecimal digits of the whole text form.
 const TEXT: usize = 24;
 
-/// What a request asks for.
+/// Identity of the work that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Content {
-    /// Hash of the team's name. Apart from the rest, so that no team can make up a
-    /// request that is taken for another team's.
+    /// Hash of the customer's name. It is separate from the rest, so that no customer can
+    /// craft a request that is mistaken for another customer's.
     pub team: u32,
     /// Hash of method, host, path and body.
     pub work: u64,
 }
 
 impl Content {
-    /// The content of a request.
+    /// Computes the identity of a request. `team` is the customer's name.
     #[must_use]
     pub fn of(team: Option<&str>, method: &str, host: &str, path: &str, body: &[u8]) -> Self {
         let target = hash::stable(format!("{method}\0{host}\0{path}").as_bytes());
@@ -45,7 +45,7 @@
     }
 }
 
-/// A text that names no content.
+/// Error for a text that is not the text form of a [`Content`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseError;
 
--- a/crates/route/src/relay/freshness.rs
+++ b/crates/route/src/relay/freshness.rs
@@ -1,92 +1,98 @@
-//! How long access keys may be believed.
+//! Limits how long access keys and the catalog may be used without confirmation.
 //!
-//! A key that an operator takes away must stop working everywhere within a
-//! bound, also at an instance that is cut off or was suspended. So knowing the
-//! keys is a lease: an answer of the store proves what it says as of when it
-//! was asked for, and requests with keys are served only while that proof is
-//! young enough. The caller's clock must count suspension: with one that stops,
-//! an instance that slept through the withdrawal would wake and believe its
-//! keys to be fresh.
+//! A key that an operator withdraws must stop working everywhere within a bound, even at an
+//! instance that is cut off or was suspended. Knowledge of the keys is therefore a lease:
+//! an answer of the store confirms them as of the time it was requested, and requests with
+//! keys are served only while that confirmation is recent enough. The caller's clock must
+//! count suspension. Otherwise an instance that was suspended during the withdrawal would
+//! consider its keys fresh after it resumes.
 //!
-//! What else a catalog says is believed while nobody tells of a newer one, for
-//! without the store no operator can have confirmed one. Once one is told of, the
-//! old one may go on for no longer than operators allow ([`Succession`]).
+//! The rest of the catalog remains valid until the instance learns of a newer one, because
+//! no operator can have had a change confirmed without the store. After that, the old
+//! catalog may be used only for the time that operators allow ([`Succession`]).
 
 use std::time::Duration;
 
-/// Time a watch may stay deaf to changes before it is cut, by the store's
-/// description; an empty answer proves nothing younger.
+/// Time for which a watch may miss changes before it is cut, as the store specifies it. An
+/// empty answer confirms nothing more recent than that.
 const DEAF: Duration = Duration::from_secs(1);
 
-/// Kept back for the way from the check to the endpoint: queues of a slowed
-/// instance and a lost packet's repetition.
+/// Safety margin for the path from the check to the endpoint: queues of a slowed instance
+/// and the retransmission of a lost packet.
 const MARGIN: Duration = Duration::from_millis(400);
 
-/// What an answer proves.
+/// Kind of answer that confirms the keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Proof {
     /// A linearizable read.
     Read,
-    /// A watch that ended without news.
+    /// A watch that ended without a change.
     Quiet,
 }
 
-/// Time that word of a newer catalog may take to come, counted against the bound:
-/// others are asked each 0.35 s, and one question or reply may be lost.
+/// Maximum time until an instance learns of a newer catalog, deducted from the bound. Other
+/// instances are polled every 0.35 s, and one request or reply may be lost.
 const HEARSAY: Duration = Duration::from_millis(750);
 
-/// Newer catalogs kept apart; a storm of changes brings some ten within a bound.
+/// Maximum number of newer catalogs that are tracked separately. A burst of changes brings
+/// about ten within a bound.
 const MOST_TOLD: usize = 64;
 
-/// Time from which the catalog takes too long to come in to be read after each
-/// watch of 0.9 s: a tenth of the link that callers' requests come by.
+/// Transfer time above which the catalog is no longer read after each watch of 0.9 s. At
+/// this length, reads take a tenth of the capacity of the link, which callers' requests
+/// need as well.
 const LONG: Duration = Duration::from_millis(100);
 
-/// Rest after a long reading, in lengths of it. Watches prove the catalog
-/// meanwhile, and hear of a change at once; one that falls into a reading waits for
-/// its end, here one in forty.
+/// Pause after a long read, as a multiple of its transfer time. Watches confirm the catalog
+/// meanwhile and report a change at once. A change during a read waits until the read ends,
+/// which at this ratio affects one change in forty.
 const RESTS: u32 = 40;
 
-/// When the whole catalog is read again only to renew its proof.
+/// Schedule of the full catalog reads that only renew its confirmation.
 ///
-/// A reading proves more than a watch, and costs as long as the catalog is large
-/// and the link narrow: half a megabyte over 10 Mbit/s takes half a second. Read
-/// after each watch it would be late for its own proof and leave callers little
-/// of the link, so that the rest after a long reading grows with what it took.
+/// A read confirms a more recent state than a watch, but its cost grows with the size of
+/// the catalog and on narrow links: half a megabyte over 10 Mbit/s takes half a second. If
+/// the catalog were read after each watch, the read would end too late to confirm it and
+/// leave little of the link to callers. The pause after a long read is therefore
+/// proportional to its transfer time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cadence {
+    /// Time at which the last read completed.
     ended: Duration,
+    /// Transfer time of the last read.
     took: Duration,
 }
 
 impl Cadence {
-    /// Notes a reading that came in for the time `took`, up to `ended`.
+    /// Records a read whose transfer took `took` and completed at `ended`.
     ///
-    /// Not from when it was asked for: a store that takes its time leaves the link
-    /// to callers.
+    /// The transfer time does not include the wait for the store's first byte, since the
+    /// link is free for callers during it.
     pub fn note(&mut self, took: Duration, ended: Duration) {
         self.ended = ended;
         self.took = took;
     }
 
-    /// Whether the catalog may be read again at a time.
+    /// Returns whether the catalog may be read again at the given time.
     #[must_use]
     pub fn is_due(&self, at: Duration) -> bool {
         at >= self.ended + self.rest()
     }
 
-    /// Whether the last reading came in for too long to be made after each watch.
+    /// Returns whether the last transfer took too long to read the catalog after each
+    /// watch.
     #[must_use]
     pub fn is_long(&self) -> bool {
         self.took > LONG
     }
 
+    /// Returns the pause after the last read.
     fn rest(&self) -> Duration {
         if self.is_long() { self.took * RESTS } else { Duration::ZERO }
     }
 }
 
-/// The age of what is known of keys.
+/// Lease on the knowledge of access keys.
 #[derive(Debug, Clone, Copy)]
 pub struct Freshness {
     bound: Option<Duration>,
@@ -94,14 +100,14 @@
 }
 
 impl Freshness {
-    /// A lease that was never renewed; `bound` is the longest time a
-    /// withdrawn key may go on working, nothing when there is none.
+    /// Creates a lease that has never been renewed. `bound` is the longest time for which a
+    /// withdrawn key may keep working, or `None` if it is unlimited.
     #[must_use]
     pub fn new(bound: Option<Duration>) -> Self {
         Self { bound, proven: None }
     }
 
-    /// Takes in an answer to a question asked at `asked`.
+    /// Renews the lease with an answer to a request sent at `asked`.
     pub fn renew(&mut self, asked: Duration, proof: Proof) {
         let proven = match proof {
             Proof::Read => asked,
@@ -110,7 +116,7 @@
         self.proven = self.proven.max(Some(proven));
     }
 
-    /// Whether a request with a key may be served now.
+    /// Returns whether a request with a key may be served now.
     #[must_use]
     pub fn holds(&self, now: Duration) -> bool {
         match (self.bound, self.proven) {
@@ -120,58 +126,57 @@
         }
     }
 
-    /// Age of the proof.
+    /// Returns the time since the keys were last confirmed.
     #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.proven.map(|proven| now.saturating_sub(proven))
     }
 }
 
-/// Newer catalogs than the one in force, of which others have told.
+/// Catalogs newer than the one in force that other instances have announced.
 #[derive(Debug, Clone, Default)]
 pub struct Succession {
     bound: Option<Duration>,
-    /// Versions and when each was first told of, in both orders.
+    /// Announced versions and the time of their first announcement; both increase.
     told: Vec<(u64, Duration)>,
 }
 
 impl Succession {
-    /// Nothing told yet; `bound` is the longest time that a catalog may be served
-    /// by after the operator's confirmation of a newer one, nothing when there is
-    /// none.
+    /// Creates an empty set. `bound` is the longest time for which a catalog may be used
+    /// after the operator's confirmation of a newer one, or `None` if it is unlimited.
     #[must_use]
     pub fn new(bound: Option<Duration>) -> Self {
         Self { bound, told: Vec::new() }
     }
 
-    /// Takes in that there is a version newer than the one in force; returns
-    /// whether that is news.
+    /// Records the announcement of a version newer than the one in force. Returns whether
+    /// the version is new to this instance.
     pub fn tell(&mut self, version: u64, now: Duration) -> bool {
         if self.told.last().is_some_and(|(newest, _)| *newest >= version) {
             return false;
         }
         let is_full = self.told.len() == MOST_TOLD;
         match self.told.last_mut() {
-            // The time of the one that is left out counts for this one: too strict
-            // is safe.
+            // The new version inherits the announcement time of the version it replaces.
+            // That is earlier than its own, so the check only becomes stricter.
             Some(newest) if is_full => newest.0 = version,
             _ => self.told.push((version, now)),
         }
         true
     }
 
-    /// Takes in which version is in force from now on.
+    /// Records that `version` is now in force.
     pub fn install(&mut self, version: u64) {
         self.told.retain(|(told, _)| *told > version);
     }
 
-    /// Whether the catalog in force is known to be replaced.
+    /// Returns whether a newer catalog than the one in force is known.
     #[must_use]
     pub fn is_behind(&self) -> bool {
         !self.told.is_empty()
     }
 
-    /// Whether requests may be served by the catalog in force.
+    /// Returns whether requests may be served with the catalog in force.
     #[must_use]
     pub fn holds(&self, now: Duration) -> bool {
         match (self.bound, self.told.first()) {
--- a/crates/route/src/relay/fronts.rs
+++ b/crates/route/src/relay/fronts.rs
@@ -1,42 +1,43 @@
-//! Which instances a caller is told of when there are more than an answer holds.
+//! Selects the instances that are listed to a caller when an answer cannot hold all of
+//! them.
 //!
-//! The load pattern: hundreds of instances, unlike in size, before callers who
-//! each hear of some dozens. Told of the same ones, all callers crowd at a sixth
-//! of the fleet and the rest idles; the loss of those is a loss of all.
+//! Fleets have hundreds of instances of different sizes, and each answer lists some dozens.
+//! If all callers got the same list, they would overload a sixth of the fleet while the
+//! rest is idle, and the loss of those instances would affect every caller.
 //!
-//! Half of an answer stands in the caller's own failure domain, the rest in turn
-//! in the others, so that the loss of a domain leaves its callers half of their
-//! instances. Within a domain the order is a weighted rendezvous hash of caller
-//! and instance: larger instances are in more answers, and an instance that comes
-//! or goes changes one place of an answer. Callers close connections to whom a new
-//! answer lacks, so answers must be steady.
+//! Half of an answer comes from the caller's own failure domain, the rest from the others
+//! in turn, so that callers keep half of their instances when a domain is lost. Within a
+//! domain the order is a weighted rendezvous hash of caller and instance. Larger instances
+//! appear in more answers, and an instance that joins or leaves changes one entry of an
+//! answer. Answers must be stable because callers close connections to instances that a new
+//! answer omits.
 
 use std::collections::BTreeMap;
 
 use world::hash;
 
-/// An instance that takes requests.
+/// An instance that accepts requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Hash of its name.
+    /// Hash of the instance's name.
     pub hash: u64,
-    /// The failure domain it stands in.
+    /// Failure domain of the instance.
     pub domain: &'a str,
-    /// What it can do, in processor cores; only ratios count.
+    /// Capacity in processor cores. Only ratios matter.
     pub cores: f64,
 }
 
-/// Who asks.
+/// The caller that asks for instances.
 #[derive(Debug, Clone, Copy)]
 pub struct Caller<'a> {
-    /// Its failure domain, if it says.
+    /// Failure domain of the caller, if it is known.
     pub domain: Option<&'a str>,
-    /// The same with each of its questions.
+    /// Hash that identifies the caller, the same in each of its requests.
     pub hash: u64,
 }
 
-/// Chooses at most `most` candidates for a caller; their indices, in no order
-/// that means anything.
+/// Selects at most `most` candidates for a caller and returns their indices in no
+/// particular order.
 #[must_use]
 pub fn choose(candidates: &[Candidate<'_>], caller: Caller<'_>, most: usize) -> Vec<usize> {
     if candidates.len() <= most {
@@ -55,7 +56,7 @@
     chosen
 }
 
-/// Indices of the candidates of each domain, those that come first ahead.
+/// Returns the indices of each domain's candidates, in order of preference.
 fn ranked<'a>(candidates: &[Candidate<'a>], caller: u64) -> BTreeMap<&'a str, Vec<usize>> {
     let mut domains: BTreeMap<&str, Vec<(f64, usize)>> = BTreeMap::new();
     for (index, candidate) in candidates.iter().enumerate() {
@@ -68,8 +69,8 @@
     domains.into_iter().map(|(name, domain)| (name, in_order(domain))).collect()
 }
 
-/// Exponentially distributed with the candidate's size as its rate: the least of
-/// several falls to each in proportion to its size.
+/// Returns a draw from an exponential distribution whose rate is the candidate's capacity.
+/// The probability that a candidate has the smallest draw is proportional to its capacity.
 #[expect(clippy::cast_precision_loss, reason = "a draw needs no more than a float's 53 bits")]
 fn distance(candidate: &Candidate<'_>, caller: u64) -> f64 {
     let draw = (hash::rendezvous(caller, &candidate.hash.to_le_bytes()) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
--- a/crates/route/src/relay/holders.rs
+++ b/crates/route/src/relay/holders.rs
@@ -1,48 +1,49 @@
-//! Which endpoints have read a shared part of a prompt of late.
+//! Tracks which endpoints have recently processed a shared prompt prefix.
 //!
-//! The load pattern: some 1,600 shared parts of 5,000 tokens, each asked for
-//! every ten to twenty seconds by any instance. Without a word between instances a
-//! part had to go to the endpoint that its hash names, also when nobody had
-//! read it yet: most of the long prompts of a heavy day were placed as if at
-//! random and waited up to 0.7 s behind others. Who knows the holders can put a
-//! part that nobody has read where the wait is least.
+//! Typical traffic has about 1,600 shared prefixes of 5,000 tokens, each requested every
+//! ten to twenty seconds through any instance. If instances did not share this information,
+//! a prefix would always go to the endpoint selected by its hash, even if no endpoint had
+//! it in its cache. Under heavy load most long prompts would be placed as if at random and
+//! wait up to 0.7 s behind others. With known holders, a prefix that no endpoint has cached
+//! can go where the wait is shortest.
 
 use std::{collections::HashMap, time::Duration};
 
-/// Time that an endpoint is believed to keep a part that it has read. With
-/// memory for 400,000 to 660,000 tokens and 30,000 read a second, the least
-/// recently used parts yield after some fifteen seconds.
+/// Time for which an endpoint is assumed to keep a prefix in its cache. With memory for
+/// 400,000 to 660,000 tokens and 30,000 tokens processed per second, the least recently
+/// used prefixes are evicted after about fifteen seconds.
 const KEPT: Duration = Duration::from_secs(15);
 
-/// Holders remembered of one part: as many as hot parts are spread over.
+/// Maximum number of holders stored per prefix: the number of endpoints that frequently
+/// used prefixes are spread over.
 const MOST_HOLDERS: usize = 4;
 
-/// Parts remembered: more than an instance hears of within the time above.
+/// Maximum number of prefixes stored. An instance learns of fewer within the time above.
 const MOST_PARTS: usize = 8_192;
 
-/// Holders of shared parts.
+/// Endpoints that hold shared prompt prefixes in their cache.
 #[derive(Debug, Clone, Default)]
 pub struct Holders {
     parts: HashMap<u32, Vec<Holder>>,
 }
 
-/// An endpoint that has read a part.
+/// An endpoint that has processed a prefix.
 #[derive(Debug, Clone, Copy)]
 struct Holder {
-    /// Hash of its name.
+    /// Hash of the endpoint's name.
     endpoint: u32,
-    /// When the part was last sent there.
+    /// Time at which the prefix was last sent there.
     at: Duration,
 }
 
 impl Holders {
-    /// Notes that a part was sent to an endpoint.
+    /// Records that a prefix was sent to an endpoint.
     pub fn note(&mut self, part: u32, endpoint: u32, now: Duration) {
         if self.parts.len() >= MOST_PARTS && !self.parts.contains_key(&part) {
             self.parts.retain(|_, holders| holders.iter().any(|holder| holder.keeps(now)));
         }
         if self.parts.len() >= MOST_PARTS {
-            // Still full of young ones: this part is placed by its hash.
+            // All stored prefixes are recent. This one is placed by its hash.
             return;
         }
         let holders = self.parts.entry(part).or_default();
@@ -53,7 +54,7 @@
         holders.push(Holder { endpoint, at: now });
     }
 
-    /// Hashes of the endpoints that are believed to keep a part.
+    /// Returns the hashes of the endpoints that are assumed to hold a prefix.
     pub fn of(&self, part: u32, now: Duration) -> impl Iterator<Item = u32> {
         let holders = self.parts.get(&part).into_iter().flatten();
         holders.filter(move |holder| holder.keeps(now)).map(|holder| holder.endpoint)
--- a/crates/route/src/relay/ladder.rs
+++ b/crates/route/src/relay/ladder.rs
@@ -1,51 +1,47 @@
-//! Which model of a ladder answers a request.
+//! Selects which model of a ladder answers a request.
 //!
-//! Models stand smallest first. A small one reads and writes several times
-//! faster and is right for about half of the requests; its answer comes with
-//! its own rough opinion of it before any of it has reached the caller. So a
-//! request starts small and goes to the largest model when that opinion is
-//! low: the answer that is dropped costs the small model's first tokens only.
+//! A ladder orders models from the smallest to the largest. A small model reads and writes
+//! several times faster and answers about half of the requests correctly. Its answer comes
+//! with its own rough confidence before any of it has reached the caller. A request
+//! therefore starts at a small model and escalates to the largest one if the confidence is
+//! low. The dropped answer costs only the small model's first tokens.
 
 use std::ops::RangeInclusive;
 
-/// Lowest opinion, from 0 to 100, at which a smaller model's answer is kept.
+/// Minimum confidence, from 0 to 100, for keeping a smaller model's answer.
 pub const CUT: u32 = 60;
 
-/// The same when the larger model's answer would come late for the prompt's own
-/// length: a late answer is worth about a third to callers, so a small model's
-/// answer in time is kept unless it is likely wrong.
+/// Minimum confidence for keeping a smaller model's answer when the larger model would be
+/// late because of the prompt's length. A late answer is worth about a third to callers, so
+/// a small model's answer in time is kept unless it is likely wrong.
 pub const LATE_CUT: u32 = 25;
 
-/// Taken off an opinion on a route that goes first: its requests have few
-/// tokens and much is owed for them, so a doubtful answer is asked for again.
+/// Deducted from the confidence on the most urgent routes. Their requests have few tokens
+/// and a high value, so a doubtful answer is escalated.
 const FIRST: u32 = 10;
 
-/// Added to an opinion on a route that goes last.
+/// Added to the confidence on the least urgent routes.
 ///
-/// The load pattern: the most frequent requests are checks with a long prompt and
-/// a few tokens of output. On a heavy day every second of them went on to the
-/// largest model, which read 2,400 tokens for each, and urgent requests waited
-/// behind them. With this and the lean to the first routes, callers of
-/// a heavy day with 74 instances were given 0.862 of what they were owed in place
-/// of 0.856, with 61 instances 0.925 in place of 0.922, and models cost 2 to 5 in
-/// 100 less (one simulated day each).
+/// The most frequent requests are checks with a long prompt and a few tokens of output.
+/// Under heavy load every second one escalated to the largest model, which read 2,400
+/// tokens for each, and urgent requests waited behind them.
 const LAST: u32 = 20;
 
-/// How urgent a route is among those that have a ladder.
+/// Urgency of a route among those that have a ladder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Urgency {
-    /// Before all others.
+    /// More urgent than all others.
     First,
-    /// Neither, or all are alike.
+    /// In between, or all routes are equally urgent.
     #[default]
     Usual,
-    /// After all others.
+    /// Less urgent than all others.
     Last,
 }
 
 impl Urgency {
-    /// The urgency of a rank, 0 first, among the ranks of all routes that have
-    /// a ladder.
+    /// Returns the urgency of a rank among the ranks of all routes that have a ladder. Rank
+    /// 0 is the most urgent.
     #[must_use]
     pub fn of(rank: u8, ranks: RangeInclusive<u8>) -> Self {
         if ranks.start() == ranks.end() {
@@ -59,7 +55,7 @@
         }
     }
 
-    /// An opinion as it counts on such a route.
+    /// Adjusts a confidence by the route's urgency.
     fn weigh(self, confidence: u32) -> u32 {
         match self {
             Self::First => confidence.saturating_sub(FIRST),
@@ -69,60 +65,60 @@
     }
 }
 
-/// When a further run's first event would come.
+/// Expected time of the first event of a further run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outlook {
     /// Within the route's goal.
     InTime,
-    /// After it, within the caller's time, for the prompt's own length.
+    /// After the goal but within the caller's timeout, because of the prompt's length.
     Late,
-    /// The same, for the waits of this moment.
+    /// After the goal but within the caller's timeout, only because of the current queues.
     Crowded,
-    /// Too late for anybody.
+    /// Too late for the caller.
     Never,
 }
 
-/// What is left for a further run.
+/// Resources left for a further run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Room {
-    /// Dispatches that the route still allows.
+    /// Number of dispatches that the route still allows.
     pub attempts: u32,
-    /// Whether the retry allowance has room.
+    /// Whether the retry allowance permits another dispatch.
     pub allowance: bool,
 }
 
 /// What to do with a model's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Hand it to the caller.
+    /// Pass it on to the caller.
     Keep,
     /// Drop it and ask the model at this index.
     Escalate(usize),
 }
 
-/// A model's time to a first event, over the time in which one is wanted.
+/// A model's time to the first event, relative to the time in which one is wanted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Time {
-    /// At an idle endpoint.
+    /// Relative time at an idle endpoint.
     pub idle: f64,
-    /// With the waits of this moment.
+    /// Relative time with the current queues.
     pub now: f64,
 }
 
-/// Part of the wanted time that an expectation may take: beyond it half of the
-/// answers would come late.
+/// Largest relative time that counts as in time. Above it half of the answers would be
+/// late.
 const IN_TIME: f64 = 0.85;
 
-/// The model to start with, `times` standing smallest model first.
+/// Selects the index of the model to start with; `times` is ordered from the smallest
+/// model.
 ///
-/// Two load patterns meet here. A few prompts are so long that the large model
-/// alone still begins in time, but not after the small one was asked first:
-/// those go to the large one at once, and longer ones still to the largest
-/// that begins in time. And when endpoints are lost or callers come in a
-/// crowd, waits grow for everybody; then all requests look like that, and the
-/// large model, which reads ten times longer, would make the crowd last. So
-/// length is judged by an idle endpoint's time, waits only ever speak against
-/// the large model.
+/// Two load patterns are handled. Some prompts are so long that the large model is still in
+/// time if it is asked at once, but not after the small one. Those go to the large model
+/// directly, and even longer ones to the largest model that is in time. When endpoints are
+/// lost or many callers arrive at once, queues grow for everybody and all requests look
+/// like that. The large model, which reads ten times longer, would then prolong the
+/// overload. So a prompt's length is judged by the time at an idle endpoint, and queues
+/// only ever count against the large model.
 #[must_use]
 pub fn start(room: Room, times: &[Time]) -> usize {
     let last = times.len().saturating_sub(1);
@@ -138,21 +134,18 @@
     if in_time(large) && !(room.allowance && after_the_small_one) { last } else { 0 }
 }
 
-/// What to do with the answer of the model at `index`, by when each model's
-/// first event would come, smallest first.
+/// Decides what to do with the answer of the model at `index`. `outlooks` holds the
+/// expected time of each model, smallest first.
 ///
-/// The load pattern: where the largest model would come late, a long prompt or
-/// a busy moment, an answer that is neither sure nor surely wrong was kept. A
-/// middle one reads four times faster than the largest and is right for most
-/// requests that the small one nearly answers, so it is asked if it is in time.
+/// If the largest model would be late because of a long prompt or full queues, an answer of
+/// low confidence can still escalate to a model in between. Such a model reads four times
+/// faster than the largest and answers most requests correctly that the small one nearly
+/// answers, so it is used if it is in time.
 ///
-/// And where only the waits of this moment would make a short prompt late, half
-/// of the small answers are likely wrong; each that went on to the largest model
-/// took its place for seconds and made others late as well, so the crowd lasted.
-/// Such an answer is kept. Late requests of heavy days with 61 and 74 instances
-/// fell from 1,692 to 1,063 and from 1,059 to 863, what callers were given of
-/// what they were owed rose from 0.909 to 0.910 and from 0.879 to 0.885 (one
-/// simulated day each).
+/// If only the current queues would make a short prompt late, half of the small models'
+/// answers are likely wrong. Escalating each of them would occupy the largest model for
+/// seconds, make other requests late and prolong the overload. Such an answer is not
+/// escalated to the largest model.
 #[must_use]
 pub fn step(index: usize, confidence: Option<u32>, urgency: Urgency, room: Room, outlooks: &[Outlook]) -> Step {
     let last = outlooks.len().saturating_sub(1);
--- a/crates/route/src/relay/pace.rs
+++ b/crates/route/src/relay/pace.rs
@@ -1,49 +1,51 @@
-//! How long an idle endpoint takes to the first byte of a job.
+//! Estimates how long an idle endpoint takes until the first byte of a job.
 //!
-//! The load pattern: most prompts are short, a few are hundreds of times
-//! longer. A time for each token alone would be learned from the short ones,
-//! whose time is nearly all overhead, and would make a long prompt look like a
-//! queue of seconds. So a fixed part is learned from short jobs and the time
-//! for each unit of reading from long ones. Waits in queues only ever add, so
-//! both lean to the quick observations.
-
-/// Weight of an observation below what is believed.
+//! Most prompts are short, and a few are hundreds of times longer. An estimate per token
+//! alone would be learned from the short ones, whose time is nearly all overhead, and would
+//! make a long prompt look like a queue of seconds. So a fixed part is learned from short
+//! jobs, and the time per unit of prompt processing from long ones. Waits in queues only
+//! ever add time, so both estimates follow faster observations more closely.
+
+/// Weight of an observation that is below the estimate.
 const DOWN: f64 = 0.1;
 
-/// Weight of an observation above: slow endpoints and queues must not be taken
-/// for the pace of the work.
+/// Weight of an observation that is above the estimate. It is small because slow endpoints
+/// and queues must not raise the estimate for the work itself.
 const UP: f64 = 0.01;
 
-/// Most that one observation counts as, over what is believed.
+/// Upper bound of a single observation, as a multiple of the estimate.
 const OUTLIER: f64 = 4.0;
 
-/// What is believed of one kind of job.
+/// Latency estimate for one kind of job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pace {
+    /// Fixed part, in milliseconds.
     base_ms: f64,
+    /// Time per unit of prompt processing, in milliseconds.
     unit_ms: f64,
 }
 
 impl Pace {
-    /// First guesses: the fixed part, and a unit's time, in milliseconds.
+    /// Creates an estimate from initial values for the fixed part and for the time per
+    /// unit, both in milliseconds.
     #[must_use]
     pub fn new(base_ms: f64, unit_ms: f64) -> Self {
         Self { base_ms, unit_ms }
     }
 
-    /// Time that a job of so many units is expected to take, in milliseconds.
+    /// Returns the expected time to the first byte of a job of `units`, in milliseconds.
     #[must_use]
     pub fn job_ms(&self, units: f64) -> f64 {
         self.base_ms + self.reading_ms(units)
     }
 
-    /// Part of that time in which other jobs have to wait, in milliseconds.
+    /// Returns the part of that time during which other jobs have to wait, in milliseconds.
     #[must_use]
     pub fn reading_ms(&self, units: f64) -> f64 {
         self.unit_ms * units
     }
 
-    /// Learns from a job that took so many milliseconds.
+    /// Updates the estimate with a job that took `took_ms` milliseconds.
     pub fn learn(&mut self, units: f64, took_ms: f64) {
         if self.reading_ms(units) > self.base_ms {
             let seen = ((took_ms - self.base_ms) / units).max(0.0);
@@ -55,6 +57,7 @@
     }
 }
 
+/// Moves an estimate toward an observation.
 fn lean(believed: f64, seen: f64) -> f64 {
     let weight = if seen < believed { DOWN } else { UP };
     believed + weight * (seen.min(OUTLIER * believed) - believed)
--- a/crates/route/src/relay/quarantine.rs
+++ b/crates/route/src/relay/quarantine.rs
@@ -1,58 +1,55 @@
-//! Requests under which endpoints crash, kept from the endpoints that are left.
+//! Refuses requests that crash the endpoints that run them.
 //!
-//! The load pattern: an endpoint crashes as soon as it begins to run a certain
-//! request, with everything else that it runs. Its caller asks again, at any
-//! instance, and each time it is sent to further endpoints, until none is left.
-//! An endpoint's end tells of nothing but a suspicion: whatever ran there is a
-//! suspect. Who was there by chance ends well elsewhere and is cleared; what was
-//! there at the end of several endpoints, one after the other, and never ended well is
-//! refused. A popular request is under way at many endpoints at any moment, so several
-//! that crash together are one crash to a request that has ended well lately.
+//! Such a request crashes an endpoint as soon as it starts, together with all other runs
+//! there. Its caller retries at any instance, and each retry crashes further endpoints
+//! until none is left. The crash of an endpoint is only a suspicion against every request
+//! that ran there. A request that was there by chance completes elsewhere and is cleared. A
+//! request that was running at several successive crashes and never completed is refused. A
+//! popular request runs at many endpoints at any moment, so if it has completed recently,
+//! several simultaneous crashes count as one.
 //!
-//! Instances tell each other what they find, so that a [`Quarantine`] counts
-//! the crashes of the whole fleet. It holds a bounded number of records, and each
-//! lapses.
+//! Instances share their findings, so that a [`Quarantine`] counts the crashes of the whole
+//! fleet. The number of records is bounded, and each record expires.
 
 use std::{collections::HashMap, time::Duration};
 
 use super::content::Content;
 
-/// Endpoints that crash under a request before it is refused.
+/// Number of endpoints that must crash under a request before it is refused.
 pub const CRASHES: usize = 3;
 
-/// Time from the last crash in which a request is refused. The endpoints may have
-/// been mended meanwhile.
+/// Time for which a request is refused after its last crash. The endpoints may have been
+/// fixed by then.
 pub const LASTS: Duration = Duration::from_mins(10);
 
-/// Time in which a request that is not refused any more is refused anew by a single
-/// further crash.
+/// Time after a refusal during which a single further crash renews it.
 const PROBATION: Duration = LASTS;
 
-/// Time in which crashes count as one to a request that has ended well lately.
+/// Time within which crashes count as one for a request that has completed recently.
 const TOGETHER: Duration = Duration::from_secs(1);
 
-/// Records kept: of requests that have ended well lately, and of suspects, of which a
-/// mass crash brings as many as runs were under way.
+/// Maximum number of records: requests that have completed recently, and suspects. A mass
+/// crash makes every active run a suspect.
 const MOST: usize = 2_048;
 
-/// What an instance finds of a request, and tells the others.
+/// Observation about a request that an instance makes and shares with the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finding {
-    /// The start of an endpoint, by its hash, ended under it.
+    /// An endpoint crashed while it ran the request.
     Crash {
-        /// The request.
+        /// Request that was running.
         content: Content,
-        /// Hash of the endpoint's name and start.
+        /// Hash of the endpoint's name and its process start.
         start: u32,
     },
-    /// It ended well.
+    /// The request completed.
     EndedWell {
-        /// The request.
+        /// Request that completed.
         content: Content,
     },
-    /// It is refused.
+    /// The request is refused.
     Held {
-        /// The request.
+        /// Request that is refused.
         content: Content,
         /// Time since its last crash.
         age: Duration,
@@ -60,7 +57,7 @@
 }
 
 impl Finding {
-    /// The request that it is about.
+    /// Returns the request that the finding is about.
     #[must_use]
     pub fn content(&self) -> Content {
         match self {
@@ -69,43 +66,45 @@
     }
 }
 
-/// What a finding changed.
+/// Effect of a finding on the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing that was not known.
+    /// No new information.
     None,
     /// A further crash was counted.
     Counted,
     /// The request is refused from now on.
     Held,
-    /// It was a suspect, and is none any more.
+    /// The request was a suspect and no longer is one.
     Cleared,
-    /// It was refused, or on probation after that, and is neither any more.
+    /// The request was refused or on probation and no longer is.
     Released,
-    /// Whoever says that it is refused has not heard that it ended well since.
+    /// The finding says that the request is refused, but it has completed since. The sender
+    /// does not know that yet.
     Disproved,
 }
 
-/// Suspects, and the requests that are refused.
+/// Requests that are suspects or refused.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     records: HashMap<Content, Record>,
 }
 
+/// State of one request.
 #[derive(Debug, Clone)]
 struct Record {
-    /// Different starts that crashed under it, at most [`CRASHES`].
+    /// Distinct endpoint starts that crashed under it, at most [`CRASHES`].
     starts: Vec<u32>,
-    /// Whether it is refused, or on probation after that.
+    /// Whether it is refused, or on probation after a refusal.
     held: bool,
-    /// When the last of them crashed, or when it ended well.
+    /// Time of the last counted crash, or of the completion that reset the record.
     last: Duration,
-    /// When it last ended well.
+    /// Time when it last completed.
     good: Option<Duration>,
 }
 
 impl Quarantine {
-    /// Takes a finding in.
+    /// Applies a finding and returns its effect.
     pub fn take(&mut self, now: Duration, finding: Finding) -> Effect {
         match finding {
             Finding::Crash { content, start } => self.count(now, content, start),
@@ -114,26 +113,26 @@
         }
     }
 
-    /// How much longer a request is refused; nothing if it is not.
+    /// Returns how much longer a request is refused, or `None` if it is not.
     #[must_use]
     pub fn refuses(&self, now: Duration, content: Content) -> Option<Duration> {
         self.records.get(&content)?.refused(now)
     }
 
-    /// Whether an endpoint has crashed under a request and it has not ended well since.
+    /// Returns whether an endpoint crashed under a request that has not completed since.
     #[must_use]
     pub fn suspects(&self, now: Duration, content: Content) -> bool {
         self.suspect(now, content).is_some()
     }
 
-    /// Whether a crash under a run that was sent at a time tells more than what is known:
-    /// a run that was under way at the last crash may have met the same cause.
+    /// Returns whether a crash under a run sent at `sent` is new evidence. A run that was
+    /// already active at the last counted crash may have been hit by the same cause.
     #[must_use]
     pub fn is_further(&self, now: Duration, content: Content, sent: Duration) -> bool {
         self.suspect(now, content).is_none_or(|record| sent > record.last)
     }
 
-    /// Requests that are refused, those that crashed an endpoint last first.
+    /// Returns at most `most` refused requests, the ones with the latest crash first.
     #[must_use]
     pub fn held(&self, now: Duration, most: usize) -> Vec<Finding> {
         let mut held: Vec<_> = self.records.iter().filter(|(_, record)| record.refused(now).is_some()).collect();
@@ -143,23 +142,25 @@
         held.into_iter().take(most).map(finding).collect()
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Returns whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The record of a request with a crash that was not cleared and has not lapsed.
+    /// Returns the record of a request with a crash that was not cleared and has not
+    /// expired.
     fn suspect(&self, now: Duration, content: Content) -> Option<&Record> {
         self.records.get(&content).filter(|record| !record.starts.is_empty() && !record.lapsed(now))
     }
 
+    /// Counts a crash of an endpoint that ran the request.
     fn count(&mut self, now: Duration, content: Content, start: u32) -> Effect {
         let was_held = self.refuses(now, content).is_some();
         let record = self.record(now, content);
@@ -174,7 +175,8 @@
         if record.held && !was_held { Effect::Held } else { Effect::Counted }
     }
 
-    /// One that was refused and ended well after all was under way when it came to that.
+    /// Resets the record of a request that completed. A refused request can still complete
+    /// if it was already running when it was refused.
     fn clear(&mut self, now: Duration, content: Content) -> Effect {
         let record = self.record(now, content);
         let (was_suspect, was_held) = (!record.starts.is_empty(), record.held);
@@ -186,14 +188,16 @@
         }
     }
 
+    /// Applies another instance's report that the request is refused.
     fn hold(&mut self, now: Duration, content: Content, age: Duration) -> Effect {
         let last = now.saturating_sub(age);
         let known = self.records.get(&content);
         if known.and_then(|record| record.good).is_some_and(|good| good > last) {
             return Effect::Disproved;
         }
-        // Each word is older than it says by its way here: taken for a later crash, words
-        // that go round would prolong a refusal for good.
+        // By the time a message arrives, the crash is older than the message says by the
+        // transit time. If that were taken for a later crash, messages circulating between
+        // instances would extend a refusal forever.
         if age >= LASTS || known.is_some_and(|record| record.refused(now).is_some()) {
             return Effect::None;
         }
@@ -204,7 +208,7 @@
         Effect::Held
     }
 
-    /// The record of a request; room is made for a new one.
+    /// Returns the record of a request and makes room if it is a new one.
     fn record(&mut self, now: Duration, content: Content) -> &mut Record {
         if !self.records.contains_key(&content) && self.records.len() >= MOST {
             self.make_room(now);
@@ -216,8 +220,8 @@
         record
     }
 
-    /// Forgets what has lapsed, or else the oldest: what ended well before suspects, and
-    /// these before what is refused.
+    /// Removes expired records. If that does not suffice, removes the oldest ones:
+    /// completed requests first, then suspects, then refused requests.
     fn make_room(&mut self, now: Duration) {
         self.records.retain(|_, record| !record.lapsed(now));
         if self.records.len() < MOST {
@@ -238,13 +242,13 @@
         Self { starts: Vec::new(), held: false, last: now, good: None }
     }
 
-    /// How much longer it is refused; nothing if it is not.
+    /// Returns how much longer the request is refused, or `None` if it is not.
     fn refused(&self, now: Duration) -> Option<Duration> {
         let left = (self.last + LASTS).saturating_sub(now);
         (self.held && !left.is_zero()).then_some(left)
     }
 
-    /// Whether a crash of now is a part of the last one that was counted.
+    /// Returns whether a crash at `now` belongs to the last one that was counted.
     fn is_same_crash(&self, now: Duration) -> bool {
         self.good.is_some() && !self.starts.is_empty() && now < self.last + TOGETHER
     }
--- a/crates/route/src/relay/throttle.rs
+++ b/crates/route/src/relay/throttle.rs
@@ -1,62 +1,66 @@
-//! Limits that endpoints name, kept to by all instances together.
+//! Rate limits that endpoints announce, kept by all instances together.
 //!
-//! The load pattern: an endpoint in need says in its answers how many requests a
-//! second it takes from all instances. Each of them kept to it alone would send
-//! the limit times their number; each kept to an even part would round up to one
-//! request at a time, which in a fleet of hundreds is far more than the endpoint
-//! takes. So a few instances, drawn by rendezvous hashing, share the limit
-//! evenly, and the others send nothing while it holds.
+//! An overloaded endpoint announces in its answers how many requests per second it accepts
+//! from all instances. If each instance applied the limit alone, they would send the limit
+//! times their number. If each applied an equal part, parts would round up to one request
+//! at a time, which in a fleet of hundreds is far more than the endpoint accepts. So a few
+//! instances, selected by rendezvous hashing, share the limit evenly, and the others send
+//! nothing while it is in force.
 //!
-//! A sender's tokens come evenly, and few are saved up: one where there are as many
-//! senders as there may be. Over any window an endpoint then gets its part of the
-//! limit, and at most one request more for each sender that there may be.
+//! A sender's tokens accrue evenly and few can be saved: one if there are as many senders
+//! as allowed. Over any window an endpoint thus gets its part of the limit and at most one
+//! request more for each sender that is allowed.
 
 use std::time::Duration;
 
 use world::hash;
 
-/// Part of a limit that is used. The rest is for the moments in which instances
-/// disagree about who is there.
+/// Part of a limit that is used. The rest covers periods in which instances disagree about
+/// the membership.
 const USED: f64 = 0.9;
 
-/// Most senders to an endpoint, besides one for each request a second that it takes,
-/// and so the tokens that all of them may have saved up. More would send more at the
-/// same moment than an endpoint with a small limit bears.
+/// Number of senders to an endpoint in addition to one for each request per second that it
+/// accepts, and so the number of tokens that all senders may have saved. More senders would
+/// send more requests at once than an endpoint with a small limit can take.
 const SENDERS: usize = 4;
 
-/// Time without a word from the endpoint after which its limit is believed no more.
+/// Time after the endpoint's last announcement at which its limit expires.
 const LASTS: Duration = Duration::from_mins(1);
 
-/// A limit that an endpoint names; nothing is one that it names no more.
+/// A limit that an endpoint announced, or its announcement that there is none.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Word {
-    /// Requests a second, from all instances together.
+    /// Requests per second from all instances together; `None` if the endpoint has no
+    /// limit.
     pub per_s: Option<f64>,
-    /// When the endpoint said so; of an answer without a limit, when its request was
-    /// sent, since the answer may be older than a limit that came before it.
+    /// Time of the announcement. For an answer without a limit this is the time at which
+    /// its request was sent, since the answer may be older than a limit that arrived before
+    /// it.
     pub at: Duration,
 }
 
 /// An instance's part of a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Share {
-    /// Tokens a second; none if it is no sender.
+    /// Tokens per second; 0 if the instance is not a sender.
     pub rate: f64,
-    /// Tokens that may be saved up.
+    /// Maximum number of saved tokens.
     pub saved: f64,
 }
 
-/// What an instance may send to one endpoint.
+/// Token bucket for the requests that this instance may send to one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct Throttle {
     word: Option<Word>,
     share: Share,
     tokens: f64,
+    /// Time for which `tokens` was last computed.
     filled: Duration,
 }
 
 impl Throttle {
-    /// Takes a word in unless a later one is known; whether it changes what holds.
+    /// Records an announcement unless a later one is known. Returns whether the limit in
+    /// force changes.
     pub fn hear(&mut self, now: Duration, word: Word) -> bool {
         if self.word.is_some_and(|known| known.at > word.at) {
             return false;
@@ -70,40 +74,40 @@
         before != self.limit(now)
     }
 
-    /// Requests a second that the endpoint takes; nothing if it names no limit, or
-    /// has not for long.
+    /// Returns the limit in requests per second, or `None` if there is none or it has
+    /// expired.
     #[must_use]
     pub fn limit(&self, now: Duration) -> Option<f64> {
         self.word.filter(|word| now < word.at + LASTS)?.per_s
     }
 
-    /// The last word of the endpoint, also if it ended a limit or has lapsed.
+    /// Returns the endpoint's last announcement, even if it ended a limit or has expired.
     #[must_use]
     pub fn word(&self) -> Option<Word> {
         self.word
     }
 
-    /// Sets this instance's part.
+    /// Sets this instance's part of the limit.
     pub fn share(&mut self, now: Duration, share: Share) {
         self.tokens = self.tokens_at(now);
         self.filled = now;
         self.share = share;
     }
 
-    /// Whether a request may be sent.
+    /// Returns whether a request may be sent now.
     #[must_use]
     pub fn takes(&self, now: Duration) -> bool {
         self.limit(now).is_none() || (self.share.rate > 0.0 && self.tokens_at(now) >= 1.0)
     }
 
-    /// Counts a request that is sent.
+    /// Takes a token for a request that is sent.
     pub fn spend(&mut self, now: Duration) {
         self.tokens = self.tokens_at(now) - 1.0;
         self.filled = now;
     }
 
-    /// Time until the endpoint takes a request: of this instance, or of whichever has
-    /// a part, if this one has none.
+    /// Returns the time until the endpoint accepts a request from this instance, or from
+    /// any sender if this instance is not one.
     #[must_use]
     pub fn wait(&self, now: Duration) -> Duration {
         let Some(per_s) = self.limit(now) else { return Duration::ZERO };
@@ -118,7 +122,8 @@
     }
 }
 
-/// One instance's part of the limit of an endpoint. `me` and `others` are hashes of the names of those that serve callers.
+/// Computes one instance's part of an endpoint's limit. `me` and `others` are the hashes of
+/// the names of the instances that serve callers.
 #[must_use]
 pub fn share(per_s: f64, endpoint: u32, me: u64, others: impl Iterator<Item = u64>) -> Share {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped to a small range")]
--- a/crates/route/tests/address.rs
+++ b/crates/route/tests/address.rs
@@ -1,4 +1,4 @@
-//! Which instances a customer's callers use.
+//! Selection of the instances that a customer's callers use.
 
 use std::collections::BTreeSet;
 
@@ -37,7 +37,7 @@
     list.instances.into_iter().map(|instance| instance.id.clone()).collect()
 }
 
-/// An instance goes. Only customers that had it change, each by one member.
+/// When an instance leaves, only the sets that contain it change, each by one member.
 #[test]
 fn few_customers_move() {
     for (count, domains) in [(7, 4), (31, 8), (750, 8)] {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The baseline: three in a row from a hash's place in the list.
+/// Baseline: three consecutive instances, starting at the index given by a hash.
 fn modulo(number: usize, count: usize) -> Vec<usize> {
     let first = world::hash::stable(customer(number).as_str().as_bytes()) % count as u64;
     (0..3).map(|next| (usize::try_from(first).unwrap() + next) % count).collect()
@@ -87,7 +87,8 @@
     assert_eq!([size(0.0), size(100.0), size(640.0), size(1e9)], [3, 3, 11, 31]);
 }
 
-/// A larger set holds the smaller one: a customer that grows keeps its homes.
+/// The set for a larger load contains the set for a smaller one, so a growing customer
+/// keeps its instances.
 #[test]
 fn growth_keeps_the_set() {
     let instances = fleet(31, 8);
@@ -123,8 +124,8 @@
     assert_eq!(list.keep_ms, policy.unsettled_keep_ms);
 }
 
-/// A session's callers all get the same order, whichever instance they ask;
-/// a customer's sessions spread over its set.
+/// All requests of a session get the same order from any instance. The sessions of a
+/// customer spread over its set.
 #[test]
 fn sessions_spread_over_the_set() {
     let instances = fleet(7, 4);
--- a/crates/route/tests/endpoint.rs
+++ b/crates/route/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a run goes to, and to which none goes.
+//! Choice of the endpoint for a run, and which endpoints are excluded.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -103,10 +103,10 @@
     assert_eq!(choose(&fleet, Some(42), &[], 1, NOW).expect("there are some").rule, Rule::Preferred);
 }
 
-/// Events of a cache are lost. Callers are answered as ever, at worst without
-/// a hit: of a prefix whose storing was never heard of, the usual endpoint is
-/// chosen; one that was evicted unheard of still draws its prefix, but only
-/// until it is loaded, as any endpoint.
+/// Cache events may be lost. Requests must still be placed, at worst without a cache hit.
+/// If the event that a prefix was stored is lost, the usual endpoint is chosen. An endpoint
+/// whose eviction event is lost still attracts the prefix, but only until it is loaded,
+/// like any other.
 #[test]
 fn cache_events_lost_at_choose() {
     let mut fleet = fleet(1, 6);
@@ -114,7 +114,7 @@
     assert_eq!(usual.rule, Rule::Preferred, "stored elsewhere, unheard of");
     let (holder, name) = fleet.endpoints().map(|(key, e)| (key, e.id.clone())).find(|e| e.0 != usual.key).expect("six");
     fleet.on(Event::Stored { endpoint: &name, prefix: 42 }, NOW);
-    // Evicted here, and the event is lost.
+    // The prefix is evicted here, and the event is lost.
     let mut to_holder = 0;
     for draw in 0..64 {
         let choice = choose(&fleet, Some(42), &[], draw, NOW).expect("there are some");
@@ -124,9 +124,9 @@
     assert!((1..32).contains(&to_holder), "{to_holder} of 64 runs went to one of six endpoints");
 }
 
-/// An endpoint breaks five runs in a row: no more go there. After its ejection
-/// it gets a tenth of its work and more with time; one more failure while
-/// coming back ejects it again, for longer.
+/// Five consecutive failures eject an endpoint. After the ejection it gets a tenth of its
+/// work, and more over time. One more failure during the readmission ejects it again, for
+/// longer.
 #[test]
 fn a_failing_endpoint_is_ejected_and_returns_gradually() {
     let mut fleet = fleet(1, 6);
@@ -149,8 +149,8 @@
     assert_eq!(share(&fleet, back.plus(19_999)), 0);
 }
 
-/// One endpoint answers, but ten times slower than its like: its callers see
-/// deadlines missed and no error. It is left out, then tried again.
+/// An endpoint answers ten times slower than the others, so that callers miss deadlines
+/// without an error. It is ejected and tried again later.
 #[test]
 fn a_crawling_endpoint_is_ejected() {
     let mut fleet = fleet(1, 6);
@@ -166,8 +166,8 @@
     assert_eq!((considered(NOW), considered(NOW.plus(60_000))), (5, 6));
 }
 
-/// The configuration changes while an endpoint is ejected and another has runs
-/// under way. Forgetting either would send the next runs to the wrong ones.
+/// The configuration changes while an endpoint is ejected and another one has active runs.
+/// If either state were lost, the next runs would go to the wrong endpoints.
 #[test]
 fn a_new_configuration_keeps_what_is_known() {
     let mut fleet = fleet(1, 6);
@@ -188,8 +188,8 @@
     assert_eq!(fleet.endpoints().count(), 1);
 }
 
-/// Every endpoint fails: the cause is elsewhere. Ejecting them all would leave
-/// nothing to run on; a third is the most that goes.
+/// If every endpoint fails, the cause is elsewhere. Ejecting them all would leave none to
+/// run on, so at most a third is ejected.
 #[test]
 fn never_all_are_ejected() {
     let mut fleet = fleet(1, 6);
@@ -201,8 +201,7 @@
     assert_eq!(considered, 4);
 }
 
-/// A refusal of a full engine or of one that is still loading says nothing
-/// about its health.
+/// A rejection by an engine that is full or still loading says nothing about its health.
 #[test]
 fn a_full_endpoint_is_not_ejected() {
     let mut fleet = fleet(1, 6);
@@ -224,8 +223,8 @@
     assert_eq!(choose(&fleet, None, &[], 1, NOW.plus(2_000)).expect("both are back").considered, 2);
 }
 
-/// The reports are two seconds old and show one idle endpoint. An instance
-/// that believed them would send all its runs there until the next report.
+/// The reports are two seconds old and show one idle endpoint. An instance that relied on
+/// them would send all its runs there until the next report.
 #[test]
 fn an_old_report_does_not_draw_everything() {
     let mut fleet = fleet(1, 4);
@@ -257,7 +256,8 @@
     peers.iter().map(subset).collect()
 }
 
-/// No subset larger than `size`, no endpoint in fewer or more than `users`.
+/// Checks that no subset is larger than `size` and that each endpoint is in a number of
+/// subsets within `users`.
 fn check_subsets(instances: usize, domains: usize, each: usize, size: usize, users: RangeInclusive<usize>) {
     let subsets = subsets(instances, domains, each);
     let mut found: BTreeMap<&Id, usize> = BTreeMap::new();
@@ -280,7 +280,7 @@
     few_instances_before_many_endpoints_leave_none_out: 4, 2, 200 => 153, 1..=4;
 }
 
-/// An instance goes; each of the others keeps most of its endpoints, so that
+/// When an instance leaves, each of the others keeps most of its endpoints, so that
 /// connections and caches stay warm.
 #[test]
 fn one_instance_less_moves_little() {
@@ -295,7 +295,7 @@
     }
 }
 
-/// What happens to an endpoint, by its place in the fleet.
+/// Action on the fleet. Endpoints are identified by their index in the fleet.
 #[derive(Debug, Clone)]
 enum Act {
     Choose { prefix: u64, draw: u64, avoid: usize },
@@ -325,8 +325,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// No run goes to an endpoint that is leaving or has failed the request;
-    /// none is refused while another one is left.
+    /// No run goes to an endpoint that is leaving or has already failed the request, and
+    /// none is refused while another endpoint is available.
     #[test]
     fn runs_go_only_where_they_may(acts in proptest::collection::vec(act(), 1..200)) {
         let (mut fleet, target) = (fleet(2, 4), target());
--- a/crates/route/tests/relay/allowance.rs
+++ b/crates/route/tests/relay/allowance.rs
@@ -1,4 +1,4 @@
-//! Repeats stay within their bound, whatever fails.
+//! Retries stay within their bound whatever fails.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 
 const POLICY: Policy = Policy { ratio: 0.9, reserve: 54.0, window: Duration::from_secs(10) };
 
-/// All servers of a service fail for a while: every instance would repeat
-/// every request. Over any window, all instances together stay within the
-/// ratio of what callers sent plus the reserve.
+/// All servers of a service fail for a while, so every instance would retry every request.
+/// Over any window, the retries of all instances together must stay within the ratio of the
+/// callers' requests plus the reserve.
 #[test]
 fn repeats_of_a_fleet_stay_within_the_bound() {
     let instances = 7;
@@ -18,7 +18,7 @@
     for step in 0_u64..6_000 {
         let now = Duration::from_millis(step * 10);
         for allowance in &mut fleet {
-            // A lull halfway: what was earned before it must not be spent after.
+            // A pause halfway: allowance earned before it must not be used after it.
             if step % 3 == 0 && !(2_000..4_000).contains(&step) {
                 allowance.earn(now);
                 firsts.push(now);
@@ -51,7 +51,7 @@
 }
 
 proptest! {
-    /// An instance alone keeps the bound for any sequence of requests.
+    /// A single instance keeps the bound for any sequence of requests.
     #[test]
     fn one_instance_keeps_the_bound(steps in prop::collection::vec((0_u64..400, any::<bool>()), 1..400)) {
         let mut allowance = Allowance::new(POLICY);
--- a/crates/route/tests/relay/canary.rs
+++ b/crates/route/tests/relay/canary.rs
@@ -1,4 +1,4 @@
-//! A new version meets few, and is left when it fails.
+//! A new version gets a small share of the sessions and is reverted if it fails.
 
 use std::time::Duration;
 
@@ -26,13 +26,13 @@
 stages! {
     trial_goes_on: Stage::Trial, 5, GOOD => Stage::Trial;
     trial_that_was_stood_shifts: Stage::Trial, 16, GOOD => Stage::Shift;
-    // Not condemned yet, and not good either: it must not reach everybody.
+    // Neither rejected nor accepted by the evidence, so it must not get all sessions.
     doubtful_version_is_not_let_go_on: Stage::Trial, 16, tally(24, 4) => Stage::Trial;
     trial_without_evidence_waits: Stage::Trial, 16, Tally::default() => Stage::Trial;
     failing_version_is_left_on_trial: Stage::Trial, 2, BAD => Stage::Reverted;
-    // It turns bad late, or only under everybody's load.
+    // The version fails late, or only under full load.
     failing_version_is_left_on_the_shift: Stage::Shift, 18, BAD => Stage::Reverted;
-    // The old version's runs have ended by then: its endpoints stop at once.
+    // The old version's runs have ended by then, so its endpoints can stop at once.
     shift_ends: Stage::Shift, 22, GOOD => Stage::Done;
     done_stays_done: Stage::Done, 23, BAD => Stage::Done;
     reverted_stays_reverted: Stage::Reverted, 23, GOOD => Stage::Reverted;
@@ -44,21 +44,20 @@
     assert!(!bad(GOOD, OLD));
 }
 
-/// Servers fail for reasons of their own, on both versions alike.
+/// Servers also fail for other reasons, which affect both versions alike.
 #[test]
 fn trouble_of_both_versions_condemns_neither() {
     assert!(!bad(tally(40, 12), tally(400, 110)));
 }
 
-/// A route of the service fails one time in ten on any version; four in ten of
-/// the new version's answers are failures. A factor over the old share would
-/// need six in ten.
+/// One in ten of the service's requests fails on any version, and four in ten of the new
+/// version's answers. A test for a factor over the old failure rate would need six in ten.
 #[test]
 fn failures_that_are_usual_hide_no_bad_version() {
     assert!(bad(tally(40, 16), tally(500, 60)));
 }
 
-/// A bad version that is never found out stays within its share.
+/// A bad version that is never detected stays within its share of sessions.
 #[test]
 fn trial_stays_far_below_what_a_bad_version_may_get() {
     let met = (0..10_000).filter(|&session| tries_versions(session, 0.15)).count();
@@ -78,15 +77,15 @@
 
 meetings! {
     new_session_meets_a_version_on_trial: Stage::Trial, 3_000, settled false => true;
-    // Its last request, a second ago, was answered by the old version.
+    // The session's last request, a second ago, was answered by the old version.
     session_under_way_stays_on_the_old_version: Stage::Trial, 3_000, settled true => false;
-    // Other instances may know of requests that this one has not heard of yet.
+    // Other instances may know of requests that this one has not been told of yet.
     nobody_meets_it_before_instances_have_compared: Stage::Trial, 500, settled false => false;
     everybody_moves_on_the_shift: Stage::Shift, 16_000, settled true => true;
     nobody_meets_a_reverted_version: Stage::Reverted, 16_000, settled false => false;
 }
 
-/// Lateness of many runs that spread by a factor of two about a typical one.
+/// Lateness of `runs` runs that vary by a factor of two around a typical ratio.
 fn late(runs: u32, typical: f64) -> Lateness {
     (0..runs)
         .fold(Tally::default(), |sum, run| {
@@ -109,13 +108,14 @@
 }
 
 paces! {
-    // All answers are good and come several times later than the old version's.
+    // All answers are successful but take several times as long as the old version's.
     slow_version_is_condemned: 15, 6.0, 1.0 => true;
-    // Short prompts take mostly the way there: eight times slower shows as three.
+    // Network latency dominates for short prompts, so a factor of eight is observed as
+    // three.
     slowness_hidden_by_the_way_is_found: 30, 3.0, 1.0 => true;
-    // Both are late while the service is overloaded.
+    // Both versions are late while the service is overloaded.
     overloaded_service_condemns_nobody: 60, 5.0, 4.5 => false;
     a_few_slow_runs_condemn_nobody: 4, 8.0, 1.0 => false;
-    // Some servers of its small pool are slow.
+    // Some servers of the new version's small pool are slow.
     somewhat_slower_is_put_up_with: 60, 1.7, 1.0 => false;
 }
--- a/crates/route/tests/relay/content.rs
+++ b/crates/route/tests/relay/content.rs
@@ -1,8 +1,8 @@
-//! What counts as the same request.
+//! Which requests have the same content identity.
 
 use route::relay::content::Content;
 
-/// Names each case: two requests, and whether they are the same work.
+/// Each case has a name, two requests, and whether they are the same work.
 macro_rules! cases {
     ($($name:ident: $one:expr, $other:expr => $same:expr;)*) => {$(
         #[test]
@@ -28,8 +28,9 @@
     path_that_runs_into_the_host: (None, "GET", "a", "/b/c", ""), (None, "GET", "a/b", "/c", "") => false;
 }
 
-/// The work tells nothing of the team: nobody can find a body that collides with
-/// another team's request as a whole.
+/// The hash of the work does not depend on the customer and the customer's hash is
+/// separate, so nobody can find a body with which a request collides with one of another
+/// customer.
 #[test]
 fn teams_stand_apart() {
     let (club, tower) = (Content::of(ONE.0, "GET", "h", "/", b""), Content::of(Some("tower"), "GET", "h", "/", b""));
@@ -44,7 +45,7 @@
     assert_eq!("0000000100000000000000ab".parse(), Ok(content));
 }
 
-/// Anybody may write an object under the kind that refused requests are kept under.
+/// Anybody may write an object of the kind under which refused requests are stored.
 #[test]
 fn other_texts_name_no_content() {
     for text in [
--- a/crates/route/tests/relay/freshness.rs
+++ b/crates/route/tests/relay/freshness.rs
@@ -1,4 +1,4 @@
-//! Keys are believed no longer than a withdrawn one may work.
+//! Access keys and catalogs are not used for longer than the bound after a change.
 
 use std::time::Duration;
 
@@ -26,10 +26,10 @@
     just_read: Proof::Read, at 10_001 => true;
     within_the_bound: Proof::Read, at 14_500 => true;
     at_the_bound: Proof::Read, at 15_000 => false;
-    // A watch may hear nothing for a second before it is cut.
+    // A watch may miss changes for a second before it is cut.
     quiet_watch_proves_less: Proof::Quiet, at 13_500 => true;
     quiet_watch_past_its_bound: Proof::Quiet, at 13_700 => false;
-    // The instance slept through the withdrawal and wakes.
+    // The instance was suspended during the withdrawal and resumes.
     after_a_sleep: Proof::Read, at 60_000 => false;
 }
 
@@ -39,8 +39,7 @@
     assert!(Freshness::new(None).holds(at(0)));
 }
 
-/// An answer that was long under way arrives after a newer one: it proves
-/// nothing more.
+/// An answer that was delayed arrives after a newer one and must not shorten the lease.
 #[test]
 fn late_answer_takes_nothing_back() {
     let mut freshness = Freshness::new(Some(BOUND));
@@ -63,16 +62,17 @@
 }
 
 cadences! {
-    // A small catalog is read after each watch of 900 ms, as its proof is younger for it.
+    // A small catalog is read after each watch of 900 ms, because a read confirms a more
+    // recent state.
     short_reading_after_a_watch: 10, after 900 => true;
     long_reading_after_a_watch: 450, after 900 => false;
-    // Before that a change would often fall into a reading and wait for its end.
+    // With an earlier read, changes would often arrive during a read and wait for its end.
     long_reading_within_its_rest: 450, after 17_900 => false;
     long_reading_after_its_rest: 450, after 18_000 => true;
 }
 
-/// Versions told of and installed, by time, and whether the catalog in force may
-/// be served by at the end.
+/// Checks whether the catalog in force may be used at `now`, after announcements of
+/// versions at given times and the installation of one version.
 fn check_succession(told: &[(u64, u64)], installed: u64, now: u64, holds: bool) {
     let mut succession = Succession::new(Some(BOUND));
     for (version, told_at) in told {
@@ -95,19 +95,20 @@
 successions! {
     nobody_tells_of_a_newer_one: &[], installed 1, at 60_000 => true;
     there_is_time_to_read_it: &[(2, 10_000)], installed 1, at 14_000 => true;
-    // The bound counts from the confirmation, of which this one heard later.
+    // The bound counts from the confirmation, of which this instance was notified later.
     time_to_hear_of_it_is_kept_back: &[(2, 10_000)], installed 1, at 14_300 => false;
     it_is_in_force: &[(2, 10_000)], installed 2, at 14_300 => true;
-    // Changes in quick succession: the one in force is newer than some that were
-    // told of, and the first that it lacks counts.
+    // Several changes in quick succession: the catalog in force is newer than some of the
+    // announced ones. The first announced version that is newer than it determines the
+    // bound.
     first_newer_one_counts: &[(2, 10_000), (3, 12_000), (4, 13_000)], installed 2, at 16_000 => true;
     first_newer_one_counts_to_its_end: &[(2, 10_000), (3, 12_000), (4, 13_000)], installed 2, at 16_300 => false;
-    // The same word from many instances does not begin anew.
+    // The same announcement from another instance does not restart the bound.
     same_word_again: &[(2, 10_000), (2, 14_000)], installed 1, at 14_300 => false;
     late_word_of_an_older_one: &[(3, 10_000), (2, 14_000)], installed 1, at 14_300 => false;
 }
 
-/// More changes than are kept apart: none is forgotten.
+/// There are more changes than are stored separately; none may be lost.
 #[test]
 fn long_storm_is_not_forgotten() {
     let mut succession = Succession::new(Some(BOUND));
--- a/crates/route/tests/relay/fronts.rs
+++ b/crates/route/tests/relay/fronts.rs
@@ -1,4 +1,4 @@
-//! Callers of a large fleet are spread over all of it, steadily.
+//! Callers are spread evenly and stably over all instances of a large fleet.
 
 use std::collections::HashMap;
 
@@ -7,13 +7,13 @@
 
 const DOMAINS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-/// Places of an answer.
+/// Maximum number of instances in an answer.
 const MOST: usize = 64;
 
 const LARGE: f64 = 0.5;
 const SMALL: f64 = 0.125;
 
-/// So many small instances and three large ones in each of six domains.
+/// Returns `small` small instances and three large ones in each of six domains.
 fn fleet(small: usize) -> Vec<Candidate<'static>> {
     let of = |domain: &'static str, number: usize| Candidate {
         hash: hash::stable(format!("{domain}{number}").as_bytes()),
@@ -27,7 +27,7 @@
     Caller { domain: Some(DOMAINS[number % DOMAINS.len()]), hash: hash::stable(&number.to_le_bytes()) }
 }
 
-/// Answers of which each instance is a part, over so many callers.
+/// Counts for each instance the answers that contain it, over `callers` callers.
 fn answers(fleet: &[Candidate<'_>], callers: usize) -> HashMap<usize, usize> {
     let mut answers = HashMap::new();
     for index in (0..callers).flat_map(|number| choose(fleet, caller(number), MOST)) {
@@ -36,8 +36,8 @@
     answers
 }
 
-/// Some five hundred callers crowded at the same 64 of 295 instances, and the
-/// others idled.
+/// Guards against five hundred callers using the same 64 of 295 instances while the others
+/// are idle.
 #[test]
 fn every_instance_is_told_of() {
     let fleet = fleet(46);
@@ -49,7 +49,8 @@
     assert!(most < 2 * mean, "{most} of {mean}");
 }
 
-/// An instance of four times the processor got no more callers than any other.
+/// Guards against an instance with four times the processor cores getting no more callers
+/// than others.
 #[test]
 fn larger_instances_get_more() {
     let fleet = fleet(46);
@@ -62,8 +63,8 @@
     assert!(mean(true) > 2 * mean(false), "{} {}", mean(true), mean(false));
 }
 
-/// Callers crossed over to other failure domains, and with a lost domain some
-/// lost all of their instances.
+/// Guards against callers connecting to other failure domains needlessly, and against
+/// losing all instances of an answer together with one domain.
 #[test]
 fn answer_stands_by_its_caller_and_in_all_domains() {
     let fleet = fleet(46);
@@ -79,8 +80,8 @@
     }
 }
 
-/// Answers that changed with each instance that left made callers close the
-/// connections to most others.
+/// If answers changed with each instance that left, callers would close the connections to
+/// most other instances.
 #[test]
 fn loss_of_an_instance_changes_one_place() {
     let fleet = fleet(46);
@@ -95,7 +96,7 @@
     }
 }
 
-/// A lost domain's places go to the others: no caller is told of too few.
+/// The places of a lost domain are filled from the others, so that no answer is too short.
 #[test]
 fn lost_domain_is_made_up_for() {
     let left: Vec<_> = fleet(46).into_iter().filter(|candidate| candidate.domain != "a").collect();
@@ -104,7 +105,7 @@
     assert_eq!(choose(&own, caller(0), MOST).len(), MOST.min(own.len()));
 }
 
-/// A fleet that fits an answer is told whole.
+/// All instances are listed if they fit into an answer.
 #[test]
 fn small_fleet_is_told_whole() {
     let fleet = fleet(1);
--- a/crates/route/tests/relay/holders.rs
+++ b/crates/route/tests/relay/holders.rs
@@ -1,4 +1,4 @@
-//! Who keeps which shared part: remembered for a while, within bounds.
+//! Holders of shared prefixes are stored for a limited time and in limited number.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
     holders.of(part, now).collect()
 }
 
-/// A hot part is read by one endpoint after another. Each is remembered once,
-/// until the endpoint's memory has gone over to other parts.
+/// A frequently used prefix is processed by one endpoint after another. Each is stored
+/// once, until the endpoint has replaced the prefix in its cache.
 #[test]
 fn holders_of_a_hot_part_are_remembered_for_a_while() {
     let mut holders = Holders::default();
@@ -26,7 +26,7 @@
     assert!(of(&holders, 8, seconds(12)).is_empty());
 }
 
-/// A part goes round many endpoints: the youngest few are enough.
+/// If many endpoints process a prefix, only the latest few are stored.
 #[test]
 fn youngest_holders_are_kept() {
     let mut holders = Holders::default();
@@ -34,8 +34,8 @@
     assert_eq!(of(&holders, 7, seconds(2)), [6, 7, 8, 9]);
 }
 
-/// Parts that are asked for once and never again: what is remembered of them
-/// stays bounded, and makes room for later ones.
+/// Prefixes that are requested only once must not use unbounded memory, and must make room
+/// for later ones.
 #[test]
 fn memory_stays_bounded() {
     let mut holders = Holders::default();
--- a/crates/route/tests/relay/ladder.rs
+++ b/crates/route/tests/relay/ladder.rs
@@ -1,4 +1,4 @@
-//! Small models first; larger ones while there is room.
+//! Requests start at small models and escalate while there is time and allowance.
 
 use route::relay::ladder::{CUT, LATE_CUT, Outlook, Room, Step, Time, Urgency, start, step};
 
@@ -26,18 +26,17 @@
     answer_without_opinion_is_kept: 0, None, ROOM, SOON => Step::Keep;
     no_attempt_left: 0, Some(0), Room { attempts: 0, ..ROOM }, SOON => Step::Keep;
     no_allowance_left: 0, Some(0), Room { allowance: false, ..ROOM }, SOON => Step::Keep;
-    // The prompt is so long that a larger model's answer would come late. The small
-    // one is kept unless likely wrong.
+    // The prompt is so long that a larger model would be late. The small model's answer is
+    // kept unless it is likely wrong.
     long_prompt_keeps_the_fairly_sure: 0, Some(LATE_CUT), ROOM, LATE => Step::Keep;
     long_prompt_replaces_the_wrong: 0, Some(LATE_CUT - 1), ROOM, LATE => Step::Escalate(2);
-    // Half of the endpoints are lost, or callers come in a crowd: an escalation
-    // would come late and make every other one later.
+    // Half of the endpoints are lost or many callers arrive at once. An escalation would be
+    // late and delay all others.
     crowd_keeps_any: 0, Some(0), ROOM, CROWDED => Step::Keep;
     crowd_asks_the_middle_one_in_time:
         0, Some(0), ROOM, [Outlook::InTime, Outlook::InTime, Outlook::Crowded] => Step::Escalate(1);
     hopeless_keeps_any: 0, Some(0), ROOM, NEVER => Step::Keep;
-    // A prompt of 30,000 tokens: the largest model would come late, the middle
-    // one in time.
+    // A prompt of 30,000 tokens: the largest model would be late, the middle one in time.
     middle_one_replaces_the_unsure_in_time:
         0, Some(LATE_CUT), ROOM, [Outlook::InTime, Outlook::InTime, Outlook::Late] => Step::Escalate(1);
     middle_one_replaces_the_wrong_where_the_largest_never_comes:
@@ -59,18 +58,18 @@
 }
 
 urgencies! {
-    // Most requests are checks that go last and have long prompts. Asked of the
-    // largest model as readily as the others, they take its time from them.
+    // Most requests are checks on the least urgent route and have long prompts. If they
+    // escalated as readily as others, they would delay those at the largest model.
     last_route_keeps_the_fairly_sure: 2, 0..=2, CUT - 20 => Step::Keep;
     last_route_replaces_the_unsure: 2, 0..=2, CUT - 21 => Step::Escalate(2);
     first_route_keeps_only_the_very_sure: 0, 0..=2, CUT + 9 => Step::Escalate(2);
     first_route_keeps_the_very_sure: 0, 0..=2, CUT + 10 => Step::Keep;
     route_between_is_as_it_was: 1, 0..=2, CUT => Step::Keep;
-    // Nothing tells which requests matter less.
+    // There is no difference in urgency.
     routes_of_one_rank_are_alike: 2, 2..=2, CUT - 1 => Step::Escalate(2);
 }
 
-/// Times of three models at idle endpoints and, `wait` longer, now.
+/// Relative times of three models at idle endpoints, and with an additional `wait` now.
 fn times(idle: [f64; 3], wait: f64) -> [Time; 3] {
     idle.map(|idle| Time { idle, now: idle + wait })
 }
@@ -91,20 +90,20 @@
 
 starts! {
     short_prompt_starts_small: ROOM, SHORT, 0.0 => 0;
-    // Nothing could correct the small model's answer.
+    // No further attempt could replace the small model's answer.
     single_attempt_starts_large: Room { attempts: 1, ..ROOM }, SHORT, 0.0 => 2;
     spent_allowance_starts_large: Room { allowance: false, ..ROOM }, SHORT, 0.0 => 2;
-    // A prompt of 40,000 tokens takes the large model most of the goal. Asked
-    // after the small one it would begin late for every second caller.
+    // A prompt of 40,000 tokens takes the large model most of the goal. If it were asked
+    // after the small one, half of the answers would be late.
     long_prompt_goes_to_the_large_model_at_once: ROOM, LONG, 0.0 => 2;
     long_prompt_starts_small_where_the_large_one_waits: ROOM, LONG, 0.1 => 0;
-    // Longer still: the middle one is right more often than the small one, and
-    // in time.
+    // For even longer prompts the middle model is in time, and right more often than the
+    // small one.
     longest_prompt_goes_to_the_largest_in_time: ROOM, LONGEST, 0.0 => 1;
     longest_prompt_starts_small_where_the_middle_one_waits: ROOM, LONGEST, 0.5 => 0;
-    // Half of the endpoints are gone and callers wait for a second. Taken for
-    // long prompts, all requests would go to the large model and make the
-    // crowd last: of 6,600 short checks on a heavy day 1,900 did.
+    // Half of the endpoints are lost and callers wait for a second. If all requests were
+    // treated as long prompts, they would go to the large model and prolong the overload:
+    // of 6,600 short checks under heavy load, 1,900 did.
     crowd_starts_small: ROOM, SHORT, 0.6 => 0;
     crowd_starts_small_without_allowance_too: Room { allowance: false, ..ROOM }, SHORT, 0.8 => 0;
 }
--- a/crates/route/tests/relay/main.rs
+++ b/crates/route/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! Decisions about requests that pass through, by the load they answer.
+//! Tests of the decisions about relayed requests.
 
 mod allowance;
 mod canary;
--- a/crates/route/tests/relay/notice.rs
+++ b/crates/route/tests/relay/notice.rs
@@ -1,4 +1,4 @@
-//! Long prompts told at once: what they amount to, and what telling costs.
+//! Notices of long prompts: the backlog that they add and the rate at which they are sent.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
     Duration::from_millis(ms)
 }
 
-/// Two long prompts come to an endpoint, the second while the first is being
-/// read. Nobody tells when they have been read: what is left melts by itself.
+/// An endpoint gets two long prompts, the second one while it processes the first. The
+/// backlog must shrink without a message about their completion.
 #[test]
 fn backlog_melts_as_it_is_read() {
     let mut backlog = Backlog::default();
@@ -20,7 +20,7 @@
     }
 }
 
-/// An endpoint that has been idle for long has saved up nothing.
+/// A long idle period of an endpoint must not reduce its later backlog.
 #[test]
 fn idle_time_does_not_count_against_later_prompts() {
     let mut backlog = Backlog::default();
@@ -29,15 +29,15 @@
     assert!((backlog.left_ms(ms(60_000)) - 100.0).abs() < 1e-3);
 }
 
-/// Notices that an instance among so many others tells within ten seconds when
-/// long prompts come without a pause.
+/// Counts the notices that an instance sends to `others` other instances within ten seconds
+/// when long prompts arrive continuously.
 fn told(others: usize) -> usize {
     let mut budget = Budget::new(ms(0));
     (0..10_000).filter(|&at| budget.spend(ms(at), LEAST_MS, false, others)).count()
 }
 
-/// A crowd of long prompts comes: what an instance sends for it stays bounded,
-/// whatever the size of the fleet.
+/// The number of datagrams that an instance sends for many long prompts must stay bounded
+/// for any fleet size.
 #[test]
 fn datagrams_stay_bounded_at_any_size() {
     for others in [1, 6, 60, 73, 750] {
--- a/crates/route/tests/relay/pace.rs
+++ b/crates/route/tests/relay/pace.rs
@@ -1,10 +1,10 @@
-//! Times to the first byte, learned from prompts of very different lengths.
+//! Estimates of first-byte times, learned from prompts of very different lengths.
 
 use route::relay::pace::Pace;
 
-/// Nearly all prompts are short and take 25 ms, whatever their length; one in
-/// fifty has 40,000 tokens and takes a second. A short prompt must not make
-/// the long one look like a minute, nor the long one the short ones.
+/// Nearly all prompts are short and take 25 ms regardless of length; one in fifty has
+/// 40,000 tokens and takes a second. Short prompts must not inflate the estimate for long
+/// ones to a minute, nor long prompts the estimate for short ones.
 #[test]
 fn short_prompts_do_not_inflate_long_ones() {
     let mut pace = Pace::new(15.0, 0.03);
--- a/crates/route/tests/relay/placement.rs
+++ b/crates/route/tests/relay/placement.rs
@@ -1,4 +1,4 @@
-//! Where work goes: to what an endpoint has read, until waiting costs more.
+//! Requests are placed at endpoints that hold their prefix until waiting there costs more.
 
 use route::relay::placement::{Candidate, Wanted, choose, sample};
 
@@ -37,10 +37,10 @@
     }
 }
 
-/// One part gets much of the traffic. Its holder is left as soon as waiting there
-/// costs more than copying the part elsewhere: 175 ms for 5,000 tokens. The next
-/// endpoint copies it and is a holder as well, so it spreads just as far as that
-/// pays, and nobody reads it again.
+/// A prefix is used by many requests. Its holder is no longer chosen once waiting there
+/// costs more than copying the prefix elsewhere: 175 ms for 5,000 tokens. The next endpoint
+/// copies the prefix and becomes a holder too, so the prefix spreads only as far as is
+/// worthwhile and is never processed again.
 #[test]
 fn hot_part_spreads_just_as_far_as_that_pays() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 150.0, shared_tokens: 5_000, first_ms: 60.0 };
@@ -59,10 +59,10 @@
     }
 }
 
-/// All callers resume their streams at once after a loss of all instances. One
-/// whose whole prompt is kept goes there though others are freer, until waiting
-/// there costs more than copying the shared part and reading the rest elsewhere;
-/// so does a prompt that shares nothing.
+/// All callers resume their streams at once after all instances were lost. A prompt that an
+/// endpoint holds entirely goes there even if other endpoints are less busy, until waiting
+/// there costs more than copying the shared prefix and processing the rest elsewhere. The
+/// same applies to a prompt without a shared prefix.
 #[test]
 fn prompt_that_is_kept_whole_goes_there() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 150.0, shared_tokens: 5_000, first_ms: 300.0 };
@@ -78,9 +78,9 @@
     }
 }
 
-/// A small model reads a shared part of 5,000 tokens in 15 ms. Its requests left
-/// what was read for them for any endpoint that was 45 ms less busy, and half of
-/// all shared parts were read again.
+/// A small model processes a shared prefix of 5,000 tokens in 15 ms. If only that time
+/// counted, its requests would leave the holder for any endpoint that is 45 ms less busy,
+/// and half of all shared prefixes would be processed again.
 #[test]
 fn small_models_stay_with_what_was_read_too() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 15.0, shared_tokens: 5_000, first_ms: 10.0 };
@@ -94,8 +94,8 @@
     assert!(elsewhere.index != first && elsewhere.source == Some(first));
 }
 
-/// A short shared part is read again sooner than its holder is waited for, and
-/// there is next to nothing to copy.
+/// A short shared prefix is processed again rather than waited for, and copying it saves
+/// almost nothing.
 #[test]
 fn short_part_waits_for_nobody() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 1.0, shared_tokens: 200, first_ms: 10.0 };
@@ -105,10 +105,10 @@
     assert_ne!(choose(&candidates, wanted, 0).unwrap().index, 2);
 }
 
-/// A part that nobody has read yet. It need not wait behind another prompt at
-/// the endpoint that its hash names: read anywhere else it costs the same. That
-/// endpoint is only taken while it is about as free as the others, since word
-/// of a reading there may have been lost.
+/// No endpoint holds the prefix yet. The request need not wait for the endpoint that the
+/// hash selects, since processing costs the same anywhere. That endpoint is chosen only
+/// while it is about as free as the others, since a notice that it holds the prefix may
+/// have been lost.
 #[test]
 fn part_that_nobody_has_read_does_not_wait_for_its_endpoint() {
     let mut candidates = idle();
@@ -121,8 +121,8 @@
     assert_eq!(choose(&candidates, shared(7), 0).unwrap().index, 3);
 }
 
-/// Two endpoints have read a hot part; its next request goes to the one where
-/// it waits less, whichever its hash names first.
+/// Two endpoints hold a prefix. The request goes to the one with the shorter wait,
+/// whichever the hash selects.
 #[test]
 fn hot_part_goes_to_the_freest_of_its_holders() {
     for (busy, free) in [(1, 4), (4, 1)] {
@@ -135,8 +135,8 @@
     }
 }
 
-/// Two in five endpoints are reading, and each instance was told so at once:
-/// nobody is placed behind a reading while others are free.
+/// Two in five endpoints are processing a prompt, and each instance was notified at once.
+/// Almost no request may be placed behind a prompt while other endpoints are free.
 #[test]
 fn reading_endpoints_are_passed_over_when_known_at_once() {
     let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
@@ -173,7 +173,7 @@
     busy_endpoint_is_avoided: |candidate| candidate.runs = 10.0;
     full_endpoint_is_avoided: |candidate| candidate.runs = 40.0;
     slow_endpoint_is_avoided: |candidate| candidate.slowness = 4.0;
-    // Its health probe is good, and it fails part of its requests.
+    // The health probe of the endpoint succeeds, but part of its requests fail.
     failing_endpoint_is_avoided: |candidate| candidate.failing = 0.3;
     far_endpoint_is_avoided: |candidate| candidate.local = false;
 }
@@ -188,9 +188,8 @@
     assert!(counts.iter().all(|&count| (60..150).contains(&count)), "{counts:?}");
 }
 
-/// A fleet of instances hears of each other's loads once a second. Between two
-/// news each places ten requests by what it heard last, and no instance may
-/// send them all to the one endpoint that looked idle: the others do the same.
+/// Instances exchange their loads once a second and place ten requests between two updates.
+/// They must not all send these to the one endpoint that looked idle.
 #[test]
 fn old_news_makes_no_herd() {
     let names: Vec<String> = (0..60).map(|n| format!("e{n}")).collect();
@@ -204,7 +203,7 @@
             (0..60).map(|n| Candidate { id: &names[n], local: local(n), runs: runs(n), ..IDLE }).collect();
         placed[choose(&candidates, plain, tie).unwrap().index] += 1;
     }
-    // 740 requests on 60 endpoints: some 12 each, and a few times that at most.
+    // 740 requests on 60 endpoints: about 12 each, and at most a few times that.
     assert!(placed.iter().all(|&count| count <= 60), "{placed:?}");
     assert!(placed.iter().all(|&count| count >= 1), "{placed:?}");
 }
@@ -214,8 +213,8 @@
     assert_eq!(choose(&[], shared(1), 0), None);
 }
 
-/// A decision among ten thousand endpoints looked at each of them, a millisecond's
-/// work for every request.
+/// Guards against examining each of ten thousand endpoints, which takes a millisecond per
+/// request.
 #[test]
 fn a_draw_looks_at_a_few_of_many() {
     for count in [1, 7, 100, 10_000] {
--- a/crates/route/tests/relay/quarantine.rs
+++ b/crates/route/tests/relay/quarantine.rs
@@ -17,7 +17,7 @@
     Finding::Crash { content, start }
 }
 
-/// A quarantine that has taken findings in, one a second.
+/// Applies findings at intervals of a second and returns the quarantine and the time.
 fn after(findings: &[Finding]) -> (Quarantine, Duration) {
     let mut quarantine = Quarantine::default();
     let mut now = LASTS * 5;
@@ -28,7 +28,8 @@
     (quarantine, now)
 }
 
-/// Names each case: findings, one a second, and whether the request is refused then.
+/// Each case has a name, findings applied at intervals of a second, and whether the request
+/// is refused afterwards.
 macro_rules! cases {
     ($($name:ident: $findings:expr => $refused:expr;)*) => {$(
         #[test]
@@ -71,8 +72,8 @@
     assert_eq!(quarantine.take(SECOND, Finding::EndedWell { content: OTHER }), Effect::None);
 }
 
-/// One request has runs at several endpoints that crash at the same moment: only a run
-/// that was sent after a crash shows that the next one is not the same.
+/// A request has runs at several endpoints that crash at the same moment. Only a run that
+/// was sent after a crash shows that its crash is a separate one.
 #[test]
 fn run_under_way_at_the_last_crash_tells_nothing_further() {
     let (mut quarantine, now) = after(&[crash(ONE, 1)]);
@@ -83,8 +84,8 @@
     assert!(quarantine.is_further(now + 2 * SECOND, ONE, now));
 }
 
-/// A popular request is under way at many endpoints when several crash together, for a
-/// reason of their own. It has ended well a moment ago and does so again elsewhere.
+/// A popular request runs at many endpoints when several crash together for another reason.
+/// It has completed a moment ago and does so again elsewhere.
 #[test]
 fn mass_crash_is_one_crash_to_a_request_that_ends_well() {
     let (mut quarantine, now) = after(&[Finding::EndedWell { content: ONE }]);
@@ -94,8 +95,8 @@
     assert_eq!(quarantine.refuses(now + SECOND, ONE), None);
 }
 
-/// A request that ended well until its endpoints got another version crashes one after
-/// the other.
+/// A request completed until its endpoints got another version, and now crashes one
+/// endpoint after the other.
 #[test]
 fn good_end_of_before_excuses_no_further_crashes() {
     let (mut quarantine, now) = after(&[Finding::EndedWell { content: ONE }]);
@@ -105,8 +106,8 @@
     assert!(quarantine.refuses(now + 6 * SECOND, ONE).is_some());
 }
 
-/// An instance that has not seen the request end well takes a mass crash for its fault,
-/// and goes on to say so until it is told.
+/// An instance that does not know that the request completed attributes a mass crash to it,
+/// and keeps reporting it as refused until it is notified.
 #[test]
 fn word_is_disproved_by_a_later_good_end() {
     let (mut quarantine, now) = after(&[Finding::EndedWell { content: ONE }]);
@@ -117,9 +118,9 @@
     assert_eq!(quarantine.take(now + SECOND, later), Effect::Held);
 }
 
-/// The words of two crashes were lost on the way and that of the third was not, a moment
-/// later than whoever refuses the request saw it. Its word, repeated with the news, makes
-/// up for them.
+/// The messages about two crashes were lost. The message about the third one arrived
+/// slightly later than the instance that refuses the request saw the crash. Its report that
+/// the request is refused, repeated with the load updates, makes up for the lost ones.
 #[test]
 fn word_holds_a_suspect_of_which_crashes_were_missed() {
     let (mut quarantine, now) = after(&[crash(ONE, 3)]);
@@ -127,8 +128,9 @@
     assert_eq!(quarantine.refuses(now, ONE), Some(LASTS));
 }
 
-/// Instances repeat to each other what they refuse, each word a moment older than it
-/// says. Taken as new, they would never end.
+/// Instances repeat to each other which requests they refuse, and each report is slightly
+/// older than it says. Treated as new crashes, the reports would extend the refusal
+/// forever.
 #[test]
 fn words_prolong_no_refusal() {
     let (mut quarantine, now) = after(&[crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)]);
@@ -139,8 +141,8 @@
     assert_eq!(quarantine.refuses(now + LASTS, ONE), None);
 }
 
-/// A request is not refused for good, or it never is again after its endpoints were
-/// mended; and not let in by the dozen, if they were not.
+/// A refusal ends, so that the request is accepted again after its endpoints were fixed. If
+/// they were not, a single crash renews it, so that it does not crash dozens of endpoints.
 #[test]
 fn refusal_lapses_into_probation() {
     let (mut quarantine, last) = after(&[crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)]);
@@ -153,7 +155,7 @@
     assert_eq!(mended.take(last + LASTS + SECOND, crash(ONE, 9)), Effect::Counted);
 }
 
-/// Crashes that are far apart have causes of their own.
+/// Crashes that are far apart have different causes.
 #[test]
 fn suspicion_lapses() {
     let (mut quarantine, last) = after(&[crash(ONE, 1), crash(ONE, 2)]);
@@ -163,8 +165,8 @@
     assert!(quarantine.refuses(last + LASTS, ONE).is_none());
 }
 
-/// Endpoints crash with thousands of runs, more than there is room for: what is
-/// refused stays refused, and memory is bounded.
+/// Endpoints crash with thousands of runs, more than there is room for. Refused requests
+/// must stay refused, and memory must stay bounded.
 #[test]
 fn mass_crash_pushes_no_refusal_out() {
     let (mut quarantine, now) = after(&[crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)]);
@@ -191,7 +193,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Instances that have heard the same crashes in different orders refuse the same.
+    /// Instances that learn of the same crashes in different orders refuse the same
+    /// requests.
     #[test]
     fn order_of_crashes_does_not_matter(
         starts in prop::collection::vec((0_u64..3, 0_u32..5), 0..12).prop_shuffle(),
--- a/crates/route/tests/relay/throttle.rs
+++ b/crates/route/tests/relay/throttle.rs
@@ -1,4 +1,4 @@
-//! Limits of endpoints, shared out among instances under a crowd.
+//! Rate limits of endpoints, divided among instances under overload.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
     (0..count).map(|number| hash::stable(&number.to_le_bytes())).collect()
 }
 
-/// Parts of each instance as it sees the others.
+/// Returns the parts of all instances, each computed from the others' names.
 fn shares(per_s: f64, endpoint: u32, names: &[u64]) -> Vec<Share> {
     let of = |me: &u64| share(per_s, endpoint, *me, names.iter().copied().filter(|name| name != me));
     names.iter().map(of).collect()
 }
 
-/// Requests that an endpoint gets from instances that each have one to send at any
-/// moment; `change` may set their parts anew.
+/// Returns the times of the requests that an endpoint gets from instances that always have
+/// one to send. `change` may replace their parts of the limit.
 fn crowd(per_s: f64, shares: &[Share], change: impl Fn(Duration) -> Option<Vec<Share>>) -> Vec<Duration> {
     let mut throttles = vec![Throttle::default(); shares.len()];
     for (throttle, share) in throttles.iter_mut().zip(shares) {
@@ -49,7 +49,7 @@
     sent
 }
 
-/// The most in any window of four seconds.
+/// Returns the largest number of requests in any window of four seconds.
 fn most(sent: &[Duration]) -> usize {
     let within = |from: &Duration| sent.iter().filter(|at| (*from..*from + WINDOW).contains(at)).count();
     sent.iter().map(within).max().unwrap_or_default()
@@ -67,15 +67,16 @@
         ..ProptestConfig::default()
     })]
 
-    /// Callers crowd all instances; the endpoint gets what it takes, and little more.
+    /// All instances have requests at any moment. The endpoint gets little more than its
+    /// limit.
     #[test]
     fn crowd_keeps_to_the_limit(per_s in 0.05..40.0_f64, count in 1_u64..300, endpoint in any::<u32>()) {
         let sent = crowd(per_s, &shares(per_s, endpoint, &names(count)), |_| None);
         prop_assert!(is_allowed(per_s, &sent), "{} of {per_s} a second", most(&sent));
     }
 
-    /// Instances are lost while others still count on them, and a sender takes the
-    /// place of another.
+    /// An instance is considered lost by the others while it keeps sending, so that another
+    /// sender takes its place.
     #[test]
     fn crowd_keeps_to_the_limit_while_a_sender_changes(
         per_s in 0.05..40.0_f64, count in 2_u64..60, endpoint in any::<u32>(), at in 0_u64..10_000,
@@ -83,14 +84,15 @@
         let names = names(count);
         let before = shares(per_s, endpoint, &names);
         let lost = shares(per_s, endpoint, &names[1..]);
-        // The first is not heard by the others, and goes on.
+        // The others receive no messages from the first instance, which continues with its
+        // part.
         let after: Vec<Share> = before[..1].iter().chain(&lost).copied().collect();
         let at = Duration::from_millis(at);
         let sent = crowd(per_s, &before, |since| (since >= at).then(|| after.clone()));
         prop_assert!(is_allowed(per_s, &sent), "{} of {per_s} a second", most(&sent));
     }
 
-    /// The limit is used, also by a fleet of hundreds.
+    /// The limit is used, even by a fleet of hundreds.
     #[test]
     fn limit_is_used(per_s in 1.0..40.0_f64, count in 1_u64..300, endpoint in any::<u32>()) {
         let sent = crowd(per_s, &shares(per_s, endpoint, &names(count)), |_| None);
@@ -123,7 +125,8 @@
     assert!(throttle.takes(START + 2 * SECOND));
 }
 
-/// An instance without a part tells its callers when another one takes the next.
+/// An instance without a part tells its callers when another instance may send the next
+/// request.
 #[test]
 fn wait_without_a_part_is_that_of_the_fleet() {
     let mut throttle = Throttle::default();
@@ -142,7 +145,8 @@
     assert_eq!(throttle.wait(START), Duration::from_mins(1));
 }
 
-/// An answer that was under way when the endpoint named its limit says nothing of it.
+/// An answer without a limit whose request was sent before the endpoint announced its limit
+/// does not end the limit.
 #[test]
 fn older_word_changes_nothing() {
     let mut throttle = Throttle::default();
@@ -153,8 +157,8 @@
     assert_eq!(throttle.limit(START + 3 * SECOND), None);
 }
 
-/// Nobody has asked the endpoint for long; to find out whether it is well again
-/// somebody has to.
+/// If no request was sent to the endpoint for a long time, the limit expires, so that some
+/// request can find out whether the endpoint has recovered.
 #[test]
 fn limit_lapses() {
     let mut throttle = Throttle::default();
