--- a/crates/route/src/address.rs
+++ b/crates/route/src/address.rs
@@ -27,12 +27,12 @@
     pub keep_ms: Millis,
     /// Time for which callers may cache an answer that contains a suspect instance, in
     /// milliseconds.
-    pub unsettled_keep_ms: Millis,
+    pub suspect_keep_ms: Millis,
 }
 
 impl Default for Policy {
     fn default() -> Self {
-        Self { min: 3, load_per_instance: 64.0, keep_ms: 10_000, unsettled_keep_ms: 2_000 }
+        Self { min: 3, load_per_instance: 64.0, keep_ms: 10_000, suspect_keep_ms: 2_000 }
     }
 }
 
@@ -68,11 +68,11 @@
     let order = order_key(caller);
     set.sort_by_cached_key(|instance| {
         let suspect = instance.state == State::Suspect;
-        let away = caller.domain.is_some_and(|domain| *domain != instance.domain);
-        (suspect, away, std::cmp::Reverse(weight(order, instance)))
+        let is_remote = caller.domain.is_some_and(|domain| *domain != instance.domain);
+        (suspect, is_remote, std::cmp::Reverse(rendezvous_weight(order, instance)))
     });
-    let settled = set.iter().all(|instance| instance.state == State::Live);
-    let keep_ms = if settled { policy.keep_ms } else { policy.unsettled_keep_ms };
+    let all_live = set.iter().all(|instance| instance.state == State::Live);
+    let keep_ms = if all_live { policy.keep_ms } else { policy.suspect_keep_ms };
     List { instances: set, keep_ms }
 }
 
@@ -80,19 +80,19 @@
 fn set<'a>(policy: &Policy, instances: &'a [Instance], caller: &Caller<'_>) -> Vec<&'a Instance> {
     let key = hash::stable(caller.customer.as_str().as_bytes());
     let mut ranked: Vec<_> = instances.iter().filter(|i| matches!(i.state, State::Live | State::Suspect)).collect();
-    ranked.sort_by_cached_key(|instance| std::cmp::Reverse(weight(key, instance)));
+    ranked.sort_by_cached_key(|instance| std::cmp::Reverse(rendezvous_weight(key, instance)));
     let wanted = size(policy, caller.load).min(ranked.len());
     let mut chosen: Vec<&Instance> = Vec::with_capacity(wanted);
-    let mut rounds = 1;
+    let mut max_per_domain = 1;
     while chosen.len() < wanted {
         for instance in &ranked {
-            let same = chosen.iter().filter(|c| c.domain == instance.domain).count();
+            let same_domain = chosen.iter().filter(|c| c.domain == instance.domain).count();
             let taken = chosen.iter().any(|c| c.id == instance.id);
-            if !taken && same < rounds && chosen.len() < wanted {
+            if !taken && same_domain < max_per_domain && chosen.len() < wanted {
                 chosen.push(instance);
             }
         }
-        rounds += 1;
+        max_per_domain += 1;
     }
     chosen
 }
@@ -116,6 +116,6 @@
 }
 
 /// Returns the rendezvous weight of an instance for a key.
-fn weight(key: u64, instance: &Instance) -> u64 {
+fn rendezvous_weight(key: u64, instance: &Instance) -> u64 {
     hash::rendezvous(key, instance.id.as_str().as_bytes())
 }
--- a/crates/route/src/endpoint.rs
+++ b/crates/route/src/endpoint.rs
@@ -29,7 +29,7 @@
 
 pub use health::Failure;
 pub use message::{Choice, Event, Peer, Refusal, Report, Rule, Target, Wanted};
-use server::{Field, Server};
+use server::{LoadEstimator, Server};
 use subset::Subset;
 
 slotmap::new_key_type! {
@@ -51,7 +51,7 @@
 pub struct Fleet {
     me: Peer,
     servers: SlotMap<Key, Server>,
-    names: HashMap<endpoint::Id, Key>,
+    keys_by_id: HashMap<endpoint::Id, Key>,
     targets: HashMap<Target, Subset>,
     holders: HashMap<u64, Key>,
     instances: usize,
@@ -64,7 +64,7 @@
         Self {
             me,
             servers: SlotMap::with_key(),
-            names: HashMap::new(),
+            keys_by_id: HashMap::new(),
             targets: HashMap::new(),
             holders: HashMap::new(),
             instances: 1,
@@ -81,10 +81,10 @@
         self.instances = instances.len().max(1);
         let mut targets = HashMap::new();
         let mut kept = HashMap::new();
-        for (target, endpoints) in served(catalog) {
+        for (target, endpoints) in served_targets(catalog) {
             let chosen = ranks.subset(&self.me.domain, endpoints);
             let members = chosen.into_iter().map(|endpoint| {
-                let key = *kept.entry(endpoint.id.clone()).or_insert_with(|| self.keep(endpoint));
+                let key = *kept.entry(endpoint.id.clone()).or_insert_with(|| self.get_or_insert(endpoint));
                 subset::Member {
                     key,
                     hash: hash::stable(endpoint.id.as_str().as_bytes()),
@@ -95,7 +95,7 @@
             targets.insert(target, subset);
         }
         self.servers.retain(|_, server| kept.contains_key(&server.endpoint.id));
-        self.names = kept;
+        self.keys_by_id = kept;
         self.targets = targets;
         let servers = &self.servers;
         self.holders.retain(|_, key| servers.contains_key(*key));
@@ -104,21 +104,21 @@
     /// Updates the state with an event.
     pub fn on(&mut self, event: Event<'_>, now: Timestamp) {
         match event {
-            Event::Dispatched(key) => self.with(key, |server| server.dispatched(now)),
-            Event::Cancelled(key) => self.with(key, |server| server.ended(now)),
-            Event::Finished { key, target, millis, tokens } => self.finished(key, target, millis, tokens, now),
-            Event::Failed { key, target, failure } => self.failed(key, target, failure, now),
-            Event::Load { endpoint, report } => self.load(endpoint, &report),
-            Event::Stored { endpoint, prefix } => self.stored(endpoint, prefix),
+            Event::Dispatched(key) => self.update(key, |server| server.record_dispatch(now)),
+            Event::Cancelled(key) => self.update(key, |server| server.record_end(now)),
+            Event::Finished { key, target, millis, tokens } => self.on_finished(key, target, millis, tokens, now),
+            Event::Failed { key, target, failure } => self.on_failed(key, target, failure, now),
+            Event::Load { endpoint, report } => self.on_load(endpoint, &report),
+            Event::Stored { endpoint, prefix } => self.on_stored(endpoint, prefix),
             Event::Evicted { endpoint, prefix } => {
-                let key = self.names.get(endpoint).copied();
+                let key = self.keys_by_id.get(endpoint).copied();
                 if self.holders.get(&prefix).copied() == key {
                     self.holders.remove(&prefix);
                 }
             }
             Event::Leaving { endpoint, leaving } => {
                 if let Some(key) = self.key(endpoint) {
-                    self.with(key, |server| server.leaving = leaving);
+                    self.update(key, |server| server.leaving = leaving);
                 }
             }
         }
@@ -134,13 +134,13 @@
         if subset.members.is_empty() {
             return Err(Refusal::NoPool);
         }
-        self.weighed(subset, wanted, now).ok_or(Refusal::NoneLeft)
+        self.choose_from(subset, wanted, now).ok_or(Refusal::NoneLeft)
     }
 
     /// Returns the key of an endpoint in this instance's subset.
     #[must_use]
     pub fn key(&self, endpoint: &endpoint::Id) -> Option<Key> {
-        self.names.get(endpoint).copied()
+        self.keys_by_id.get(endpoint).copied()
     }
 
     /// Returns an endpoint by its key.
@@ -169,34 +169,34 @@
         keys.sort_unstable();
         keys.dedup();
         let run_ms = subsets.iter().map(|subset| subset.run_ms()).fold(1.0, f64::max);
-        let fit = |key: &Key| self.servers.get(*key).filter(|s| !s.leaving && !s.health.ejected(now));
-        let seen: Vec<_> = keys.iter().filter_map(fit).map(Server::seen).collect();
+        let usable = |key: &Key| self.servers.get(*key).filter(|s| !s.leaving && !s.health.is_ejected(now));
+        let snapshots: Vec<_> = keys.iter().filter_map(usable).map(Server::load_snapshot).collect();
 
-        let field = Field::of(seen.iter(), run_ms, self.instances);
+        let estimator = LoadEstimator::of(snapshots.iter(), run_ms, self.instances);
         let (mut own, mut others, mut slots) = (0.0, 0.0, 0.0);
-        for server in &seen {
+        for server in &snapshots {
             own += server.own;
-            others += server.others_now(&field, now);
+            others += server.estimate_others(&estimator, now);
             slots += server.slots * HEADROOM;
         }
-        let even = slots / f64::from(u32::try_from(self.instances).unwrap_or(u32::MAX));
-        let part = if own + others > 0.0 { own / (own + others) } else { 1.0 };
+        let equal_share = slots / f64::from(u32::try_from(self.instances).unwrap_or(u32::MAX));
+        let own_share = if own + others > 0.0 { own / (own + others) } else { 1.0 };
         // Negative if the endpoints are overfull. The instances with the most runs then
         // give back the most, so that an instance with a new customer gets its equal part.
         let free = slots - own - others;
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "slots are few and positive")]
-        let limit = part.mul_add(free, own).max(even).max(1.0).round() as u32;
+        let limit = own_share.mul_add(free, own).max(equal_share).max(1.0).round() as u32;
         limit
     }
 
-    fn with(&mut self, key: Key, change: impl FnOnce(&mut Server)) {
+    fn update(&mut self, key: Key, change: impl FnOnce(&mut Server)) {
         if let Some(server) = self.servers.get_mut(key) {
             change(server);
         }
     }
 
-    fn keep(&mut self, endpoint: &Endpoint) -> Key {
-        match self.names.get(&endpoint.id) {
+    fn get_or_insert(&mut self, endpoint: &Endpoint) -> Key {
+        match self.keys_by_id.get(&endpoint.id) {
             Some(key) if self.servers.contains_key(*key) => {
                 self.servers[*key].endpoint = endpoint.clone();
                 *key
@@ -205,29 +205,29 @@
         }
     }
 
-    fn finished(&mut self, key: Key, target: &Target, millis: Millis, tokens: u32, now: Timestamp) {
+    fn on_finished(&mut self, key: Key, target: &Target, millis: Millis, tokens: u32, now: Timestamp) {
         let Some(subset) = self.targets.get_mut(target) else {
-            self.with(key, |server| server.ended(now));
+            self.update(key, |server| server.record_end(now));
             return;
         };
-        let pace = subset.observe(millis, tokens);
+        let slowness = subset.observe_run(millis, tokens);
         let may_eject = self.may_eject(target, now);
-        self.with(key, |server| {
-            server.ended(now);
-            server.health.finished(pace, may_eject, now);
+        self.update(key, |server| {
+            server.record_end(now);
+            server.health.record_success(slowness, may_eject, now);
         });
     }
 
-    fn failed(&mut self, key: Key, target: &Target, failure: Failure, now: Timestamp) {
+    fn on_failed(&mut self, key: Key, target: &Target, failure: Failure, now: Timestamp) {
         if failure == Failure::NotLoaded
             && let Some(subset) = self.targets.get_mut(target)
         {
-            subset.absent(key, now);
+            subset.mark_absent(key, now);
         }
         let may_eject = self.may_eject(target, now);
-        self.with(key, |server| {
-            server.ended(now);
-            server.health.failed(failure, may_eject, now);
+        self.update(key, |server| {
+            server.record_end(now);
+            server.health.record_failure(failure, may_eject, now);
         });
     }
 
@@ -238,23 +238,24 @@
     /// left and overload those too.
     fn may_eject(&self, target: &Target, now: Timestamp) -> bool {
         let Some(subset) = self.targets.get(target) else { return false };
-        let ejected = subset.members.iter().filter(|m| self.servers.get(m.key).is_some_and(|s| s.health.ejected(now)));
+        let ejected =
+            subset.members.iter().filter(|m| self.servers.get(m.key).is_some_and(|s| s.health.is_ejected(now)));
         let after = u32::try_from(ejected.count()).unwrap_or(u32::MAX).saturating_add(1);
         f64::from(after) <= MAX_EJECTED * f64::from(u32::try_from(subset.members.len()).unwrap_or(u32::MAX))
     }
 
-    fn load(&mut self, endpoint: &endpoint::Id, report: &Report<'_>) {
+    fn on_load(&mut self, endpoint: &endpoint::Id, report: &Report<'_>) {
         let Some(key) = self.key(endpoint) else { return };
-        self.with(key, |server| server.report(report));
+        self.update(key, |server| server.apply_report(report));
         let Some(loaded) = report.loaded else { return };
         for (target, subset) in &mut self.targets {
             if let Target::Version(version) = target {
-                subset.loaded(key, loaded.contains(version));
+                subset.set_loaded(key, loaded.contains(version));
             }
         }
     }
 
-    fn stored(&mut self, endpoint: &endpoint::Id, prefix: u64) {
+    fn on_stored(&mut self, endpoint: &endpoint::Id, prefix: u64) {
         let Some(key) = self.key(endpoint) else { return };
         // Events may be late or missing. Dropping all holders only reduces cache hits for a
         // while and never affects correctness, so the limit does not need an eviction
@@ -267,7 +268,7 @@
 }
 
 /// Returns the targets of a catalog that have endpoints, with their endpoints.
-fn served(catalog: &Catalog) -> impl Iterator<Item = (Target, &[Endpoint])> {
+fn served_targets(catalog: &Catalog) -> impl Iterator<Item = (Target, &[Endpoint])> {
     let versions = catalog.models().iter().flat_map(|(id, model)| {
         model.versions.iter().map(|release| Version { model: id.clone(), number: release.version.clone() })
     });
--- a/crates/route/src/endpoint/server.rs
+++ b/crates/route/src/endpoint/server.rs
@@ -10,11 +10,11 @@
 /// report.
 const HISTORY_MS: Millis = 5_000;
 /// Time resolution of that history.
-const GRAIN_MS: Millis = 50;
+const HISTORY_RESOLUTION_MS: Millis = 50;
 /// Maximum number of runs that each other instance is assumed to send per own run.
-const MAX_RATIO: f64 = 2.0;
+const MAX_SENT_RATIO: f64 = 2.0;
 /// Minimum age of a report, as a multiple of a run's duration.
-const LEAST_AGE: f64 = 0.01;
+const MIN_AGE_RUNS: f64 = 0.01;
 
 /// State of one endpoint.
 #[derive(Debug)]
@@ -27,9 +27,9 @@
     /// Runs that this instance has sent in total, wrapping around.
     sent: u32,
     /// Active runs of this instance at the last report.
-    own_then: f64,
+    own_at_report: f64,
     /// Runs that this instance had sent in total at the last report.
-    sent_then: u32,
+    sent_at_report: u32,
     /// Recent history of `own` and `sent`, oldest first.
     history: VecDeque<Sample>,
     /// Active runs of other instances at the last report.
@@ -40,11 +40,11 @@
 
 /// Snapshot of an endpoint's known load.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Seen {
+pub(super) struct LoadSnapshot {
     /// Active runs of this instance.
     pub own: f64,
     /// Active runs of this instance at the last report.
-    pub own_then: f64,
+    pub own_at_report: f64,
     /// Active runs of other instances at the last report.
     pub others: f64,
     /// Runs that this instance has sent since the last report.
@@ -57,26 +57,26 @@
 
 /// Estimates over all endpoints that are considered together.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Field {
+pub(super) struct LoadEstimator {
     /// Runs of other instances per own run, at the time of the reports.
     ratio: f64,
     /// Duration of a run in a batch, in milliseconds.
     run_ms: f64,
 }
 
-impl Field {
-    pub fn of<'a>(seen: impl Iterator<Item = &'a Seen>, run_ms: f64, instances: usize) -> Self {
+impl LoadEstimator {
+    pub fn of<'a>(snapshots: impl Iterator<Item = &'a LoadSnapshot>, run_ms: f64, instances: usize) -> Self {
         let (mut others, mut own) = (0.0, 0.0);
-        for server in seen {
+        for server in snapshots {
             others += server.others;
-            own += server.own_then;
+            own += server.own_at_report;
         }
         let peers = f64::from(u32::try_from(instances.saturating_sub(1)).unwrap_or(u32::MAX));
-        Self { ratio: (others / f64::max(own, 1.0)).min(MAX_RATIO * peers), run_ms }
+        Self { ratio: (others / f64::max(own, 1.0)).min(MAX_SENT_RATIO * peers), run_ms }
     }
 }
 
-impl Seen {
+impl LoadSnapshot {
     /// Estimates the current number of active runs of other instances.
     ///
     /// Some of the reported runs have ended, at the rate at which the batch completes. Runs
@@ -85,18 +85,18 @@
     /// proportion to this instance. Without that estimate every instance would see the same
     /// idle endpoint for the two seconds that a report is old, and all of them would fill
     /// it.
-    pub fn others_now(&self, field: &Field, now: Timestamp) -> f64 {
+    pub fn estimate_others(&self, estimator: &LoadEstimator, now: Timestamp) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "an age is far below 2^52 milliseconds")]
         let age_ms = now.since(self.as_of) as f64;
-        let runs = (age_ms / field.run_ms).max(LEAST_AGE);
-        let faded = (-runs).exp();
-        let then = self.own_then + self.others;
-        let came = field.ratio * self.sent;
-        if then <= self.slots {
-            return self.others * faded + came * (1.0 - faded) / runs;
+        let runs = (age_ms / estimator.run_ms).max(MIN_AGE_RUNS);
+        let decayed = (-runs).exp();
+        let total_at_report = self.own_at_report + self.others;
+        let arrived = estimator.ratio * self.sent;
+        if total_at_report <= self.slots {
+            return self.others * decayed + arrived * (1.0 - decayed) / runs;
         }
-        let left = ((then - self.slots * runs) / then).max(faded);
-        self.others * left + came
+        let left = ((total_at_report - self.slots * runs) / total_at_report).max(decayed);
+        self.others * left + arrived
     }
 }
 
@@ -116,66 +116,66 @@
             leaving: false,
             own: 0,
             sent: 0,
-            own_then: 0.0,
-            sent_then: 0,
+            own_at_report: 0.0,
+            sent_at_report: 0,
             history: VecDeque::new(),
             others: 0.0,
             as_of: Timestamp(0),
         }
     }
 
-    pub fn dispatched(&mut self, now: Timestamp) {
+    pub fn record_dispatch(&mut self, now: Timestamp) {
         self.own += 1;
         self.sent = self.sent.wrapping_add(1);
-        self.remember(now);
+        self.record_sample(now);
     }
 
-    pub fn ended(&mut self, now: Timestamp) {
+    pub fn record_end(&mut self, now: Timestamp) {
         self.own = self.own.saturating_sub(1);
-        self.remember(now);
+        self.record_sample(now);
     }
 
     /// Applies a report. All reported runs that are not own runs belong to other instances.
     ///
     /// The number of own runs is always known exactly, so only the others' part is as old
     /// as the report.
-    pub fn report(&mut self, report: &Report<'_>) {
+    pub fn apply_report(&mut self, report: &Report<'_>) {
         if report.as_of < self.as_of {
             return;
         }
         self.as_of = report.as_of;
         let total = report.running.saturating_add(report.queued);
-        let then = self.at(report.as_of);
-        self.own_then = f64::from(then.own);
-        self.sent_then = then.sent;
-        self.others = f64::from(total.saturating_sub(then.own));
+        let at_report = self.sample_at(report.as_of);
+        self.own_at_report = f64::from(at_report.own);
+        self.sent_at_report = at_report.sent;
+        self.others = f64::from(total.saturating_sub(at_report.own));
         if report.slots > 0 {
             self.endpoint.slots = report.slots;
         }
     }
 
     /// Returns the load data that a choice needs.
-    pub fn seen(&self) -> Seen {
-        Seen {
+    pub fn load_snapshot(&self) -> LoadSnapshot {
+        LoadSnapshot {
             own: f64::from(self.own),
-            own_then: self.own_then,
+            own_at_report: self.own_at_report,
             others: self.others,
-            sent: f64::from(self.sent.wrapping_sub(self.sent_then)),
+            sent: f64::from(self.sent.wrapping_sub(self.sent_at_report)),
             as_of: self.as_of,
             slots: f64::from(self.endpoint.slots.max(1)),
         }
     }
 
     /// Returns the sample that was valid at a time.
-    fn at(&self, time: Timestamp) -> Sample {
-        let held = self.history.iter().rev().find(|sample| sample.from <= time).or(self.history.front());
-        held.copied().unwrap_or(Sample { from: time, own: self.own, sent: self.sent })
+    fn sample_at(&self, time: Timestamp) -> Sample {
+        let found = self.history.iter().rev().find(|sample| sample.from <= time).or(self.history.front());
+        found.copied().unwrap_or(Sample { from: time, own: self.own, sent: self.sent })
     }
 
     /// Adds the current numbers of own runs to the history.
-    fn remember(&mut self, now: Timestamp) {
+    fn record_sample(&mut self, now: Timestamp) {
         match self.history.back_mut() {
-            Some(last) if now.since(last.from) < GRAIN_MS => (last.own, last.sent) = (self.own, self.sent),
+            Some(last) if now.since(last.from) < HISTORY_RESOLUTION_MS => (last.own, last.sent) = (self.own, self.sent),
             _ => self.history.push_back(Sample { from: now, own: self.own, sent: self.sent }),
         }
         // Keep the newest sample that is older than the horizon, since it is valid at the
--- a/crates/route/src/endpoint/subset.rs
+++ b/crates/route/src/endpoint/subset.rs
@@ -13,18 +13,18 @@
 use super::{Key, Peer};
 
 /// Number of a target's endpoints used in the instance's own failure domain.
-const LOCAL: usize = 24;
+const LOCAL_ENDPOINTS: usize = 24;
 /// Number of a target's endpoints used in any failure domain.
-const ANYWHERE: usize = 8;
+const ANY_DOMAIN_ENDPOINTS: usize = 8;
 /// Time for which an endpoint that answered "not loaded" is skipped.
-const ABSENT_MS: Millis = 2_000;
+const NOT_LOADED_MS: Millis = 2_000;
 /// Weight of the newest run in the typical time per token.
-const STEP: f64 = 0.02;
+const PACE_STEP: f64 = 0.02;
 
 /// Relative step by which the estimated run duration follows each run.
-const RUN_STEP: f64 = 0.005;
+const RUN_MS_STEP: f64 = 0.005;
 /// Estimated run duration before the first run has ended.
-const BLANK_RUN_MS: f64 = 1_000.0;
+const INITIAL_RUN_MS: f64 = 1_000.0;
 
 /// One endpoint of a subset.
 #[derive(Debug, Clone, Copy)]
@@ -39,34 +39,39 @@
 pub(super) struct Subset {
     pub members: Vec<Member>,
     /// Endpoints without the target, and the time until which they are skipped.
-    absent: HashMap<Key, Timestamp>,
+    absent_until: HashMap<Key, Timestamp>,
     /// Typical time per output token, in milliseconds.
-    pace: Option<f64>,
+    typical_ms_per_token: Option<f64>,
     /// Estimated duration of a run in a batch, in milliseconds.
     run_ms: f64,
 }
 
 impl Subset {
     pub fn new(members: Vec<Member>, before: Option<&Self>) -> Self {
-        let absent = before.map(|b| b.absent.clone()).unwrap_or_default();
-        Self { members, absent, pace: before.and_then(|b| b.pace), run_ms: before.map_or(BLANK_RUN_MS, |b| b.run_ms) }
+        let absent_until = before.map(|b| b.absent_until.clone()).unwrap_or_default();
+        Self {
+            members,
+            absent_until,
+            typical_ms_per_token: before.and_then(|b| b.typical_ms_per_token),
+            run_ms: before.map_or(INITIAL_RUN_MS, |b| b.run_ms),
+        }
     }
 
     /// Records the duration of a run and returns its time per token relative to the typical
     /// one.
-    pub fn observe(&mut self, millis: Millis, tokens: u32) -> f64 {
+    pub fn observe_run(&mut self, millis: Millis, tokens: u32) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "run times are far below 2^52 milliseconds")]
         let millis = millis.max(1) as f64;
-        let pace = millis / f64::from(tokens.max(1));
+        let ms_per_token = millis / f64::from(tokens.max(1));
         // Tracks the lower quartile, because waits in an engine's queue must not count as
         // time in its batch.
-        let step = if millis < self.run_ms { -3.0 * RUN_STEP } else { RUN_STEP };
+        let step = if millis < self.run_ms { -3.0 * RUN_MS_STEP } else { RUN_MS_STEP };
         self.run_ms *= 1.0 + step;
-        let typical = self.pace.get_or_insert(pace);
+        let typical = self.typical_ms_per_token.get_or_insert(ms_per_token);
         // Averages logarithms, so that one run that hung for minutes does not make every
         // slow endpoint look typical.
-        *typical = (STEP.mul_add(pace.ln() - typical.ln(), typical.ln())).exp();
-        pace / *typical
+        *typical = (PACE_STEP.mul_add(ms_per_token.ln() - typical.ln(), typical.ln())).exp();
+        ms_per_token / *typical
     }
 
     /// Returns the estimated duration of a run in a batch, in milliseconds.
@@ -75,21 +80,21 @@
     }
 
     /// Skips an endpoint that answered that it does not have the target loaded.
-    pub fn absent(&mut self, key: Key, now: Timestamp) {
-        self.absent.insert(key, now.plus(ABSENT_MS));
+    pub fn mark_absent(&mut self, key: Key, now: Timestamp) {
+        self.absent_until.insert(key, now.plus(NOT_LOADED_MS));
     }
 
     /// Records whether an endpoint reports the target as loaded.
-    pub fn loaded(&mut self, key: Key, loaded: bool) {
-        if loaded {
-            self.absent.remove(&key);
+    pub fn set_loaded(&mut self, key: Key, is_loaded: bool) {
+        if is_loaded {
+            self.absent_until.remove(&key);
         } else if self.members.iter().any(|member| member.key == key) {
-            self.absent.insert(key, Timestamp(u64::MAX));
+            self.absent_until.insert(key, Timestamp(u64::MAX));
         }
     }
 
     pub fn is_absent(&self, key: Key, now: Timestamp) -> bool {
-        !self.absent.is_empty() && self.absent.get(&key).is_some_and(|until| now < *until)
+        !self.absent_until.is_empty() && self.absent_until.get(&key).is_some_and(|until| now < *until)
     }
 }
 
@@ -100,11 +105,11 @@
     all: Rank,
 }
 
-/// Zero-based rank `at` among `of` instances.
+/// Zero-based rank `index` among `total` instances.
 #[derive(Debug, Clone, Copy)]
 struct Rank {
-    at: usize,
-    of: usize,
+    index: usize,
+    total: usize,
 }
 
 impl Ranks {
@@ -120,10 +125,10 @@
     /// lost.
     pub fn subset<'a>(&self, domain: &Domain, endpoints: &'a [Endpoint]) -> Vec<&'a Endpoint> {
         let local = endpoints.iter().filter(|endpoint| endpoint.domain == *domain).collect();
-        let mut subset = run(local, self.local, LOCAL);
-        let spare = LOCAL - subset.len().min(LOCAL);
-        for endpoint in run(endpoints.iter().collect(), self.all, ANYWHERE + spare) {
-            if !subset.iter().any(|held| std::ptr::eq(*held, endpoint)) {
+        let mut subset = endpoint_range(local, self.local, LOCAL_ENDPOINTS);
+        let spare = LOCAL_ENDPOINTS - subset.len().min(LOCAL_ENDPOINTS);
+        for endpoint in endpoint_range(endpoints.iter().collect(), self.all, ANY_DOMAIN_ENDPOINTS + spare) {
+            if !subset.iter().any(|selected| std::ptr::eq(*selected, endpoint)) {
                 subset.push(endpoint);
             }
         }
@@ -132,12 +137,12 @@
 }
 
 fn rank<'a>(me: &Peer, others: impl Iterator<Item = &'a Peer>) -> Rank {
-    let place = |peer: &Peer| (hash::stable(peer.id.as_str().as_bytes()), peer.id.clone());
-    let mine = place(me);
-    let mut rank = Rank { at: 0, of: 1 };
+    let sort_key = |peer: &Peer| (hash::stable(peer.id.as_str().as_bytes()), peer.id.clone());
+    let own_key = sort_key(me);
+    let mut rank = Rank { index: 0, total: 1 };
     for peer in others.filter(|peer| peer.id != me.id) {
-        rank.of += 1;
-        rank.at += usize::from(place(peer) < mine);
+        rank.total += 1;
+        rank.index += usize::from(sort_key(peer) < own_key);
     }
     rank
 }
@@ -146,19 +151,19 @@
 ///
 /// If the ranges of all instances would leave some endpoints out, they are extended until
 /// they touch.
-fn run(mut endpoints: Vec<&Endpoint>, rank: Rank, most: usize) -> Vec<&Endpoint> {
+fn endpoint_range(mut endpoints: Vec<&Endpoint>, rank: Rank, preferred_len: usize) -> Vec<&Endpoint> {
     let count = endpoints.len();
-    let wanted = most.max(count.div_ceil(rank.of));
+    let wanted = preferred_len.max(count.div_ceil(rank.total));
     if count <= wanted {
         return endpoints;
     }
     endpoints.sort_unstable_by_key(|endpoint| hash::stable(endpoint.id.as_str().as_bytes()));
-    let start = rank.at * count / rank.of;
+    let start = rank.index * count / rank.total;
     (start..start + wanted).map(|position| endpoints[position % count]).collect()
 }
 
 /// Returns the rendezvous weight of an endpoint for a prefix. The highest weight is
 /// preferred.
-pub(super) fn weight(prefix: u64, endpoint: u64) -> u64 {
+pub(super) fn rendezvous_weight(prefix: u64, endpoint: u64) -> u64 {
     hash::rendezvous(prefix, &endpoint.to_le_bytes())
 }
--- a/crates/route/src/relay/allowance.rs
+++ b/crates/route/src/relay/allowance.rs
@@ -10,7 +10,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 /// Number of slices a window is counted in. More would only reduce the rounding error.
-const SLICES: u32 = 20;
+const SLICES_PER_WINDOW: u32 = 20;
 
 /// Limit on extra dispatches.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -34,10 +34,10 @@
 
 /// Part of the bound that is used. The rest covers windows that cut through two slices and
 /// instances that are miscounted while the membership changes.
-const USED: f64 = 0.85;
+const USABLE_FRACTION: f64 = 0.85;
 
 /// Part of the usable bound that is reserved for retries and not available to escalations.
-const FOR_REPAIRS: f64 = 0.12;
+const RETRY_RESERVE: f64 = 0.12;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Slice {
@@ -62,7 +62,7 @@
 
     /// Counts the first dispatch of a request.
     pub fn earn(&mut self, now: Duration) {
-        self.slice(now).firsts += 1.0;
+        self.current_slice(now).firsts += 1.0;
     }
 
     /// Counts an extra dispatch if the bound allows it, and returns whether it does.
@@ -72,28 +72,28 @@
         if self.left(now, members, purpose) < 1.0 {
             return false;
         }
-        self.slice(now).extras += 1.0;
+        self.current_slice(now).extras += 1.0;
         true
     }
 
     /// Returns the number of extra dispatches that the bound still allows.
     #[must_use]
     pub fn left(&mut self, now: Duration, members: usize, purpose: Purpose) -> f64 {
-        self.slice(now);
+        self.current_slice(now);
         let firsts: f64 = self.slices.iter().map(|slice| slice.firsts).sum();
         let extras: f64 = self.slices.iter().map(|slice| slice.extras).sum();
         #[expect(clippy::cast_precision_loss, reason = "instances are far fewer than 2^53")]
         let members = members.max(1) as f64;
-        let bound = USED * (self.policy.ratio * firsts + self.policy.reserve / members);
+        let bound = USABLE_FRACTION * (self.policy.ratio * firsts + self.policy.reserve / members);
         match purpose {
             Purpose::Repair => bound - extras,
-            Purpose::Escalation => bound * (1.0 - FOR_REPAIRS) - extras,
+            Purpose::Escalation => bound * (1.0 - RETRY_RESERVE) - extras,
         }
     }
 
-    fn slice(&mut self, now: Duration) -> &mut Slice {
-        let number = self.number(now);
-        let oldest = number.saturating_sub(u64::from(SLICES));
+    fn current_slice(&mut self, now: Duration) -> &mut Slice {
+        let number = self.slice_number(now);
+        let oldest = number.saturating_sub(u64::from(SLICES_PER_WINDOW));
         while self.slices.front().is_some_and(|slice| slice.number < oldest) {
             self.slices.pop_front();
         }
@@ -103,8 +103,8 @@
         self.slices.back_mut().expect("a slice was pushed if there was none")
     }
 
-    fn number(&self, now: Duration) -> u64 {
-        let slice = (self.policy.window / SLICES).max(Duration::from_millis(1));
+    fn slice_number(&self, now: Duration) -> u64 {
+        let slice = (self.policy.window / SLICES_PER_WINDOW).max(Duration::from_millis(1));
         u64::try_from(now.as_nanos() / slice.as_nanos()).unwrap_or(u64::MAX)
     }
 }
--- a/crates/route/src/relay/canary.rs
+++ b/crates/route/src/relay/canary.rs
@@ -13,25 +13,25 @@
 /// Share of sessions that are sent to a version on trial, relative to the exposure allowed.
 /// Retries and small services may raise the share of dispatches above the share of
 /// sessions.
-const TRIAL_OF_EXPOSURE: f64 = 0.4;
+const TRIAL_SHARE_OF_EXPOSURE: f64 = 0.4;
 
 /// Delay between the order to roll out and the start of the trial. By then each instance
 /// has received the list of sessions that use the old version at the other instances.
-const HEARSAY: Duration = Duration::from_millis(1_500);
+const TRIAL_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Fraction of the roll-out time after which the trial may end. The rest must suffice to
 /// move all sessions and to finish the longest runs on the old version.
-const TRIAL: f64 = 0.62;
+const TRIAL_FRACTION: f64 = 0.62;
 
 /// Fraction of the roll-out time after which the roll-out is declared done.
-const DONE: f64 = 0.88;
+const DONE_FRACTION: f64 = 0.88;
 
 /// Minimum number of answers of a version before it can be accepted.
 const MIN_ANSWERS: u32 = 20;
 
 /// Lower bound of the estimated variance of the logarithms. A handful of runs may agree by
 /// chance.
-const LEAST_VARIANCE: f64 = 0.1;
+const MIN_VARIANCE: f64 = 0.1;
 
 /// Minimum number of bad answers for which a version can be rejected. Fewer may be chance.
 const MIN_BAD: u32 = 5;
@@ -39,24 +39,24 @@
 /// Excess of the failure rate over the old version's rate above which a version is
 /// rejected, if it is also statistically significant. A smaller excess may come from
 /// servers that fail or slow down by themselves, which affects a small pool more.
-const EXCESS: f64 = 0.10;
+const MAX_EXCESS: f64 = 0.10;
 
 /// Significance, in standard deviations, at which a failure rate rejects a version. The
 /// evidence is evaluated some hundred times over a roll-out; at 3.5, about one good
 /// roll-out in a hundred is rejected.
-const BEYOND_CHANCE: f64 = 3.5;
+const FAILURE_SIGNIFICANCE: f64 = 3.5;
 
 /// Largest excess of the failure rate over the old version's rate with which a version may
 /// leave the trial. A version that is not rejected only for lack of evidence must not.
-const ACCEPTED: f64 = 0.06;
+const MAX_ACCEPTED_EXCESS: f64 = 0.06;
 
 /// Factor between the typical first-byte times of the new and the old version above which a
 /// version is rejected, if it is also statistically significant. Bad versions are several
 /// times slower; slow servers in a small pool account for less than a factor of two.
-const SLOWER: f64 = 2.0;
+const MAX_SLOWDOWN: f64 = 2.0;
 
 /// Significance, in standard deviations, at which slowness rejects a version.
-const SLOWER_BEYOND_CHANCE: f64 = 4.0;
+const SLOWDOWN_SIGNIFICANCE: f64 = 4.0;
 
 /// Stage of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -110,10 +110,10 @@
     }
 
     /// Returns the variance of the mean.
-    fn spread(self) -> f64 {
+    fn variance_of_mean(self) -> f64 {
         let runs = f64::from(self.runs.max(2));
         let variance = (self.squares - runs * self.mean().powi(2)) / (runs - 1.0);
-        variance.max(LEAST_VARIANCE) / runs
+        variance.max(MIN_VARIANCE) / runs
     }
 }
 
@@ -141,42 +141,47 @@
 
 /// Returns whether the evidence shows that a version is worse than its predecessor.
 #[must_use]
-pub fn bad(new: Tally, old: Tally) -> bool {
-    let fails = new.bad >= MIN_BAD && new.rate() > old.rate() + EXCESS && beyond_chance(new, old) > BEYOND_CHANCE;
-    fails || slow(new.lateness, old.lateness)
+pub fn is_regression(new: Tally, old: Tally) -> bool {
+    let fails_more =
+        new.bad >= MIN_BAD && new.rate() > old.rate() + MAX_EXCESS && failure_z_score(new, old) > FAILURE_SIGNIFICANCE;
+    fails_more || is_slower(new.lateness, old.lateness)
 }
 
 /// Returns whether a version is significantly slower than its predecessor, by Welch's test
 /// on the mean logarithms. Delays that affect both versions, as under overload, cancel out.
-fn slow(new: Lateness, old: Lateness) -> bool {
-    let slower = new.mean() - old.mean();
-    let chance = (new.spread() + old.spread()).sqrt();
-    new.runs >= MIN_BAD && old.runs >= MIN_BAD && slower > SLOWER.ln() && slower > SLOWER_BEYOND_CHANCE * chance
+fn is_slower(new: Lateness, old: Lateness) -> bool {
+    let log_slowdown = new.mean() - old.mean();
+    let standard_error = (new.variance_of_mean() + old.variance_of_mean()).sqrt();
+    new.runs >= MIN_BAD
+        && old.runs >= MIN_BAD
+        && log_slowdown > MAX_SLOWDOWN.ln()
+        && log_slowdown > SLOWDOWN_SIGNIFICANCE * standard_error
 }
 
 /// Returns the difference of two failure rates in standard deviations under the hypothesis
 /// that both versions are alike (a pooled two-proportion z-test).
-fn beyond_chance(new: Tally, old: Tally) -> f64 {
-    let both = new.plus(old).rate();
-    let spread = both * (1.0 - both) * (1.0 / f64::from(new.runs.max(1)) + 1.0 / f64::from(old.runs.max(1)));
-    if spread <= 0.0 { 0.0 } else { (new.rate() - old.rate()) / spread.sqrt() }
+fn failure_z_score(new: Tally, old: Tally) -> f64 {
+    let pooled_rate = new.plus(old).rate();
+    let rate_variance =
+        pooled_rate * (1.0 - pooled_rate) * (1.0 / f64::from(new.runs.max(1)) + 1.0 / f64::from(old.runs.max(1)));
+    if rate_variance <= 0.0 { 0.0 } else { (new.rate() - old.rate()) / rate_variance.sqrt() }
 }
 
 /// Returns whether the evidence suffices to accept a version.
-fn good(new: Tally, old: Tally) -> bool {
-    let slower = new.lateness.mean() - old.lateness.mean();
-    new.runs >= MIN_ANSWERS && new.rate() <= old.rate() + ACCEPTED && slower < SLOWER.ln()
+fn is_acceptable(new: Tally, old: Tally) -> bool {
+    let log_slowdown = new.lateness.mean() - old.lateness.mean();
+    new.runs >= MIN_ANSWERS && new.rate() <= old.rate() + MAX_ACCEPTED_EXCESS && log_slowdown < MAX_SLOWDOWN.ln()
 }
 
 /// Returns the stage that follows from the elapsed time and the evidence.
 ///
-/// `elapsed` counts from the order; `over` is the total time for the roll-out.
+/// `elapsed` counts from the order; `total` is the total time for the roll-out.
 #[must_use]
-pub fn advance(stage: Stage, elapsed: Duration, over: Duration, new: Tally, old: Tally) -> Stage {
+pub fn advance(stage: Stage, elapsed: Duration, total: Duration, new: Tally, old: Tally) -> Stage {
     match stage {
-        Stage::Trial | Stage::Shift if bad(new, old) => Stage::Reverted,
-        Stage::Trial if elapsed >= over.mul_f64(TRIAL) && good(new, old) => Stage::Shift,
-        Stage::Shift if elapsed >= over.mul_f64(DONE) => Stage::Done,
+        Stage::Trial | Stage::Shift if is_regression(new, old) => Stage::Reverted,
+        Stage::Trial if elapsed >= total.mul_f64(TRIAL_FRACTION) && is_acceptable(new, old) => Stage::Shift,
+        Stage::Shift if elapsed >= total.mul_f64(DONE_FRACTION) => Stage::Done,
         Stage::Trial | Stage::Shift | Stage::Done | Stage::Reverted => stage,
     }
 }
@@ -188,7 +193,7 @@
 /// service's requests that a bad version may get.
 #[must_use]
 pub fn tries_versions(session: u64, exposure: f64) -> bool {
-    fraction(session) < exposure * TRIAL_OF_EXPOSURE
+    fraction(session) < exposure * TRIAL_SHARE_OF_EXPOSURE
 }
 
 /// Returns whether a session uses the new version at a stage.
@@ -201,7 +206,7 @@
     match stage {
         Stage::Reverted => false,
         Stage::Shift | Stage::Done => true,
-        Stage::Trial => elapsed >= HEARSAY && !settled && tries_versions(session, exposure),
+        Stage::Trial => elapsed >= TRIAL_DELAY && !settled && tries_versions(session, exposure),
     }
 }
 
--- a/crates/route/src/relay/content.rs
+++ b/crates/route/src/relay/content.rs
@@ -8,10 +8,10 @@
 use world::hash;
 
 /// Number of hexadecimal digits of the customer's hash in the text form.
-const TEAM_TEXT: usize = 8;
+const TEAM_DIGITS: usize = 8;
 
 /// Number of hexadecimal digits of the whole text form.
-const TEXT: usize = 24;
+const TOTAL_DIGITS: usize = 24;
 
 /// Identity of the work that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -37,8 +37,8 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let is_hex = text.len() == TEXT && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        let (team, work) = text.split_at_checked(TEAM_TEXT).filter(|_| is_hex).ok_or(ParseError)?;
+        let is_hex = text.len() == TOTAL_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let (team, work) = text.split_at_checked(TEAM_DIGITS).filter(|_| is_hex).ok_or(ParseError)?;
         let team = u32::from_str_radix(team, 16).map_err(|_| ParseError)?;
         let work = u64::from_str_radix(work, 16).map_err(|_| ParseError)?;
         Ok(Self { team, work })
@@ -51,7 +51,7 @@
 
 impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a content is {TEXT} hexadecimal digits")
+        write!(f, "a content is {TOTAL_DIGITS} hexadecimal digits")
     }
 }
 
--- a/crates/route/src/relay/freshness.rs
+++ b/crates/route/src/relay/freshness.rs
@@ -15,11 +15,11 @@
 
 /// Time for which a watch may miss changes before it is cut, as the store specifies it. An
 /// empty answer confirms nothing more recent than that.
-const DEAF: Duration = Duration::from_secs(1);
+const WATCH_DELAY: Duration = Duration::from_secs(1);
 
 /// Safety margin for the path from the check to the endpoint: queues of a slowed instance
 /// and the retransmission of a lost packet.
-const MARGIN: Duration = Duration::from_millis(400);
+const SERVING_MARGIN: Duration = Duration::from_millis(400);
 
 /// Kind of answer that confirms the keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,21 +32,21 @@
 
 /// Maximum time until an instance learns of a newer catalog, deducted from the bound. Other
 /// instances are polled every 0.35 s, and one request or reply may be lost.
-const HEARSAY: Duration = Duration::from_millis(750);
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(750);
 
 /// Maximum number of newer catalogs that are tracked separately. A burst of changes brings
 /// about ten within a bound.
-const MOST_TOLD: usize = 64;
+const MAX_ANNOUNCED: usize = 64;
 
 /// Transfer time above which the catalog is no longer read after each watch of 0.9 s. At
 /// this length, reads take a tenth of the capacity of the link, which callers' requests
 /// need as well.
-const LONG: Duration = Duration::from_millis(100);
+const LONG_READ: Duration = Duration::from_millis(100);
 
 /// Pause after a long read, as a multiple of its transfer time. Watches confirm the catalog
 /// meanwhile and report a change at once. A change during a read waits until the read ends,
 /// which at this ratio affects one change in forty.
-const RESTS: u32 = 40;
+const PAUSE_FACTOR: u32 = 40;
 
 /// Schedule of the full catalog reads that only renew its confirmation.
 ///
@@ -76,19 +76,19 @@
     /// Returns whether the catalog may be read again at the given time.
     #[must_use]
     pub fn is_due(&self, at: Duration) -> bool {
-        at >= self.ended + self.rest()
+        at >= self.ended + self.pause()
     }
 
     /// Returns whether the last transfer took too long to read the catalog after each
     /// watch.
     #[must_use]
     pub fn is_long(&self) -> bool {
-        self.took > LONG
+        self.took > LONG_READ
     }
 
     /// Returns the pause after the last read.
-    fn rest(&self) -> Duration {
-        if self.is_long() { self.took * RESTS } else { Duration::ZERO }
+    fn pause(&self) -> Duration {
+        if self.is_long() { self.took * PAUSE_FACTOR } else { Duration::ZERO }
     }
 }
 
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Freshness {
     bound: Option<Duration>,
-    proven: Option<Duration>,
+    confirmed_at: Option<Duration>,
 }
 
 impl Freshness {
@@ -104,32 +104,32 @@
     /// withdrawn key may keep working, or `None` if it is unlimited.
     #[must_use]
     pub fn new(bound: Option<Duration>) -> Self {
-        Self { bound, proven: None }
+        Self { bound, confirmed_at: None }
     }
 
-    /// Renews the lease with an answer to a request sent at `asked`.
-    pub fn renew(&mut self, asked: Duration, proof: Proof) {
-        let proven = match proof {
-            Proof::Read => asked,
-            Proof::Quiet => asked.saturating_sub(DEAF),
+    /// Renews the lease with an answer to a request sent at `requested_at`.
+    pub fn renew(&mut self, requested_at: Duration, proof: Proof) {
+        let confirmed_at = match proof {
+            Proof::Read => requested_at,
+            Proof::Quiet => requested_at.saturating_sub(WATCH_DELAY),
         };
-        self.proven = self.proven.max(Some(proven));
+        self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
     }
 
     /// Returns whether a request with a key may be served now.
     #[must_use]
     pub fn holds(&self, now: Duration) -> bool {
-        match (self.bound, self.proven) {
+        match (self.bound, self.confirmed_at) {
             (None, _) => true,
             (Some(_), None) => false,
-            (Some(bound), Some(proven)) => now < proven + bound.saturating_sub(MARGIN),
+            (Some(bound), Some(confirmed_at)) => now < confirmed_at + bound.saturating_sub(SERVING_MARGIN),
         }
     }
 
     /// Returns the time since the keys were last confirmed.
     #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.proven.map(|proven| now.saturating_sub(proven))
+        self.confirmed_at.map(|confirmed_at| now.saturating_sub(confirmed_at))
     }
 }
 
@@ -138,7 +138,7 @@
 pub struct Succession {
     bound: Option<Duration>,
     /// Announced versions and the time of their first announcement; both increase.
-    told: Vec<(u64, Duration)>,
+    announced: Vec<(u64, Duration)>,
 }
 
 impl Succession {
@@ -146,41 +146,41 @@
     /// after the operator's confirmation of a newer one, or `None` if it is unlimited.
     #[must_use]
     pub fn new(bound: Option<Duration>) -> Self {
-        Self { bound, told: Vec::new() }
+        Self { bound, announced: Vec::new() }
     }
 
     /// Records the announcement of a version newer than the one in force. Returns whether
     /// the version is new to this instance.
     pub fn tell(&mut self, version: u64, now: Duration) -> bool {
-        if self.told.last().is_some_and(|(newest, _)| *newest >= version) {
+        if self.announced.last().is_some_and(|(newest, _)| *newest >= version) {
             return false;
         }
-        let is_full = self.told.len() == MOST_TOLD;
-        match self.told.last_mut() {
+        let is_full = self.announced.len() == MAX_ANNOUNCED;
+        match self.announced.last_mut() {
             // The new version inherits the announcement time of the version it replaces.
             // That is earlier than its own, so the check only becomes stricter.
             Some(newest) if is_full => newest.0 = version,
-            _ => self.told.push((version, now)),
+            _ => self.announced.push((version, now)),
         }
         true
     }
 
     /// Records that `version` is now in force.
     pub fn install(&mut self, version: u64) {
-        self.told.retain(|(told, _)| *told > version);
+        self.announced.retain(|(announced, _)| *announced > version);
     }
 
     /// Returns whether a newer catalog than the one in force is known.
     #[must_use]
     pub fn is_behind(&self) -> bool {
-        !self.told.is_empty()
+        !self.announced.is_empty()
     }
 
     /// Returns whether requests may be served with the catalog in force.
     #[must_use]
     pub fn holds(&self, now: Duration) -> bool {
-        match (self.bound, self.told.first()) {
-            (Some(bound), Some((_, told))) => now < *told + bound.saturating_sub(HEARSAY),
+        match (self.bound, self.announced.first()) {
+            (Some(bound), Some((_, announced))) => now < *announced + bound.saturating_sub(ANNOUNCEMENT_DELAY),
             _ => true,
         }
     }
--- a/crates/route/src/relay/fronts.rs
+++ b/crates/route/src/relay/fronts.rs
@@ -36,31 +36,31 @@
     pub hash: u64,
 }
 
-/// Selects at most `most` candidates for a caller and returns their indices in no
+/// Selects at most `limit` candidates for a caller and returns their indices in no
 /// particular order.
 #[must_use]
-pub fn choose(candidates: &[Candidate<'_>], caller: Caller<'_>, most: usize) -> Vec<usize> {
-    if candidates.len() <= most {
+pub fn choose(candidates: &[Candidate<'_>], caller: Caller<'_>, limit: usize) -> Vec<usize> {
+    if candidates.len() <= limit {
         return (0..candidates.len()).collect();
     }
-    let mut domains = ranked(candidates, caller.hash);
-    let mut own = caller.domain.and_then(|near| domains.remove(near)).unwrap_or_default().into_iter();
-    let mut chosen: Vec<usize> = own.by_ref().take(most.div_ceil(2)).collect();
+    let mut domains = rank_by_domain(candidates, caller.hash);
+    let mut own = caller.domain.and_then(|own_domain| domains.remove(own_domain)).unwrap_or_default().into_iter();
+    let mut chosen: Vec<usize> = own.by_ref().take(limit.div_ceil(2)).collect();
     let mut others: Vec<_> = domains.into_values().map(Vec::into_iter).collect();
-    while chosen.len() < most && others.iter().any(|domain| domain.len() > 0) {
-        let places = most - chosen.len();
-        chosen.extend(others.iter_mut().filter_map(Iterator::next).take(places));
+    while chosen.len() < limit && others.iter().any(|domain| domain.len() > 0) {
+        let remaining = limit - chosen.len();
+        chosen.extend(others.iter_mut().filter_map(Iterator::next).take(remaining));
     }
-    let places = most - chosen.len();
-    chosen.extend(own.take(places));
+    let remaining = limit - chosen.len();
+    chosen.extend(own.take(remaining));
     chosen
 }
 
 /// Returns the indices of each domain's candidates, in order of preference.
-fn ranked<'a>(candidates: &[Candidate<'a>], caller: u64) -> BTreeMap<&'a str, Vec<usize>> {
+fn rank_by_domain<'a>(candidates: &[Candidate<'a>], caller: u64) -> BTreeMap<&'a str, Vec<usize>> {
     let mut domains: BTreeMap<&str, Vec<(f64, usize)>> = BTreeMap::new();
     for (index, candidate) in candidates.iter().enumerate() {
-        domains.entry(candidate.domain).or_default().push((distance(candidate, caller), index));
+        domains.entry(candidate.domain).or_default().push((weighted_draw(candidate, caller), index));
     }
     let in_order = |mut domain: Vec<(f64, usize)>| {
         domain.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -72,7 +72,7 @@
 /// Returns a draw from an exponential distribution whose rate is the candidate's capacity.
 /// The probability that a candidate has the smallest draw is proportional to its capacity.
 #[expect(clippy::cast_precision_loss, reason = "a draw needs no more than a float's 53 bits")]
-fn distance(candidate: &Candidate<'_>, caller: u64) -> f64 {
+fn weighted_draw(candidate: &Candidate<'_>, caller: u64) -> f64 {
     let draw = (hash::rendezvous(caller, &candidate.hash.to_le_bytes()) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
     -draw.ln() / candidate.cores.max(f64::MIN_POSITIVE)
 }
--- a/crates/route/src/relay/holders.rs
+++ b/crates/route/src/relay/holders.rs
@@ -12,19 +12,19 @@
 /// Time for which an endpoint is assumed to keep a prefix in its cache. With memory for
 /// 400,000 to 660,000 tokens and 30,000 tokens processed per second, the least recently
 /// used prefixes are evicted after about fifteen seconds.
-const KEPT: Duration = Duration::from_secs(15);
+const CACHE_LIFETIME: Duration = Duration::from_secs(15);
 
 /// Maximum number of holders stored per prefix: the number of endpoints that frequently
 /// used prefixes are spread over.
-const MOST_HOLDERS: usize = 4;
+const MAX_HOLDERS_PER_PREFIX: usize = 4;
 
 /// Maximum number of prefixes stored. An instance learns of fewer within the time above.
-const MOST_PARTS: usize = 8_192;
+const MAX_PREFIXES: usize = 8_192;
 
 /// Endpoints that hold shared prompt prefixes in their cache.
 #[derive(Debug, Clone, Default)]
 pub struct Holders {
-    parts: HashMap<u32, Vec<Holder>>,
+    prefixes: HashMap<u32, Vec<Holder>>,
 }
 
 /// An endpoint that has processed a prefix.
@@ -38,31 +38,31 @@
 
 impl Holders {
     /// Records that a prefix was sent to an endpoint.
-    pub fn note(&mut self, part: u32, endpoint: u32, now: Duration) {
-        if self.parts.len() >= MOST_PARTS && !self.parts.contains_key(&part) {
-            self.parts.retain(|_, holders| holders.iter().any(|holder| holder.keeps(now)));
+    pub fn note(&mut self, prefix: u32, endpoint: u32, now: Duration) {
+        if self.prefixes.len() >= MAX_PREFIXES && !self.prefixes.contains_key(&prefix) {
+            self.prefixes.retain(|_, holders| holders.iter().any(|holder| holder.is_current(now)));
         }
-        if self.parts.len() >= MOST_PARTS {
+        if self.prefixes.len() >= MAX_PREFIXES {
             // All stored prefixes are recent. This one is placed by its hash.
             return;
         }
-        let holders = self.parts.entry(part).or_default();
-        holders.retain(|holder| holder.endpoint != endpoint && holder.keeps(now));
-        if holders.len() >= MOST_HOLDERS {
+        let holders = self.prefixes.entry(prefix).or_default();
+        holders.retain(|holder| holder.endpoint != endpoint && holder.is_current(now));
+        if holders.len() >= MAX_HOLDERS_PER_PREFIX {
             holders.remove(0);
         }
         holders.push(Holder { endpoint, at: now });
     }
 
     /// Returns the hashes of the endpoints that are assumed to hold a prefix.
-    pub fn of(&self, part: u32, now: Duration) -> impl Iterator<Item = u32> {
-        let holders = self.parts.get(&part).into_iter().flatten();
-        holders.filter(move |holder| holder.keeps(now)).map(|holder| holder.endpoint)
+    pub fn of(&self, prefix: u32, now: Duration) -> impl Iterator<Item = u32> {
+        let holders = self.prefixes.get(&prefix).into_iter().flatten();
+        holders.filter(move |holder| holder.is_current(now)).map(|holder| holder.endpoint)
     }
 }
 
 impl Holder {
-    fn keeps(&self, now: Duration) -> bool {
-        now < self.at + KEPT
+    fn is_current(&self, now: Duration) -> bool {
+        now < self.at + CACHE_LIFETIME
     }
 }
--- a/crates/route/src/relay/ladder.rs
+++ b/crates/route/src/relay/ladder.rs
@@ -9,23 +9,23 @@
 use std::ops::RangeInclusive;
 
 /// Minimum confidence, from 0 to 100, for keeping a smaller model's answer.
-pub const CUT: u32 = 60;
+pub const MIN_CONFIDENCE: u32 = 60;
 
 /// Minimum confidence for keeping a smaller model's answer when the larger model would be
 /// late because of the prompt's length. A late answer is worth about a third to callers, so
 /// a small model's answer in time is kept unless it is likely wrong.
-pub const LATE_CUT: u32 = 25;
+pub const MIN_CONFIDENCE_IF_LATE: u32 = 25;
 
 /// Deducted from the confidence on the most urgent routes. Their requests have few tokens
 /// and a high value, so a doubtful answer is escalated.
-const FIRST: u32 = 10;
+const FIRST_DEDUCTION: u32 = 10;
 
 /// Added to the confidence on the least urgent routes.
 ///
 /// The most frequent requests are checks with a long prompt and a few tokens of output.
 /// Under heavy load every second one escalated to the largest model, which read 2,400
 /// tokens for each, and urgent requests waited behind them.
-const LAST: u32 = 20;
+const LAST_BONUS: u32 = 20;
 
 /// Urgency of a route among those that have a ladder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -56,11 +56,11 @@
     }
 
     /// Adjusts a confidence by the route's urgency.
-    fn weigh(self, confidence: u32) -> u32 {
+    fn adjust(self, confidence: u32) -> u32 {
         match self {
-            Self::First => confidence.saturating_sub(FIRST),
+            Self::First => confidence.saturating_sub(FIRST_DEDUCTION),
             Self::Usual => confidence,
-            Self::Last => confidence.saturating_add(LAST),
+            Self::Last => confidence.saturating_add(LAST_BONUS),
         }
     }
 }
@@ -107,7 +107,7 @@
 
 /// Largest relative time that counts as in time. Above it half of the answers would be
 /// late.
-const IN_TIME: f64 = 0.85;
+const MAX_IN_TIME: f64 = 0.85;
 
 /// Selects the index of the model to start with; `times` is ordered from the smallest
 /// model.
@@ -126,11 +126,11 @@
     if room.attempts < 2 {
         return last;
     }
-    let in_time = |time: &Time| time.now <= IN_TIME;
-    if large.idle > IN_TIME {
+    let in_time = |time: &Time| time.now <= MAX_IN_TIME;
+    if large.idle > MAX_IN_TIME {
         return times.iter().rposition(in_time).unwrap_or(0);
     }
-    let after_the_small_one = small.idle + large.idle <= IN_TIME;
+    let after_the_small_one = small.idle + large.idle <= MAX_IN_TIME;
     if in_time(large) && !(room.allowance && after_the_small_one) { last } else { 0 }
 }
 
@@ -149,13 +149,13 @@
 #[must_use]
 pub fn step(index: usize, confidence: Option<u32>, urgency: Urgency, room: Room, outlooks: &[Outlook]) -> Step {
     let last = outlooks.len().saturating_sub(1);
-    let Some(confidence) = confidence.map(|confidence| urgency.weigh(confidence)) else { return Step::Keep };
-    if index >= last || room.attempts == 0 || !room.allowance || confidence >= CUT {
+    let Some(confidence) = confidence.map(|confidence| urgency.adjust(confidence)) else { return Step::Keep };
+    if index >= last || room.attempts == 0 || !room.allowance || confidence >= MIN_CONFIDENCE {
         return Step::Keep;
     }
     let is_replaced = match outlooks[last] {
         Outlook::InTime => true,
-        Outlook::Late => confidence < LATE_CUT,
+        Outlook::Late => confidence < MIN_CONFIDENCE_IF_LATE,
         Outlook::Crowded | Outlook::Never => false,
     };
     if is_replaced {
--- a/crates/route/src/relay/notice.rs
+++ b/crates/route/src/relay/notice.rs
@@ -13,16 +13,16 @@
 
 /// Shortest prompt processing that is worth a notice, in milliseconds. Waiting for shorter
 /// prompts does not matter for a goal of a second.
-pub const LEAST_MS: f64 = 80.0;
+pub const MIN_READING_MS: f64 = 80.0;
 
 /// Maximum rate of notice datagrams of an instance, per second. At some twenty microseconds
 /// for each one sent or received, they use at most two hundredths of a core. With 74
 /// instances the rate allows five notices per second, which covers the long prompts and
 /// shared prefixes of heavy traffic.
-const DATAGRAMS: f64 = 400.0;
+const MAX_DATAGRAMS_PER_S: f64 = 400.0;
 
 /// Maximum number of notices sent at once after a quiet period.
-const BURST: f64 = 6.0;
+const MAX_BURST: f64 = 6.0;
 
 /// Prompt processing that an endpoint still has to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -49,26 +49,26 @@
 pub struct Budget {
     /// Number of notices that may be sent now.
     left: f64,
-    filled: Duration,
+    refilled_at: Duration,
 }
 
 impl Budget {
     /// Creates a budget with a full burst, at the start of the process.
     #[must_use]
     pub fn new(now: Duration) -> Self {
-        Self { left: BURST, filled: now }
+        Self { left: MAX_BURST, refilled_at: now }
     }
 
     /// Decides whether the `others` instances are notified of a prompt, and if so counts
     /// the notice. Prompts whose processing takes long are announced, and those that
-    /// contain a shared prefix worth caching (`shares`), while the budget lasts.
-    pub fn spend(&mut self, now: Duration, reading_ms: f64, shares: bool, others: usize) -> bool {
+    /// contain a shared prefix worth caching (`has_shared_prefix`), while the budget lasts.
+    pub fn spend(&mut self, now: Duration, reading_ms: f64, has_shared_prefix: bool, others: usize) -> bool {
         #[expect(clippy::cast_precision_loss, reason = "instances are far fewer than 2^53")]
-        let rate = DATAGRAMS / others.max(1) as f64;
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
-        self.left = (self.left + passed * rate).min(BURST);
-        self.filled = now;
-        if others == 0 || !(shares || reading_ms >= LEAST_MS) || self.left < 1.0 {
+        let rate = MAX_DATAGRAMS_PER_S / others.max(1) as f64;
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.left = (self.left + passed * rate).min(MAX_BURST);
+        self.refilled_at = now;
+        if others == 0 || !(has_shared_prefix || reading_ms >= MIN_READING_MS) || self.left < 1.0 {
             return false;
         }
         self.left -= 1.0;
--- a/crates/route/src/relay/pace.rs
+++ b/crates/route/src/relay/pace.rs
@@ -7,14 +7,14 @@
 //! ever add time, so both estimates follow faster observations more closely.
 
 /// Weight of an observation that is below the estimate.
-const DOWN: f64 = 0.1;
+const WEIGHT_BELOW: f64 = 0.1;
 
 /// Weight of an observation that is above the estimate. It is small because slow endpoints
 /// and queues must not raise the estimate for the work itself.
-const UP: f64 = 0.01;
+const WEIGHT_ABOVE: f64 = 0.01;
 
 /// Upper bound of a single observation, as a multiple of the estimate.
-const OUTLIER: f64 = 4.0;
+const MAX_OBSERVATION_FACTOR: f64 = 4.0;
 
 /// Latency estimate for one kind of job.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -48,17 +48,17 @@
     /// Updates the estimate with a job that took `took_ms` milliseconds.
     pub fn learn(&mut self, units: f64, took_ms: f64) {
         if self.reading_ms(units) > self.base_ms {
-            let seen = ((took_ms - self.base_ms) / units).max(0.0);
-            self.unit_ms = lean(self.unit_ms, seen);
+            let observed = ((took_ms - self.base_ms) / units).max(0.0);
+            self.unit_ms = move_toward(self.unit_ms, observed);
         } else {
-            let seen = (took_ms - self.reading_ms(units)).max(0.0);
-            self.base_ms = lean(self.base_ms, seen);
+            let observed = (took_ms - self.reading_ms(units)).max(0.0);
+            self.base_ms = move_toward(self.base_ms, observed);
         }
     }
 }
 
 /// Moves an estimate toward an observation.
-fn lean(believed: f64, seen: f64) -> f64 {
-    let weight = if seen < believed { DOWN } else { UP };
-    believed + weight * (seen.min(OUTLIER * believed) - believed)
+fn move_toward(estimate: f64, observed: f64) -> f64 {
+    let weight = if observed < estimate { WEIGHT_BELOW } else { WEIGHT_ABOVE };
+    estimate + weight * (observed.min(MAX_OBSERVATION_FACTOR * estimate) - estimate)
 }
--- a/crates/route/src/relay/patience.rs
+++ b/crates/route/src/relay/patience.rs
@@ -10,20 +10,20 @@
 use std::time::Duration;
 
 /// Timeout as a multiple of the expected time.
-const OF_EXPECTED: f64 = 5.0;
+const EXPECTED_FACTOR: f64 = 5.0;
 
 /// Minimum timeout as a fraction of the goal. Pauses of this length are common while an
 /// engine processes long prompts of other requests.
-const OF_GOAL: f64 = 0.25;
+const GOAL_FRACTION: f64 = 0.25;
 
 /// Upper bound of the expected time, in milliseconds: an hour, longer than any caller
 /// waits.
-const LONGEST_MS: f64 = 3_600_000.0;
+const MAX_EXPECTED_MS: f64 = 3_600_000.0;
 
 /// Returns the timeout for the first byte of a run that is expected to take `expected_ms`
 /// milliseconds, on a route with the given goal.
 #[must_use]
 pub fn patience(expected_ms: f64, goal: Duration) -> Duration {
-    let expected = Duration::from_secs_f64(expected_ms.clamp(0.0, LONGEST_MS) / 1_000.0);
-    expected.mul_f64(OF_EXPECTED).max(goal.mul_f64(OF_GOAL))
+    let expected = Duration::from_secs_f64(expected_ms.clamp(0.0, MAX_EXPECTED_MS) / 1_000.0);
+    expected.mul_f64(EXPECTED_FACTOR).max(goal.mul_f64(GOAL_FRACTION))
 }
--- a/crates/route/src/relay/placement.rs
+++ b/crates/route/src/relay/placement.rs
@@ -21,49 +21,49 @@
 
 /// Wait added by each run in excess of the slots, in milliseconds: about the decoding time
 /// of a run divided by the slots that may become free meanwhile.
-const QUEUED_MS: f64 = 150.0;
+const QUEUED_RUN_MS: f64 = 150.0;
 
 /// Wait added by each run on an endpoint because it makes the endpoint's steps longer, in
 /// milliseconds for a typical first step.
-const SHARED_MS: f64 = 3.0;
+const ACTIVE_RUN_MS: f64 = 3.0;
 
 /// Penalty for an endpoint in another failure domain, in milliseconds. It covers the
 /// network latency and the cost of traffic between failure domains.
-const REMOTE_MS: f64 = 15.0;
+const REMOTE_PENALTY_MS: f64 = 15.0;
 
 /// Penalty for an endpoint that is certain to fail, in milliseconds: the cost of a failed
 /// attempt to a caller.
-const FAILURE_MS: f64 = 3_000.0;
+const FAILURE_PENALTY_MS: f64 = 3_000.0;
 
 /// Number of endpoints that are tried in order for a shared prefix. If the first is lost or
 /// overloaded, all instances use the same next ones, which keep their copies in cache. A
 /// prefix that goes to randomly drawn endpoints instead is processed again by each of them,
 /// and no other instance finds it there.
-const PREFERRED: usize = 4;
+const MAX_PREFERRED: usize = 4;
 
 /// Number of endpoints drawn at random from each group, the local ones and all. They are
 /// compared by their prompt backlog, which is up to date, so drawing many causes no
 /// herding. If engines process prompts for six tenths of the time, one request in eight
 /// would find every endpoint busy when two are drawn from each group.
-const DRAWN: usize = 6;
+const DRAWN_PER_GROUP: usize = 6;
 
 /// Number of drawn endpoints that are also compared by older load updates.
-const LISTED: usize = 4;
+const MAX_SHORTLIST: usize = 4;
 
 /// Part of the cost of processing a shared prefix again that is accepted as a longer wait
 /// at an endpoint selected only by the prefix's hash.
-const UNSURE: f64 = 0.25;
+const HASH_PREFERENCE: f64 = 0.25;
 
 /// Cost of processing a shared prefix again, as a multiple of the time that it takes the
 /// request itself. Other runs on the endpoint wait for it as well.
-const READ_AGAIN: f64 = 3.0;
+const REPROCESSING_FACTOR: f64 = 3.0;
 
 /// Additional cost of processing one token of a shared prefix again, in milliseconds of
 /// waiting, for any model. A small model processes tokens ten times faster than the
 /// largest, so that with time as the only cost six in ten of its requests left the
 /// endpoints that hold their prefix, and each evicted other prefixes from an endpoint's
 /// memory.
-const READ_AGAIN_TOKEN_MS: f64 = 0.05;
+const REPROCESSING_TOKEN_MS: f64 = 0.05;
 
 /// Cost of copying one token of a shared prefix from its holder, in milliseconds of
 /// waiting. The copy itself takes a twelfth of the largest model's prompt processing. The
@@ -129,56 +129,57 @@
 /// `tie` is a random number that selects the endpoints to compare.
 #[must_use]
 pub fn choose(candidates: &[Candidate<'_>], wanted: Wanted, tie: u64) -> Option<Choice> {
-    let weighed = |index: usize| (index, wait_ms(&candidates[index], wanted));
-    let (least, wait_ms) =
-        shortlist(candidates, wanted, tie).into_iter().map(weighed).min_by(|a, b| a.1.total_cmp(&b.1))?;
-    let other = Choice { index: least, wait_ms, preferred: false, source: None };
-    let freest = |is_holder: fn(&Candidate<'_>) -> bool| {
-        let holders = (0..candidates.len()).filter(|&index| is_holder(&candidates[index])).map(weighed);
+    let with_wait = |index: usize| (index, wait_ms(&candidates[index], wanted));
+    let (best_index, wait_ms) =
+        shortlist(candidates, wanted, tie).into_iter().map(with_wait).min_by(|a, b| a.1.total_cmp(&b.1))?;
+    let other = Choice { index: best_index, wait_ms, preferred: false, source: None };
+    let least_busy = |is_holder: fn(&Candidate<'_>) -> bool| {
+        let holders = (0..candidates.len()).filter(|&index| is_holder(&candidates[index])).map(with_wait);
         holders.min_by(|a, b| a.1.total_cmp(&b.1))
     };
-    let again_ms = READ_AGAIN * wanted.reread_ms + READ_AGAIN_TOKEN_MS * f64::from(wanted.shared_tokens);
-    let copy_ms = again_ms.min(COPY_TOKEN_MS * f64::from(wanted.shared_tokens));
-    if let Some((holder, holder_ms)) = freest(|candidate| candidate.holds_whole)
+    let reprocessing_ms =
+        REPROCESSING_FACTOR * wanted.reread_ms + REPROCESSING_TOKEN_MS * f64::from(wanted.shared_tokens);
+    let copy_ms = reprocessing_ms.min(COPY_TOKEN_MS * f64::from(wanted.shared_tokens));
+    if let Some((holder, holder_ms)) = least_busy(|candidate| candidate.holds_whole)
         && holder_ms <= wait_ms + wanted.first_ms + copy_ms
     {
         return Some(Choice { index: holder, wait_ms: holder_ms, preferred: true, source: None });
     }
     let Some(key) = wanted.affinity else { return Some(other) };
-    if let Some((holder, holder_ms)) = freest(|candidate| candidate.holds) {
+    if let Some((holder, holder_ms)) = least_busy(|candidate| candidate.holds) {
         if holder_ms <= wait_ms + copy_ms {
             return Some(Choice { index: holder, wait_ms: holder_ms, preferred: true, source: None });
         }
         return Some(Choice { source: Some(holder), ..other });
     }
-    let unsure = wait_ms + UNSURE * again_ms;
+    let max_hash_wait_ms = wait_ms + HASH_PREFERENCE * reprocessing_ms;
     let preferred = named_by_hash(key, candidates.iter().map(|candidate| candidate.id));
-    let by_hash = preferred.into_iter().map(weighed).find(|(_, wait)| *wait <= unsure);
+    let by_hash = preferred.into_iter().map(with_wait).find(|(_, wait)| *wait <= max_hash_wait_ms);
     Some(by_hash.map_or(other, |(index, wait_ms)| Choice { index, wait_ms, preferred: true, source: None }))
 }
 
 /// Draws local endpoints and endpoints of any domain at random, and returns the few with
 /// the shortest wait by up-to-date information.
 fn shortlist(candidates: &[Candidate<'_>], wanted: Wanted, tie: u64) -> Vec<usize> {
-    let near: Vec<usize> = (0..candidates.len()).filter(|&index| candidates[index].local).collect();
+    let local_indices: Vec<usize> = (0..candidates.len()).filter(|&index| candidates[index].local).collect();
     let draw = hash::stable(&tie.to_le_bytes());
-    let of_all = spread(candidates.len(), draw.rotate_left(32));
-    let mut of_near = spread(near.len(), draw).map(|place| near[place]);
-    let mut drawn: Vec<usize> = Vec::with_capacity(2 * DRAWN);
+    let of_all = draw_indices(candidates.len(), draw.rotate_left(32));
+    let mut of_local = draw_indices(local_indices.len(), draw).map(|place| local_indices[place]);
+    let mut drawn: Vec<usize> = Vec::with_capacity(2 * DRAWN_PER_GROUP);
     for index in of_all {
-        drawn.extend(of_near.next());
+        drawn.extend(of_local.next());
         drawn.push(index);
     }
     let known_ms = |index: &usize| known_wait_ms(&candidates[*index], wanted);
     // The sort is stable: equal endpoints stay in the order in which they were drawn.
     drawn.sort_by(|a, b| known_ms(a).total_cmp(&known_ms(b)));
-    drawn.truncate(LISTED);
+    drawn.truncate(MAX_SHORTLIST);
     drawn
 }
 
 /// Returns the wait before the first byte by up-to-date information only, in milliseconds.
 fn known_wait_ms(candidate: &Candidate<'_>, wanted: Wanted) -> f64 {
-    (candidate.backlog_ms + wanted.first_ms) * candidate.slowness.max(1.0) + candidate.failing * FAILURE_MS
+    (candidate.backlog_ms + wanted.first_ms) * candidate.slowness.max(1.0) + candidate.failing * FAILURE_PENALTY_MS
 }
 
 /// Draws up to `wanted` different indices below `count` that fit, by the random number
@@ -187,19 +188,19 @@
 /// Examines at most a few times as many indices as are wanted, whatever the count. If few
 /// fit, fewer are returned.
 pub fn sample(count: usize, wanted: usize, draw: u64, mut fits: impl FnMut(usize) -> bool) -> Vec<usize> {
-    const LOOKS: usize = 4;
-    let places = spread_over(count, draw).take((LOOKS * wanted).min(count));
+    const LOOKS_PER_WANTED: usize = 4;
+    let places = permuted_indices(count, draw).take((LOOKS_PER_WANTED * wanted).min(count));
     places.filter(|place| fits(*place)).take(wanted).collect()
 }
 
 /// Draws different indices below `count` by a random number.
-fn spread(count: usize, draw: u64) -> impl Iterator<Item = usize> {
-    spread_over(count, draw).take(DRAWN.min(count))
+fn draw_indices(count: usize, draw: u64) -> impl Iterator<Item = usize> {
+    permuted_indices(count, draw).take(DRAWN_PER_GROUP.min(count))
 }
 
 /// Returns all indices below `count` in an order determined by a random number, repeating
 /// from the start after the last.
-fn spread_over(count: usize, draw: u64) -> impl Iterator<Item = usize> {
+fn permuted_indices(count: usize, draw: u64) -> impl Iterator<Item = usize> {
     let draw = usize::try_from(draw & 0xFFFF_FFFF).unwrap_or_default();
     let (first, mut step) = (draw % count.max(1), 1 + (draw >> 16) % count.max(1));
     // A step that shares a divisor with the count would visit an index twice.
@@ -213,7 +214,7 @@
 /// first. These are the endpoints that a shared prefix prefers.
 #[must_use]
 pub fn named_by_hash<'a>(key: u64, names: impl Iterator<Item = &'a str>) -> Vec<usize> {
-    let mut best: [Option<(u64, usize)>; PREFERRED] = [None; PREFERRED];
+    let mut best: [Option<(u64, usize)>; MAX_PREFERRED] = [None; MAX_PREFERRED];
     for (index, name) in names.enumerate() {
         let mut entry = Some((hash::rendezvous(key, name.as_bytes()), index));
         for place in &mut best {
@@ -231,8 +232,10 @@
 
 /// Returns the wait before the first byte at an endpoint, in milliseconds.
 fn wait_ms(candidate: &Candidate<'_>, wanted: Wanted) -> f64 {
-    let over = (candidate.runs + 1.0 - f64::from(candidate.slots)).max(0.0);
-    let queue = candidate.backlog_ms + candidate.old_news_ms + candidate.runs * SHARED_MS + over * QUEUED_MS;
-    let remote = if candidate.local { 0.0 } else { REMOTE_MS };
-    (queue + wanted.first_ms) * candidate.slowness.max(1.0) - wanted.first_ms + remote + candidate.failing * FAILURE_MS
+    let excess = (candidate.runs + 1.0 - f64::from(candidate.slots)).max(0.0);
+    let queue = candidate.backlog_ms + candidate.old_news_ms + candidate.runs * ACTIVE_RUN_MS + excess * QUEUED_RUN_MS;
+    let remote = if candidate.local { 0.0 } else { REMOTE_PENALTY_MS };
+    (queue + wanted.first_ms) * candidate.slowness.max(1.0) - wanted.first_ms
+        + remote
+        + candidate.failing * FAILURE_PENALTY_MS
 }
--- a/crates/route/src/relay/quarantine.rs
+++ b/crates/route/src/relay/quarantine.rs
@@ -16,7 +16,7 @@
 use super::content::Content;
 
 /// Number of endpoints that must crash under a request before it is refused.
-pub const CRASHES: usize = 3;
+pub const CRASH_LIMIT: usize = 3;
 
 /// Time for which a request is refused after its last crash. The endpoints may have been
 /// fixed by then.
@@ -26,11 +26,11 @@
 const PROBATION: Duration = LASTS;
 
 /// Time within which crashes count as one for a request that has completed recently.
-const TOGETHER: Duration = Duration::from_secs(1);
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
 /// Maximum number of records: requests that have completed recently, and suspects. A mass
 /// crash makes every active run a suspect.
-const MOST: usize = 2_048;
+const MAX_RECORDS: usize = 2_048;
 
 /// Observation about a request that an instance makes and shares with the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -93,21 +93,21 @@
 /// State of one request.
 #[derive(Debug, Clone)]
 struct Record {
-    /// Distinct endpoint starts that crashed under it, at most [`CRASHES`].
+    /// Distinct endpoint starts that crashed under it, at most [`CRASH_LIMIT`].
     starts: Vec<u32>,
     /// Whether it is refused, or on probation after a refusal.
     held: bool,
     /// Time of the last counted crash, or of the completion that reset the record.
     last: Duration,
     /// Time when it last completed.
-    good: Option<Duration>,
+    completed_at: Option<Duration>,
 }
 
 impl Quarantine {
     /// Applies a finding and returns its effect.
     pub fn take(&mut self, now: Duration, finding: Finding) -> Effect {
         match finding {
-            Finding::Crash { content, start } => self.count(now, content, start),
+            Finding::Crash { content, start } => self.count_crash(now, content, start),
             Finding::EndedWell { content } => self.clear(now, content),
             Finding::Held { content, age } => self.hold(now, content, age),
         }
@@ -116,7 +116,7 @@
     /// Returns how much longer a request is refused, or `None` if it is not.
     #[must_use]
     pub fn refuses(&self, now: Duration, content: Content) -> Option<Duration> {
-        self.records.get(&content)?.refused(now)
+        self.records.get(&content)?.refusal_left(now)
     }
 
     /// Returns whether an endpoint crashed under a request that has not completed since.
@@ -135,7 +135,7 @@
     /// Returns at most `most` refused requests, the ones with the latest crash first.
     #[must_use]
     pub fn held(&self, now: Duration, most: usize) -> Vec<Finding> {
-        let mut held: Vec<_> = self.records.iter().filter(|(_, record)| record.refused(now).is_some()).collect();
+        let mut held: Vec<_> = self.records.iter().filter(|(_, record)| record.refusal_left(now).is_some()).collect();
         held.sort_by_key(|(_, record)| std::cmp::Reverse(record.last));
         let finding =
             |(content, record): (&Content, &Record)| Finding::Held { content: *content, age: record.age(now) };
@@ -157,21 +157,21 @@
     /// Returns the record of a request with a crash that was not cleared and has not
     /// expired.
     fn suspect(&self, now: Duration, content: Content) -> Option<&Record> {
-        self.records.get(&content).filter(|record| !record.starts.is_empty() && !record.lapsed(now))
+        self.records.get(&content).filter(|record| !record.starts.is_empty() && !record.is_expired(now))
     }
 
     /// Counts a crash of an endpoint that ran the request.
-    fn count(&mut self, now: Duration, content: Content, start: u32) -> Effect {
+    fn count_crash(&mut self, now: Duration, content: Content, start: u32) -> Effect {
         let was_held = self.refuses(now, content).is_some();
         let record = self.record(now, content);
         if record.starts.contains(&start) || record.is_same_crash(now) {
             return Effect::None;
         }
-        if record.starts.len() < CRASHES {
+        if record.starts.len() < CRASH_LIMIT {
             record.starts.push(start);
         }
         record.last = now;
-        record.held |= record.starts.len() == CRASHES;
+        record.held |= record.starts.len() == CRASH_LIMIT;
         if record.held && !was_held { Effect::Held } else { Effect::Counted }
     }
 
@@ -180,7 +180,7 @@
     fn clear(&mut self, now: Duration, content: Content) -> Effect {
         let record = self.record(now, content);
         let (was_suspect, was_held) = (!record.starts.is_empty(), record.held);
-        *record = Record { good: Some(now), ..Record::new(now) };
+        *record = Record { completed_at: Some(now), ..Record::new(now) };
         match (was_held, was_suspect) {
             (true, _) => Effect::Released,
             (false, true) => Effect::Cleared,
@@ -192,13 +192,13 @@
     fn hold(&mut self, now: Duration, content: Content, age: Duration) -> Effect {
         let last = now.saturating_sub(age);
         let known = self.records.get(&content);
-        if known.and_then(|record| record.good).is_some_and(|good| good > last) {
+        if known.and_then(|record| record.completed_at).is_some_and(|completed_at| completed_at > last) {
             return Effect::Disproved;
         }
         // By the time a message arrives, the crash is older than the message says by the
         // transit time. If that were taken for a later crash, messages circulating between
         // instances would extend a refusal forever.
-        if age >= LASTS || known.is_some_and(|record| record.refused(now).is_some()) {
+        if age >= LASTS || known.is_some_and(|record| record.refusal_left(now).is_some()) {
             return Effect::None;
         }
         let crashed = known.filter(|record| record.held || !record.starts.is_empty()).map(|record| record.last);
@@ -210,11 +210,11 @@
 
     /// Returns the record of a request and makes room if it is a new one.
     fn record(&mut self, now: Duration, content: Content) -> &mut Record {
-        if !self.records.contains_key(&content) && self.records.len() >= MOST {
+        if !self.records.contains_key(&content) && self.records.len() >= MAX_RECORDS {
             self.make_room(now);
         }
         let record = self.records.entry(content).or_insert_with(|| Record::new(now));
-        if record.lapsed(now) {
+        if record.is_expired(now) {
             *record = Record::new(now);
         }
         record
@@ -223,15 +223,15 @@
     /// Removes expired records. If that does not suffice, removes the oldest ones:
     /// completed requests first, then suspects, then refused requests.
     fn make_room(&mut self, now: Duration) {
-        self.records.retain(|_, record| !record.lapsed(now));
-        if self.records.len() < MOST {
+        self.records.retain(|_, record| !record.is_expired(now));
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         let rank =
             |(content, record): (&Content, &Record)| (record.held, !record.starts.is_empty(), record.last, *content);
         let mut ranked: Vec<_> = self.records.iter().map(rank).collect();
         ranked.sort_unstable();
-        for (.., content) in &ranked[..MOST / 8] {
+        for (.., content) in &ranked[..MAX_RECORDS / 8] {
             self.records.remove(content);
         }
     }
@@ -239,25 +239,25 @@
 
 impl Record {
     fn new(now: Duration) -> Self {
-        Self { starts: Vec::new(), held: false, last: now, good: None }
+        Self { starts: Vec::new(), held: false, last: now, completed_at: None }
     }
 
     /// Returns how much longer the request is refused, or `None` if it is not.
-    fn refused(&self, now: Duration) -> Option<Duration> {
+    fn refusal_left(&self, now: Duration) -> Option<Duration> {
         let left = (self.last + LASTS).saturating_sub(now);
         (self.held && !left.is_zero()).then_some(left)
     }
 
     /// Returns whether a crash at `now` belongs to the last one that was counted.
     fn is_same_crash(&self, now: Duration) -> bool {
-        self.good.is_some() && !self.starts.is_empty() && now < self.last + TOGETHER
+        self.completed_at.is_some() && !self.starts.is_empty() && now < self.last + SAME_CRASH_WINDOW
     }
 
     fn age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.last)
     }
 
-    fn lapsed(&self, now: Duration) -> bool {
+    fn is_expired(&self, now: Duration) -> bool {
         self.age(now) >= if self.held { LASTS + PROBATION } else { LASTS }
     }
 }
--- a/crates/route/src/relay/throttle.rs
+++ b/crates/route/src/relay/throttle.rs
@@ -17,15 +17,15 @@
 
 /// Part of a limit that is used. The rest covers periods in which instances disagree about
 /// the membership.
-const USED: f64 = 0.9;
+const USABLE_FRACTION: f64 = 0.9;
 
 /// Number of senders to an endpoint in addition to one for each request per second that it
 /// accepts, and so the number of tokens that all senders may have saved. More senders would
 /// send more requests at once than an endpoint with a small limit can take.
-const SENDERS: usize = 4;
+const MIN_SENDERS: usize = 4;
 
 /// Time after the endpoint's last announcement at which its limit expires.
-const LASTS: Duration = Duration::from_mins(1);
+const LIMIT_LIFETIME: Duration = Duration::from_mins(1);
 
 /// A limit that an endpoint announced, or its announcement that there is none.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -65,20 +65,20 @@
         if self.word.is_some_and(|known| known.at > word.at) {
             return false;
         }
-        let before = self.limit(now);
-        if before.is_none() {
+        let limit_before = self.limit(now);
+        if limit_before.is_none() {
             self.tokens = 1.0;
             self.filled = now;
         }
         self.word = Some(word);
-        before != self.limit(now)
+        limit_before != self.limit(now)
     }
 
     /// Returns the limit in requests per second, or `None` if there is none or it has
     /// expired.
     #[must_use]
     pub fn limit(&self, now: Duration) -> Option<f64> {
-        self.word.filter(|word| now < word.at + LASTS)?.per_s
+        self.word.filter(|word| now < word.at + LIMIT_LIFETIME)?.per_s
     }
 
     /// Returns the endpoint's last announcement, even if it ended a limit or has expired.
@@ -112,8 +112,9 @@
     pub fn wait(&self, now: Duration) -> Duration {
         let Some(per_s) = self.limit(now) else { return Duration::ZERO };
         let Share { rate, .. } = self.share;
-        let (missing, rate) = if rate > 0.0 { (1.0 - self.tokens_at(now), rate) } else { (1.0, USED * per_s) };
-        Duration::try_from_secs_f64(missing.max(0.0) / rate).map_or(LASTS, |wait| wait.min(LASTS))
+        let (missing, rate) =
+            if rate > 0.0 { (1.0 - self.tokens_at(now), rate) } else { (1.0, USABLE_FRACTION * per_s) };
+        Duration::try_from_secs_f64(missing.max(0.0) / rate).map_or(LIMIT_LIFETIME, |wait| wait.min(LIMIT_LIFETIME))
     }
 
     fn tokens_at(&self, now: Duration) -> f64 {
@@ -127,18 +128,18 @@
 #[must_use]
 pub fn share(per_s: f64, endpoint: u32, me: u64, others: impl Iterator<Item = u64>) -> Share {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped to a small range")]
-    let senders = SENDERS + per_s.clamp(0.0, 1e6) as usize;
+    let senders = MIN_SENDERS + per_s.clamp(0.0, 1e6) as usize;
     let weight = |name: u64| (hash::rendezvous(name, &endpoint.to_le_bytes()), name);
-    let mine = weight(me);
-    let (mut count, mut before) = (1, 0);
+    let own_weight = weight(me);
+    let (mut count, mut ahead) = (1, 0);
     for other in others {
         count += 1;
-        before += usize::from(weight(other) > mine);
+        ahead += usize::from(weight(other) > own_weight);
     }
-    if before >= senders {
+    if ahead >= senders {
         return Share::default();
     }
     #[expect(clippy::cast_precision_loss, reason = "instances are far fewer than 2^53")]
-    let (most, parts) = (senders as f64, senders.min(count) as f64);
-    Share { rate: USED * per_s / parts, saved: most / parts }
+    let (max_senders, active_senders) = (senders as f64, senders.min(count) as f64);
+    Share { rate: USABLE_FRACTION * per_s / active_senders, saved: max_senders / active_senders }
 }
--- a/crates/route/tests/address.rs
+++ b/crates/route/tests/address.rs
@@ -39,7 +39,7 @@
 
 /// When an instance leaves, only the sets that contain it change, each by one member.
 #[test]
-fn few_customers_move() {
+fn few_customers_change_their_set() {
     for (count, domains) in [(7, 4), (31, 8), (750, 8)] {
         let before = fleet(count, domains);
         let mut after = before.clone();
@@ -56,8 +56,10 @@
             }
         }
         let by_modulo = (0..400).filter(|number| modulo(*number, count) != modulo(*number, count - 1)).count();
-        println!("{count} instances, one goes: {moved} of 400 customers move; counted off by a hash: {by_modulo}");
-        assert!(moved * count <= 400 * 3 * 2, "{moved} of 400 customers moved at {count} instances");
+        println!(
+            "{count} instances, one leaves: {moved} of 400 customers change their set; by a hash modulo the count: {by_modulo}"
+        );
+        assert!(moved * count <= 400 * 3 * 2, "{moved} of 400 customers changed their set at {count} instances");
     }
 }
 
@@ -103,7 +105,7 @@
 }
 
 #[test]
-fn own_domain_first_and_leaving_left_out() {
+fn own_domain_is_first_and_leaving_is_omitted() {
     let mut instances = fleet(8, 4);
     let customer = customer(3);
     let domain = Domain::parse("d2").unwrap();
@@ -120,8 +122,8 @@
 
     instances[place].state = State::Suspect;
     let list = address::list(&policy, &instances, &asked);
-    assert_eq!(list.instances.last().unwrap().id, first.id, "a suspect stands last");
-    assert_eq!(list.keep_ms, policy.unsettled_keep_ms);
+    assert_eq!(list.instances.last().unwrap().id, first.id, "a suspect instance is last");
+    assert_eq!(list.keep_ms, policy.suspect_keep_ms);
 }
 
 /// All requests of a session get the same order from any instance. The sessions of a
--- a/crates/route/tests/endpoint.rs
+++ b/crates/route/tests/endpoint.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_loaded_endpoint_is_passed_over() {
+fn a_loaded_endpoint_is_skipped() {
     let mut fleet = fleet(1, 6);
     let preferred = choose(&fleet, Some(42), &[], 1, NOW).expect("there are some");
     for _ in 0..4 {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_known_holder_of_the_prefix_comes_first() {
+fn a_known_holder_of_the_prefix_is_preferred() {
     let mut fleet = fleet(1, 6);
     let preferred = id(&fleet, choose(&fleet, Some(42), &[], 1, NOW).expect("there are some").key);
     let other = fleet.endpoints().map(|(_, e)| e.id.clone()).find(|id| *id != preferred).expect("there are six");
@@ -111,7 +111,7 @@
 fn cache_events_lost_at_choose() {
     let mut fleet = fleet(1, 6);
     let usual = choose(&fleet, Some(42), &[], 1, NOW).expect("there are some");
-    assert_eq!(usual.rule, Rule::Preferred, "stored elsewhere, unheard of");
+    assert_eq!(usual.rule, Rule::Preferred, "the event that it is stored elsewhere was lost");
     let (holder, name) = fleet.endpoints().map(|(key, e)| (key, e.id.clone())).find(|e| e.0 != usual.key).expect("six");
     fleet.on(Event::Stored { endpoint: &name, prefix: 42 }, NOW);
     // The prefix is evicted here, and the event is lost.
@@ -152,7 +152,7 @@
 /// An endpoint answers ten times slower than the others, so that callers miss deadlines
 /// without an error. It is ejected and tried again later.
 #[test]
-fn a_crawling_endpoint_is_ejected() {
+fn a_very_slow_endpoint_is_ejected() {
     let mut fleet = fleet(1, 6);
     let keys: Vec<_> = fleet.endpoints().map(|(key, _)| key).collect();
     for _ in 0..20 {
@@ -169,7 +169,7 @@
 /// The configuration changes while an endpoint is ejected and another one has active runs.
 /// If either state were lost, the next runs would go to the wrong endpoints.
 #[test]
-fn a_new_configuration_keeps_what_is_known() {
+fn a_new_configuration_keeps_endpoint_state() {
     let mut fleet = fleet(1, 6);
     let keys: Vec<_> = fleet.endpoints().map(|(key, _)| key).collect();
     fail(&mut fleet, keys[0], 5, NOW);
@@ -179,9 +179,9 @@
     }
     fleet.apply(&catalog(1, 7), &[peer(0, 1), peer(1, 1)]);
     let choice = choose(&fleet, None, &[], 1, NOW).expect("some are left");
-    assert_eq!(choice.considered, 6, "six old ones less the ejected, and a new one");
+    assert_eq!(choice.considered, 6, "the five old ones that are not ejected, and a new one");
     assert_eq!(fleet.key(&id(&fleet, keys[1])), Some(keys[1]));
-    assert!(choice.mean > 1.0, "the runs under way are forgotten");
+    assert!(choice.mean > 1.0, "the active runs were lost");
     assert!(fleet.limit([&target()], NOW) >= before);
 
     fleet.apply(&catalog(1, 1), &[peer(0, 1)]);
@@ -191,7 +191,7 @@
 /// If every endpoint fails, the cause is elsewhere. Ejecting them all would leave none to
 /// run on, so at most a third is ejected.
 #[test]
-fn never_all_are_ejected() {
+fn not_all_endpoints_are_ejected() {
     let mut fleet = fleet(1, 6);
     let keys: Vec<_> = fleet.endpoints().map(|(key, _)| key).collect();
     for key in &keys {
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn an_endpoint_without_the_version_is_left_out_for_a_while() {
+fn an_endpoint_without_the_version_is_skipped_for_a_while() {
     let mut fleet = fleet(1, 2);
     let (key, _) = fleet.endpoints().next().expect("there are two");
     fleet.on(Event::Dispatched(key), NOW);
@@ -226,7 +226,7 @@
 /// The reports are two seconds old and show one idle endpoint. An instance that relied on
 /// them would send all its runs there until the next report.
 #[test]
-fn an_old_report_does_not_draw_everything() {
+fn an_old_report_does_not_attract_all_runs() {
     let mut fleet = fleet(1, 4);
     let ids: Vec<_> = fleet.endpoints().map(|(_, endpoint)| endpoint.id.clone()).collect();
     for (index, endpoint) in ids.iter().enumerate() {
@@ -275,15 +275,15 @@
 }
 
 subset! {
-    a_small_site_is_worked_with_whole: 7, 4, 5 => 20, 7..=7;
+    a_small_site_is_used_completely: 7, 4, 5 => 20, 7..=7;
     a_large_site_is_shared_evenly: 96, 8, 400 => 82, 1..=4;
-    few_instances_before_many_endpoints_leave_none_out: 4, 2, 200 => 153, 1..=4;
+    few_instances_cover_all_endpoints: 4, 2, 200 => 153, 1..=4;
 }
 
 /// When an instance leaves, each of the others keeps most of its endpoints, so that
 /// connections and caches stay warm.
 #[test]
-fn one_instance_less_moves_little() {
+fn losing_an_instance_changes_few_subset_members() {
     let (catalog, peers) = (catalog(1, 400), (0..40).map(|index| peer(index, 1)).collect::<Vec<_>>());
     for me in &peers[1..] {
         let mut fleet = Fleet::new(me.clone());
@@ -297,7 +297,7 @@
 
 /// Action on the fleet. Endpoints are identified by their index in the fleet.
 #[derive(Debug, Clone)]
-enum Act {
+enum Action {
     Choose { prefix: u64, draw: u64, avoid: usize },
     Finish(usize, u64),
     Fail(usize, u8),
@@ -306,15 +306,15 @@
     Pass(u64),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        6 => (0..8u64, any::<u64>(), 0..8usize).prop_map(|(prefix, draw, avoid)| Act::Choose { prefix, draw, avoid }),
-        3 => (0..8usize, 1..60_000u64).prop_map(|(endpoint, millis)| Act::Finish(endpoint, millis)),
-        3 => (0..8usize, 0..4u8).prop_map(|(endpoint, how)| Act::Fail(endpoint, how)),
+        6 => (0..8u64, any::<u64>(), 0..8usize).prop_map(|(prefix, draw, avoid)| Action::Choose { prefix, draw, avoid }),
+        3 => (0..8usize, 1..60_000u64).prop_map(|(endpoint, millis)| Action::Finish(endpoint, millis)),
+        3 => (0..8usize, 0..4u8).prop_map(|(endpoint, how)| Action::Fail(endpoint, how)),
         2 => (0..8usize, 0..20_000u64, 0..100u32)
-            .prop_map(|(endpoint, age_ms, running)| Act::Report { endpoint, age_ms, running }),
-        1 => (0..8usize, any::<bool>()).prop_map(|(endpoint, leaving)| Act::Leaving(endpoint, leaving)),
-        1 => (0..20_000u64).prop_map(Act::Pass),
+            .prop_map(|(endpoint, age_ms, running)| Action::Report { endpoint, age_ms, running }),
+        1 => (0..8usize, any::<bool>()).prop_map(|(endpoint, leaving)| Action::Leaving(endpoint, leaving)),
+        1 => (0..20_000u64).prop_map(Action::Pass),
     ]
 }
 
@@ -328,14 +328,14 @@
     /// No run goes to an endpoint that is leaving or has already failed the request, and
     /// none is refused while another endpoint is available.
     #[test]
-    fn runs_go_only_where_they_may(acts in proptest::collection::vec(act(), 1..200)) {
+    fn runs_go_only_to_available_endpoints(actions in proptest::collection::vec(action(), 1..200)) {
         let (mut fleet, target) = (fleet(2, 4), target());
         let all: Vec<_> = fleet.endpoints().map(|(key, endpoint)| (key, endpoint.id.clone())).collect();
         let failures = [Failure::Full, Failure::Error, Failure::Broken, Failure::Timeout];
         let (mut now, mut leaving) = (NOW, BTreeSet::new());
-        for act in acts {
-            match act {
-                Act::Choose { prefix, draw, avoid } => {
+        for action in actions {
+            match action {
+                Action::Choose { prefix, draw, avoid } => {
                     let avoid: Vec<_> = all.iter().take(avoid).map(|(key, _)| *key).collect();
                     match choose(&fleet, Some(prefix), &avoid, draw, now) {
                         Ok(choice) => {
@@ -352,24 +352,24 @@
                         }
                     }
                 }
-                Act::Finish(place, millis) => {
+                Action::Finish(place, millis) => {
                     fleet.on(Event::Finished { key: all[place].0, target: &target, millis, tokens: 10 }, now);
                 }
-                Act::Fail(place, how) => {
+                Action::Fail(place, how) => {
                     let failure = failures[usize::from(how)];
                     fleet.on(Event::Failed { key: all[place].0, target: &target, failure }, now);
                 }
-                Act::Report { endpoint, age_ms, running } => {
+                Action::Report { endpoint, age_ms, running } => {
                     let as_of = Timestamp(now.0 - age_ms.min(now.0));
                     let report = Report { as_of, running, queued: 0, slots: 16, loaded: None };
                     fleet.on(Event::Load { endpoint: &all[endpoint].1, report }, now);
                 }
-                Act::Leaving(place, is) => {
+                Action::Leaving(place, is) => {
                     let (key, endpoint) = &all[place];
                     fleet.on(Event::Leaving { endpoint, leaving: is }, now);
                     if is { leaving.insert(*key) } else { leaving.remove(key) };
                 }
-                Act::Pass(millis) => now = now.plus(millis),
+                Action::Pass(millis) => now = now.plus(millis),
             }
             prop_assert!(fleet.limit([&target], now) >= 1);
         }
--- a/crates/route/tests/relay/allowance.rs
+++ b/crates/route/tests/relay/allowance.rs
@@ -11,7 +11,7 @@
 /// Over any window, the retries of all instances together must stay within the ratio of the
 /// callers' requests plus the reserve.
 #[test]
-fn repeats_of_a_fleet_stay_within_the_bound() {
+fn retries_of_a_fleet_stay_within_the_bound() {
     let instances = 7;
     let mut fleet: Vec<_> = (0..instances).map(|_| Allowance::new(POLICY)).collect();
     let (mut firsts, mut extras) = (Vec::new(), Vec::new());
@@ -34,13 +34,13 @@
         let bound = POLICY.ratio * within(&firsts) as f64 + POLICY.reserve;
         #[expect(clippy::cast_precision_loss, reason = "a few thousand")]
         let spent = within(&extras) as f64;
-        assert!(spent <= bound, "{spent} repeats of {bound} until {end:?}");
+        assert!(spent <= bound, "{spent} retries of {bound} allowed until {end:?}");
     }
     assert!(extras.len() > firsts.len() / 2, "{} of {}", extras.len(), firsts.len());
 }
 
 #[test]
-fn escalations_leave_room_for_repairs() {
+fn escalations_leave_room_for_retries() {
     let mut allowance = Allowance::new(POLICY);
     let now = Duration::from_secs(100);
     for _ in 0..100 {
--- a/crates/route/tests/relay/content.rs
+++ b/crates/route/tests/relay/content.rs
@@ -19,27 +19,27 @@
 
 cases! {
     repeat_is_the_same: ONE, ONE => true;
-    other_team: ONE, (Some("tower"), ONE.1, ONE.2, ONE.3, ONE.4) => false;
-    no_team: ONE, (None, ONE.1, ONE.2, ONE.3, ONE.4) => false;
+    other_customer: ONE, (Some("tower"), ONE.1, ONE.2, ONE.3, ONE.4) => false;
+    no_customer: ONE, (None, ONE.1, ONE.2, ONE.3, ONE.4) => false;
     other_method: ONE, (ONE.0, "PUT", ONE.2, ONE.3, ONE.4) => false;
     other_host: ONE, (ONE.0, ONE.1, "b.example", ONE.3, ONE.4) => false;
     other_path: ONE, (ONE.0, ONE.1, ONE.2, "/a/2", ONE.4) => false;
     other_body: ONE, (ONE.0, ONE.1, ONE.2, ONE.3, "sheets") => false;
-    path_that_runs_into_the_host: (None, "GET", "a", "/b/c", ""), (None, "GET", "a/b", "/c", "") => false;
+    host_and_path_are_separated: (None, "GET", "a", "/b/c", ""), (None, "GET", "a/b", "/c", "") => false;
 }
 
 /// The hash of the work does not depend on the customer and the customer's hash is
 /// separate, so nobody can find a body with which a request collides with one of another
 /// customer.
 #[test]
-fn teams_stand_apart() {
+fn customers_have_separate_hashes() {
     let (club, tower) = (Content::of(ONE.0, "GET", "h", "/", b""), Content::of(Some("tower"), "GET", "h", "/", b""));
     assert_eq!(club.work, tower.work);
     assert_ne!(club.team, tower.team);
 }
 
 #[test]
-fn shows_as_hexadecimal_of_one_length() {
+fn displays_as_fixed_length_hexadecimal() {
     let content = Content { team: 1, work: 0xab };
     assert_eq!(content.to_string(), "0000000100000000000000ab");
     assert_eq!("0000000100000000000000ab".parse(), Ok(content));
@@ -47,7 +47,7 @@
 
 /// Anybody may write an object of the kind under which refused requests are stored.
 #[test]
-fn other_texts_name_no_content() {
+fn malformed_texts_are_rejected() {
     for text in [
         "",
         "00",
--- a/crates/route/tests/relay/freshness.rs
+++ b/crates/route/tests/relay/freshness.rs
@@ -10,7 +10,7 @@
     Duration::from_millis(ms)
 }
 
-macro_rules! ages {
+macro_rules! lease_cases {
     ($($(#[$doc:meta])* $name:ident: $proof:expr, at $now:expr => $holds:expr;)*) => {$(
         $(#[$doc])*
         #[test]
@@ -22,33 +22,33 @@
     )*};
 }
 
-ages! {
+lease_cases! {
     just_read: Proof::Read, at 10_001 => true;
     within_the_bound: Proof::Read, at 14_500 => true;
     at_the_bound: Proof::Read, at 15_000 => false;
     // A watch may miss changes for a second before it is cut.
-    quiet_watch_proves_less: Proof::Quiet, at 13_500 => true;
+    quiet_watch_confirms_an_earlier_state: Proof::Quiet, at 13_500 => true;
     quiet_watch_past_its_bound: Proof::Quiet, at 13_700 => false;
     // The instance was suspended during the withdrawal and resumes.
-    after_a_sleep: Proof::Read, at 60_000 => false;
+    after_a_suspension: Proof::Read, at 60_000 => false;
 }
 
 #[test]
-fn nothing_is_believed_before_the_first_proof() {
+fn lease_is_invalid_before_the_first_proof() {
     assert!(!Freshness::new(Some(BOUND)).holds(at(0)));
     assert!(Freshness::new(None).holds(at(0)));
 }
 
 /// An answer that was delayed arrives after a newer one and must not shorten the lease.
 #[test]
-fn late_answer_takes_nothing_back() {
+fn late_answer_does_not_shorten_the_lease() {
     let mut freshness = Freshness::new(Some(BOUND));
     freshness.renew(at(10_000), Proof::Read);
     freshness.renew(at(7_000), Proof::Read);
     assert_eq!(freshness.age(at(11_000)), Some(at(1_000)));
 }
 
-macro_rules! cadences {
+macro_rules! read_schedules {
     ($($(#[$doc:meta])* $name:ident: $took:expr, after $passed:expr => $is_due:expr;)*) => {$(
         $(#[$doc])*
         #[test]
@@ -61,56 +61,56 @@
     )*};
 }
 
-cadences! {
+read_schedules! {
     // A small catalog is read after each watch of 900 ms, because a read confirms a more
     // recent state.
-    short_reading_after_a_watch: 10, after 900 => true;
-    long_reading_after_a_watch: 450, after 900 => false;
+    short_read_is_due_after_a_watch: 10, after 900 => true;
+    long_read_is_not_due_after_a_watch: 450, after 900 => false;
     // With an earlier read, changes would often arrive during a read and wait for its end.
-    long_reading_within_its_rest: 450, after 17_900 => false;
-    long_reading_after_its_rest: 450, after 18_000 => true;
+    long_read_is_not_due_within_its_pause: 450, after 17_900 => false;
+    long_read_is_due_after_its_pause: 450, after 18_000 => true;
 }
 
 /// Checks whether the catalog in force may be used at `now`, after announcements of
 /// versions at given times and the installation of one version.
-fn check_succession(told: &[(u64, u64)], installed: u64, now: u64, holds: bool) {
+fn check_succession(announced: &[(u64, u64)], installed: u64, now: u64, holds: bool) {
     let mut succession = Succession::new(Some(BOUND));
-    for (version, told_at) in told {
-        succession.tell(*version, at(*told_at));
+    for (version, announced_at) in announced {
+        succession.tell(*version, at(*announced_at));
     }
     succession.install(installed);
     assert_eq!(succession.holds(at(now)), holds);
 }
 
 macro_rules! successions {
-    ($($(#[$doc:meta])* $name:ident: $told:expr, installed $installed:expr, at $now:expr => $holds:expr;)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $announced:expr, installed $installed:expr, at $now:expr => $holds:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
-            check_succession($told, $installed, $now, $holds);
+            check_succession($announced, $installed, $now, $holds);
         }
     )*};
 }
 
 successions! {
-    nobody_tells_of_a_newer_one: &[], installed 1, at 60_000 => true;
-    there_is_time_to_read_it: &[(2, 10_000)], installed 1, at 14_000 => true;
+    catalog_is_valid_without_an_announcement: &[], installed 1, at 60_000 => true;
+    catalog_is_valid_while_the_newer_one_is_read: &[(2, 10_000)], installed 1, at 14_000 => true;
     // The bound counts from the confirmation, of which this instance was notified later.
-    time_to_hear_of_it_is_kept_back: &[(2, 10_000)], installed 1, at 14_300 => false;
-    it_is_in_force: &[(2, 10_000)], installed 2, at 14_300 => true;
+    announcement_delay_is_deducted: &[(2, 10_000)], installed 1, at 14_300 => false;
+    announced_catalog_is_in_force: &[(2, 10_000)], installed 2, at 14_300 => true;
     // Several changes in quick succession: the catalog in force is newer than some of the
     // announced ones. The first announced version that is newer than it determines the
     // bound.
-    first_newer_one_counts: &[(2, 10_000), (3, 12_000), (4, 13_000)], installed 2, at 16_000 => true;
-    first_newer_one_counts_to_its_end: &[(2, 10_000), (3, 12_000), (4, 13_000)], installed 2, at 16_300 => false;
+    first_newer_version_sets_the_bound: &[(2, 10_000), (3, 12_000), (4, 13_000)], installed 2, at 16_000 => true;
+    bound_of_the_first_newer_version_expires: &[(2, 10_000), (3, 12_000), (4, 13_000)], installed 2, at 16_300 => false;
     // The same announcement from another instance does not restart the bound.
-    same_word_again: &[(2, 10_000), (2, 14_000)], installed 1, at 14_300 => false;
-    late_word_of_an_older_one: &[(3, 10_000), (2, 14_000)], installed 1, at 14_300 => false;
+    repeated_announcement_does_not_restart_the_bound: &[(2, 10_000), (2, 14_000)], installed 1, at 14_300 => false;
+    late_announcement_of_an_older_version_changes_nothing: &[(3, 10_000), (2, 14_000)], installed 1, at 14_300 => false;
 }
 
 /// There are more changes than are stored separately; none may be lost.
 #[test]
-fn long_storm_is_not_forgotten() {
+fn many_announcements_are_not_lost() {
     let mut succession = Succession::new(Some(BOUND));
     for version in 2..500 {
         assert!(succession.tell(version, at(10_000)));
--- a/crates/route/tests/relay/holders.rs
+++ b/crates/route/tests/relay/holders.rs
@@ -8,30 +8,30 @@
     Duration::from_secs(seconds)
 }
 
-fn of(holders: &Holders, part: u32, now: Duration) -> Vec<u32> {
-    holders.of(part, now).collect()
+fn holders_of(holders: &Holders, prefix: u32, now: Duration) -> Vec<u32> {
+    holders.of(prefix, now).collect()
 }
 
 /// A frequently used prefix is processed by one endpoint after another. Each is stored
 /// once, until the endpoint has replaced the prefix in its cache.
 #[test]
-fn holders_of_a_hot_part_are_remembered_for_a_while() {
+fn holders_are_stored_until_the_cache_lifetime_ends() {
     let mut holders = Holders::default();
     holders.note(7, 1, seconds(0));
     holders.note(7, 2, seconds(5));
     holders.note(7, 1, seconds(10));
-    assert_eq!(of(&holders, 7, seconds(12)), [2, 1]);
-    assert_eq!(of(&holders, 7, seconds(21)), [1]);
-    assert!(of(&holders, 7, seconds(26)).is_empty());
-    assert!(of(&holders, 8, seconds(12)).is_empty());
+    assert_eq!(holders_of(&holders, 7, seconds(12)), [2, 1]);
+    assert_eq!(holders_of(&holders, 7, seconds(21)), [1]);
+    assert!(holders_of(&holders, 7, seconds(26)).is_empty());
+    assert!(holders_of(&holders, 8, seconds(12)).is_empty());
 }
 
 /// If many endpoints process a prefix, only the latest few are stored.
 #[test]
-fn youngest_holders_are_kept() {
+fn latest_holders_are_kept() {
     let mut holders = Holders::default();
     (1..=9).for_each(|endpoint| holders.note(7, endpoint, seconds(1)));
-    assert_eq!(of(&holders, 7, seconds(2)), [6, 7, 8, 9]);
+    assert_eq!(holders_of(&holders, 7, seconds(2)), [6, 7, 8, 9]);
 }
 
 /// Prefixes that are requested only once must not use unbounded memory, and must make room
@@ -39,8 +39,8 @@
 #[test]
 fn memory_stays_bounded() {
     let mut holders = Holders::default();
-    (0..20_000).for_each(|part| holders.note(part, 1, seconds(1)));
-    assert!(of(&holders, 100, seconds(2)) == [1] && of(&holders, 19_999, seconds(2)).is_empty());
+    (0..20_000).for_each(|prefix| holders.note(prefix, 1, seconds(1)));
+    assert!(holders_of(&holders, 100, seconds(2)) == [1] && holders_of(&holders, 19_999, seconds(2)).is_empty());
     holders.note(19_999, 1, seconds(20));
-    assert_eq!(of(&holders, 19_999, seconds(20)), [1]);
+    assert_eq!(holders_of(&holders, 19_999, seconds(20)), [1]);
 }
--- a/crates/route/tests/relay/notice.rs
+++ b/crates/route/tests/relay/notice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use route::relay::notice::{Backlog, Budget, LEAST_MS};
+use route::relay::notice::{Backlog, Budget, MIN_READING_MS};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -11,7 +11,7 @@
 /// An endpoint gets two long prompts, the second one while it processes the first. The
 /// backlog must shrink without a message about their completion.
 #[test]
-fn backlog_melts_as_it_is_read() {
+fn backlog_shrinks_as_prompts_are_processed() {
     let mut backlog = Backlog::default();
     backlog.add(ms(10_000), 300.0);
     backlog.add(ms(10_100), 200.0);
@@ -22,7 +22,7 @@
 
 /// A long idle period of an endpoint must not reduce its later backlog.
 #[test]
-fn idle_time_does_not_count_against_later_prompts() {
+fn idle_time_does_not_reduce_later_backlog() {
     let mut backlog = Backlog::default();
     backlog.add(ms(1_000), 100.0);
     backlog.add(ms(60_000), 100.0);
@@ -31,26 +31,29 @@
 
 /// Counts the notices that an instance sends to `others` other instances within ten seconds
 /// when long prompts arrive continuously.
-fn told(others: usize) -> usize {
+fn sent_notices(others: usize) -> usize {
     let mut budget = Budget::new(ms(0));
-    (0..10_000).filter(|&at| budget.spend(ms(at), LEAST_MS, false, others)).count()
+    (0..10_000).filter(|&at| budget.spend(ms(at), MIN_READING_MS, false, others)).count()
 }
 
 /// The number of datagrams that an instance sends for many long prompts must stay bounded
 /// for any fleet size.
 #[test]
-fn datagrams_stay_bounded_at_any_size() {
+fn datagrams_stay_bounded_at_any_fleet_size() {
     for others in [1, 6, 60, 73, 750] {
-        let datagrams = told(others) * others;
+        let datagrams = sent_notices(others) * others;
         assert!(datagrams <= 5_000 + 10 * others, "{datagrams} datagrams to {others} others");
         assert!(datagrams >= 3_000, "{datagrams} datagrams to {others} others");
     }
 }
 
 #[test]
-fn only_what_others_wait_for_is_told() {
+fn only_relevant_prompts_are_announced() {
     let mut budget = Budget::new(ms(0));
-    assert!(!budget.spend(ms(0), LEAST_MS - 1.0, false, 6));
-    assert!(budget.spend(ms(0), 5.0, true, 6), "a shared part worth keeping is told whatever the model");
-    assert!(!budget.spend(ms(0), 500.0, true, 0), "there is nobody to tell");
+    assert!(!budget.spend(ms(0), MIN_READING_MS - 1.0, false, 6));
+    assert!(
+        budget.spend(ms(0), 5.0, true, 6),
+        "a shared prefix worth caching is announced whatever its processing time"
+    );
+    assert!(!budget.spend(ms(0), 500.0, true, 0), "there are no other instances");
 }
--- a/crates/route/tests/relay/pace.rs
+++ b/crates/route/tests/relay/pace.rs
@@ -6,7 +6,7 @@
 /// 40,000 tokens and takes a second. Short prompts must not inflate the estimate for long
 /// ones to a minute, nor long prompts the estimate for short ones.
 #[test]
-fn short_prompts_do_not_inflate_long_ones() {
+fn short_prompts_do_not_inflate_long_estimates() {
     let mut pace = Pace::new(15.0, 0.03);
     for round in 0..2_000 {
         let units = if round % 50 == 0 { 40_000.0 } else { 20.0 };
@@ -18,7 +18,7 @@
 
 /// Half of the endpoints are five times slower for a while.
 #[test]
-fn slow_endpoints_are_not_taken_for_the_work() {
+fn slow_endpoints_do_not_raise_the_estimate() {
     let mut pace = Pace::new(15.0, 0.03);
     for round in 0..400 {
         let slow = if round % 2 == 0 { 5.0 } else { 1.0 };
--- a/crates/route/tests/relay/placement.rs
+++ b/crates/route/tests/relay/placement.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn requests_that_share_a_part_meet_at_one_endpoint() {
+fn requests_with_a_shared_prefix_go_to_one_endpoint() {
     let mut reversed = idle();
     reversed.reverse();
     for key in 0..50 {
@@ -42,7 +42,7 @@
 /// copies the prefix and becomes a holder too, so the prefix spreads only as far as is
 /// worthwhile and is never processed again.
 #[test]
-fn hot_part_spreads_just_as_far_as_that_pays() {
+fn hot_prefix_spreads_only_as_far_as_worthwhile() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 150.0, shared_tokens: 5_000, first_ms: 60.0 };
     let mut candidates = idle();
     let mut taken = Vec::new();
@@ -64,7 +64,7 @@
 /// there costs more than copying the shared prefix and processing the rest elsewhere. The
 /// same applies to a prompt without a shared prefix.
 #[test]
-fn prompt_that_is_kept_whole_goes_there() {
+fn request_goes_to_the_holder_of_its_whole_prompt() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 150.0, shared_tokens: 5_000, first_ms: 300.0 };
     for wanted in [wanted, Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, ..wanted }] {
         let mut candidates = idle();
@@ -82,7 +82,7 @@
 /// counted, its requests would leave the holder for any endpoint that is 45 ms less busy,
 /// and half of all shared prefixes would be processed again.
 #[test]
-fn small_models_stay_with_what_was_read_too() {
+fn small_model_requests_stay_with_the_prefix_holder() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 15.0, shared_tokens: 5_000, first_ms: 10.0 };
     let mut candidates = idle();
     let first = choose(&candidates, wanted, 0).unwrap().index;
@@ -97,7 +97,7 @@
 /// A short shared prefix is processed again rather than waited for, and copying it saves
 /// almost nothing.
 #[test]
-fn short_part_waits_for_nobody() {
+fn short_prefix_does_not_wait_for_its_holder() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 1.0, shared_tokens: 200, first_ms: 10.0 };
     let mut candidates = idle();
     candidates[2].holds = true;
@@ -110,7 +110,7 @@
 /// while it is about as free as the others, since a notice that it holds the prefix may
 /// have been lost.
 #[test]
-fn part_that_nobody_has_read_does_not_wait_for_its_endpoint() {
+fn uncached_prefix_does_not_wait_for_its_hashed_endpoint() {
     let mut candidates = idle();
     let named = choose(&candidates, shared(7), 0).unwrap().index;
     candidates[named].backlog_ms = 170.0;
@@ -124,7 +124,7 @@
 /// Two endpoints hold a prefix. The request goes to the one with the shorter wait,
 /// whichever the hash selects.
 #[test]
-fn hot_part_goes_to_the_freest_of_its_holders() {
+fn hot_prefix_goes_to_its_least_busy_holder() {
     for (busy, free) in [(1, 4), (4, 1)] {
         let mut candidates = idle();
         candidates[busy].holds = true;
@@ -138,7 +138,7 @@
 /// Two in five endpoints are processing a prompt, and each instance was notified at once.
 /// Almost no request may be placed behind a prompt while other endpoints are free.
 #[test]
-fn reading_endpoints_are_passed_over_when_known_at_once() {
+fn endpoints_with_announced_backlog_are_skipped() {
     let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
     let names: Vec<String> = (0..60).map(|n| format!("e{n}")).collect();
     let reads = |n: usize| n % 5 < 2;
@@ -150,19 +150,19 @@
     };
     let candidates: Vec<Candidate<'_>> = (0..60).map(candidate).collect();
     let behind = (0..1_000).filter(|&tie| reads(choose(&candidates, plain, tie).unwrap().index)).count();
-    assert!(behind <= 10, "{behind} of 1000 behind a reading");
+    assert!(behind <= 10, "{behind} of 1000 placed behind a prompt");
 }
 
 macro_rules! avoided {
-    ($($(#[$doc:meta])* $name:ident: $spoil:expr;)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $degrade:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
             let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
             for tie in 0..30 {
                 let mut candidates = idle();
-                let spoil: fn(&mut Candidate<'_>) = $spoil;
-                spoil(&mut candidates[2]);
+                let degrade: fn(&mut Candidate<'_>) = $degrade;
+                degrade(&mut candidates[2]);
                 assert_ne!(choose(&candidates, plain, tie).unwrap().index, 2);
             }
         }
@@ -175,7 +175,7 @@
     slow_endpoint_is_avoided: |candidate| candidate.slowness = 4.0;
     // The health probe of the endpoint succeeds, but part of its requests fail.
     failing_endpoint_is_avoided: |candidate| candidate.failing = 0.3;
-    far_endpoint_is_avoided: |candidate| candidate.local = false;
+    remote_endpoint_is_avoided: |candidate| candidate.local = false;
 }
 
 #[test]
@@ -191,7 +191,7 @@
 /// Instances exchange their loads once a second and place ten requests between two updates.
 /// They must not all send these to the one endpoint that looked idle.
 #[test]
-fn old_news_makes_no_herd() {
+fn stale_loads_cause_no_herding() {
     let names: Vec<String> = (0..60).map(|n| format!("e{n}")).collect();
     let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
     let mut placed = [0_u32; 60];
@@ -209,21 +209,21 @@
 }
 
 #[test]
-fn no_endpoint_is_no_choice() {
+fn no_candidate_gives_no_choice() {
     assert_eq!(choose(&[], shared(1), 0), None);
 }
 
 /// Guards against examining each of ten thousand endpoints, which takes a millisecond per
 /// request.
 #[test]
-fn a_draw_looks_at_a_few_of_many() {
+fn sample_examines_few_of_many() {
     for count in [1, 7, 100, 10_000] {
-        let mut looks = 0;
+        let mut examined = 0;
         let drawn = sample(count, 20, 0x1234_5678_9ABC, |place| {
-            looks += 1;
+            examined += 1;
             place % 2 == 0
         });
-        assert!(looks <= 80.min(count), "{looks} of {count}");
+        assert!(examined <= 80.min(count), "{examined} of {count}");
         assert!(drawn.iter().all(|place| place % 2 == 0 && *place < count));
         let distinct: std::collections::HashSet<_> = drawn.iter().collect();
         assert_eq!(distinct.len(), drawn.len());
--- a/crates/route/tests/relay/quarantine.rs
+++ b/crates/route/tests/relay/quarantine.rs
@@ -5,7 +5,7 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use route::relay::{
     content::Content,
-    quarantine::{CRASHES, Effect, Finding, LASTS, Quarantine},
+    quarantine::{CRASH_LIMIT, Effect, Finding, LASTS, Quarantine},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -42,25 +42,25 @@
 
 cases! {
     nothing_is_refused_at_first: [] => false;
-    two_crashes_are_a_suspicion: [crash(ONE, 1), crash(ONE, 2)] => false;
-    three_crashes_are_enough: [crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)] => true;
-    one_crash_told_by_many_is_one: [crash(ONE, 1), crash(ONE, 1), crash(ONE, 1), crash(ONE, 2)] => false;
+    two_crashes_only_raise_a_suspicion: [crash(ONE, 1), crash(ONE, 2)] => false;
+    three_crashes_cause_a_refusal: [crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)] => true;
+    one_crash_reported_repeatedly_counts_once: [crash(ONE, 1), crash(ONE, 1), crash(ONE, 1), crash(ONE, 2)] => false;
     crashes_of_others_do_not_count: [crash(ONE, 1), crash(OTHER, 2), crash(OTHER, 3), crash(OTHER, 4)] => false;
-    good_end_in_between_clears: [
+    completion_in_between_clears: [
         crash(ONE, 1), crash(ONE, 2), Finding::EndedWell { content: ONE }, crash(ONE, 3), crash(ONE, 4)
     ] => false;
-    good_end_of_another_clears_nothing: [
+    completion_of_another_request_clears_nothing: [
         crash(ONE, 1), crash(ONE, 2), Finding::EndedWell { content: OTHER }, crash(ONE, 3)
     ] => true;
-    word_of_another_instance_holds: [Finding::Held { content: ONE, age: SECOND }] => true;
-    word_from_before_a_good_end_is_old: [
+    refusal_by_another_instance_is_adopted: [Finding::Held { content: ONE, age: SECOND }] => true;
+    refusal_from_before_a_completion_is_ignored: [
         crash(ONE, 1), Finding::EndedWell { content: ONE }, Finding::Held { content: ONE, age: SECOND * 5 }
     ] => false;
-    word_that_has_lapsed_holds_nothing: [Finding::Held { content: ONE, age: LASTS }] => false;
+    expired_refusal_is_ignored: [Finding::Held { content: ONE, age: LASTS }] => false;
 }
 
 #[test]
-fn effects_say_what_is_new() {
+fn effects_report_only_changes() {
     let mut quarantine = Quarantine::default();
     let effects: Vec<Effect> = [1, 2, 2, 3, 4].map(|start| quarantine.take(SECOND, crash(ONE, start))).into();
     assert_eq!(effects, [Effect::Counted, Effect::Counted, Effect::None, Effect::Held, Effect::Counted]);
@@ -75,7 +75,7 @@
 /// A request has runs at several endpoints that crash at the same moment. Only a run that
 /// was sent after a crash shows that its crash is a separate one.
 #[test]
-fn run_under_way_at_the_last_crash_tells_nothing_further() {
+fn run_active_at_the_last_crash_is_no_new_evidence() {
     let (mut quarantine, now) = after(&[crash(ONE, 1)]);
     assert!(!quarantine.is_further(now + SECOND, ONE, now));
     assert!(quarantine.is_further(now + SECOND, ONE, now + STEP));
@@ -87,7 +87,7 @@
 /// A popular request runs at many endpoints when several crash together for another reason.
 /// It has completed a moment ago and does so again elsewhere.
 #[test]
-fn mass_crash_is_one_crash_to_a_request_that_ends_well() {
+fn mass_crash_counts_once_for_a_request_that_completes() {
     let (mut quarantine, now) = after(&[Finding::EndedWell { content: ONE }]);
     for start in 0..20 {
         quarantine.take(now + SECOND, crash(ONE, start));
@@ -98,7 +98,7 @@
 /// A request completed until its endpoints got another version, and now crashes one
 /// endpoint after the other.
 #[test]
-fn good_end_of_before_excuses_no_further_crashes() {
+fn earlier_completion_does_not_excuse_later_crashes() {
     let (mut quarantine, now) = after(&[Finding::EndedWell { content: ONE }]);
     for turn in 1..=3 {
         quarantine.take(now + 2 * turn * SECOND, crash(ONE, turn));
@@ -109,10 +109,10 @@
 /// An instance that does not know that the request completed attributes a mass crash to it,
 /// and keeps reporting it as refused until it is notified.
 #[test]
-fn word_is_disproved_by_a_later_good_end() {
+fn reported_refusal_is_disproved_by_a_later_completion() {
     let (mut quarantine, now) = after(&[Finding::EndedWell { content: ONE }]);
-    let told = Finding::Held { content: ONE, age: 3 * SECOND };
-    assert_eq!(quarantine.take(now + SECOND, told), Effect::Disproved);
+    let reported = Finding::Held { content: ONE, age: 3 * SECOND };
+    assert_eq!(quarantine.take(now + SECOND, reported), Effect::Disproved);
     assert_eq!(quarantine.refuses(now + SECOND, ONE), None);
     let later = Finding::Held { content: ONE, age: Duration::ZERO };
     assert_eq!(quarantine.take(now + SECOND, later), Effect::Held);
@@ -122,7 +122,7 @@
 /// slightly later than the instance that refuses the request saw the crash. Its report that
 /// the request is refused, repeated with the load updates, makes up for the lost ones.
 #[test]
-fn word_holds_a_suspect_of_which_crashes_were_missed() {
+fn reported_refusal_applies_to_a_suspect_with_missed_crashes() {
     let (mut quarantine, now) = after(&[crash(ONE, 3)]);
     assert_eq!(quarantine.take(now, Finding::Held { content: ONE, age: STEP }), Effect::Held);
     assert_eq!(quarantine.refuses(now, ONE), Some(LASTS));
@@ -132,11 +132,11 @@
 /// older than it says. Treated as new crashes, the reports would extend the refusal
 /// forever.
 #[test]
-fn words_prolong_no_refusal() {
+fn repeated_reports_do_not_extend_a_refusal() {
     let (mut quarantine, now) = after(&[crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)]);
     for step in 1..20 {
-        let told = Finding::Held { content: ONE, age: (step * SECOND).saturating_sub(STEP) };
-        assert_eq!(quarantine.take(now + step * SECOND, told), Effect::None);
+        let reported = Finding::Held { content: ONE, age: (step * SECOND).saturating_sub(STEP) };
+        assert_eq!(quarantine.take(now + step * SECOND, reported), Effect::None);
     }
     assert_eq!(quarantine.refuses(now + LASTS, ONE), None);
 }
@@ -144,20 +144,20 @@
 /// A refusal ends, so that the request is accepted again after its endpoints were fixed. If
 /// they were not, a single crash renews it, so that it does not crash dozens of endpoints.
 #[test]
-fn refusal_lapses_into_probation() {
+fn refusal_expires_into_probation() {
     let (mut quarantine, last) = after(&[crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)]);
     assert_eq!(quarantine.refuses(last + SECOND, ONE), Some(LASTS.saturating_sub(SECOND)));
     assert_eq!(quarantine.refuses(last + LASTS, ONE), None);
-    let mut mended = quarantine.clone();
+    let mut fixed = quarantine.clone();
     assert_eq!(quarantine.take(last + LASTS, crash(ONE, 9)), Effect::Held);
     assert!(quarantine.refuses(last + LASTS + SECOND, ONE).is_some());
-    mended.take(last + LASTS, Finding::EndedWell { content: ONE });
-    assert_eq!(mended.take(last + LASTS + SECOND, crash(ONE, 9)), Effect::Counted);
+    fixed.take(last + LASTS, Finding::EndedWell { content: ONE });
+    assert_eq!(fixed.take(last + LASTS + SECOND, crash(ONE, 9)), Effect::Counted);
 }
 
 /// Crashes that are far apart have different causes.
 #[test]
-fn suspicion_lapses() {
+fn suspicion_expires() {
     let (mut quarantine, last) = after(&[crash(ONE, 1), crash(ONE, 2)]);
     assert!(quarantine.suspects(last, ONE));
     assert!(!quarantine.suspects(last + LASTS, ONE));
@@ -168,7 +168,7 @@
 /// Endpoints crash with thousands of runs, more than there is room for. Refused requests
 /// must stay refused, and memory must stay bounded.
 #[test]
-fn mass_crash_pushes_no_refusal_out() {
+fn mass_crash_evicts_no_refusal() {
     let (mut quarantine, now) = after(&[crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)]);
     for work in 100..20_000 {
         quarantine.take(now + SECOND, crash(Content { team: 2, work }, 4));
@@ -178,11 +178,11 @@
 }
 
 #[test]
-fn latest_are_told_first() {
+fn latest_refusals_are_listed_first() {
     let crashes = |content| (1..=3).map(move |start| crash(content, start));
     let (quarantine, now) = after(&crashes(ONE).chain(crashes(OTHER)).collect::<Vec<_>>());
-    let told = quarantine.held(now, 1);
-    assert_eq!(told, [Finding::Held { content: OTHER, age: Duration::ZERO }]);
+    let reported = quarantine.held(now, 1);
+    assert_eq!(reported, [Finding::Held { content: OTHER, age: Duration::ZERO }]);
     assert_eq!(quarantine.held(now, 9).len(), 2);
 }
 
@@ -213,7 +213,7 @@
         for work in 0..3 {
             let content = Content { team: 0, work };
             let crashed = (0..5).filter(|start| starts.contains(&(work, *start))).count();
-            prop_assert_eq!(one.refuses(SECOND, content).is_some(), crashed >= CRASHES);
+            prop_assert_eq!(one.refuses(SECOND, content).is_some(), crashed >= CRASH_LIMIT);
             prop_assert_eq!(other.refuses(SECOND, content), one.refuses(SECOND, content));
         }
     }
--- a/crates/route/tests/relay/throttle.rs
+++ b/crates/route/tests/relay/throttle.rs
@@ -11,7 +11,7 @@
 const STEP: Duration = Duration::from_millis(20);
 const START: Duration = Duration::from_hours(1);
 
-fn named(per_s: f64, at: Duration) -> Word {
+fn announced(per_s: f64, at: Duration) -> Word {
     Word { per_s: Some(per_s), at }
 }
 
@@ -27,10 +27,10 @@
 
 /// Returns the times of the requests that an endpoint gets from instances that always have
 /// one to send. `change` may replace their parts of the limit.
-fn crowd(per_s: f64, shares: &[Share], change: impl Fn(Duration) -> Option<Vec<Share>>) -> Vec<Duration> {
+fn send_at_capacity(per_s: f64, shares: &[Share], change: impl Fn(Duration) -> Option<Vec<Share>>) -> Vec<Duration> {
     let mut throttles = vec![Throttle::default(); shares.len()];
     for (throttle, share) in throttles.iter_mut().zip(shares) {
-        throttle.hear(START, named(per_s, START));
+        throttle.hear(START, announced(per_s, START));
         throttle.share(START, *share);
     }
     let (mut now, mut sent) = (START, Vec::new());
@@ -50,14 +50,14 @@
 }
 
 /// Returns the largest number of requests in any window of four seconds.
-fn most(sent: &[Duration]) -> usize {
+fn max_in_window(sent: &[Duration]) -> usize {
     let within = |from: &Duration| sent.iter().filter(|at| (*from..*from + WINDOW).contains(at)).count();
     sent.iter().map(within).max().unwrap_or_default()
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts are small")]
 fn is_allowed(per_s: f64, sent: &[Duration]) -> bool {
-    most(sent) as f64 <= 1.5 * per_s * WINDOW.as_secs_f64() + 5.0
+    max_in_window(sent) as f64 <= 1.5 * per_s * WINDOW.as_secs_f64() + 5.0
 }
 
 proptest! {
@@ -70,15 +70,15 @@
     /// All instances have requests at any moment. The endpoint gets little more than its
     /// limit.
     #[test]
-    fn crowd_keeps_to_the_limit(per_s in 0.05..40.0_f64, count in 1_u64..300, endpoint in any::<u32>()) {
-        let sent = crowd(per_s, &shares(per_s, endpoint, &names(count)), |_| None);
-        prop_assert!(is_allowed(per_s, &sent), "{} of {per_s} a second", most(&sent));
+    fn overload_keeps_to_the_limit(per_s in 0.05..40.0_f64, count in 1_u64..300, endpoint in any::<u32>()) {
+        let sent = send_at_capacity(per_s, &shares(per_s, endpoint, &names(count)), |_| None);
+        prop_assert!(is_allowed(per_s, &sent), "{} requests in a window at a limit of {per_s} per second", max_in_window(&sent));
     }
 
     /// An instance is considered lost by the others while it keeps sending, so that another
     /// sender takes its place.
     #[test]
-    fn crowd_keeps_to_the_limit_while_a_sender_changes(
+    fn overload_keeps_to_the_limit_while_a_sender_changes(
         per_s in 0.05..40.0_f64, count in 2_u64..60, endpoint in any::<u32>(), at in 0_u64..10_000,
     ) {
         let names = names(count);
@@ -88,22 +88,22 @@
         // part.
         let after: Vec<Share> = before[..1].iter().chain(&lost).copied().collect();
         let at = Duration::from_millis(at);
-        let sent = crowd(per_s, &before, |since| (since >= at).then(|| after.clone()));
-        prop_assert!(is_allowed(per_s, &sent), "{} of {per_s} a second", most(&sent));
+        let sent = send_at_capacity(per_s, &before, |since| (since >= at).then(|| after.clone()));
+        prop_assert!(is_allowed(per_s, &sent), "{} requests in a window at a limit of {per_s} per second", max_in_window(&sent));
     }
 
     /// The limit is used, even by a fleet of hundreds.
     #[test]
     fn limit_is_used(per_s in 1.0..40.0_f64, count in 1_u64..300, endpoint in any::<u32>()) {
-        let sent = crowd(per_s, &shares(per_s, endpoint, &names(count)), |_| None);
+        let sent = send_at_capacity(per_s, &shares(per_s, endpoint, &names(count)), |_| None);
         #[expect(clippy::cast_precision_loss, reason = "counts are small")]
-        let got = sent.len() as f64 / (5.0 * WINDOW.as_secs_f64());
-        prop_assert!(got >= 0.8 * per_s, "{got} of {per_s} a second");
+        let sent_per_s = sent.len() as f64 / (5.0 * WINDOW.as_secs_f64());
+        prop_assert!(sent_per_s >= 0.8 * per_s, "{sent_per_s} requests per second at a limit of {per_s} per second");
     }
 }
 
 #[test]
-fn endpoint_without_a_limit_takes_everything() {
+fn endpoint_without_a_limit_allows_everything() {
     let mut throttle = Throttle::default();
     for _ in 0..100 {
         assert!(throttle.takes(START));
@@ -115,7 +115,7 @@
 #[test]
 fn wait_is_until_the_next_token() {
     let mut throttle = Throttle::default();
-    throttle.hear(START, named(2.0, START));
+    throttle.hear(START, announced(2.0, START));
     throttle.share(START, Share { rate: 0.5, saved: 1.0 });
     assert!(throttle.takes(START));
     throttle.spend(START);
@@ -128,18 +128,18 @@
 /// An instance without a part tells its callers when another instance may send the next
 /// request.
 #[test]
-fn wait_without_a_part_is_that_of_the_fleet() {
+fn wait_without_a_part_is_the_wait_of_the_fleet() {
     let mut throttle = Throttle::default();
-    throttle.hear(START, named(2.0, START));
+    throttle.hear(START, announced(2.0, START));
     throttle.share(START, Share::default());
     assert!(!throttle.takes(START + 30 * SECOND));
     assert!((0.5..0.6).contains(&throttle.wait(START).as_secs_f64()));
 }
 
 #[test]
-fn limit_of_nothing_takes_nothing() {
+fn limit_of_zero_allows_nothing() {
     let mut throttle = Throttle::default();
-    throttle.hear(START, named(0.0, START));
+    throttle.hear(START, announced(0.0, START));
     throttle.share(START, share(0.0, 1, 2, std::iter::empty()));
     assert!(!throttle.takes(START));
     assert_eq!(throttle.wait(START), Duration::from_mins(1));
@@ -148,9 +148,9 @@
 /// An answer without a limit whose request was sent before the endpoint announced its limit
 /// does not end the limit.
 #[test]
-fn older_word_changes_nothing() {
+fn older_announcement_changes_nothing() {
     let mut throttle = Throttle::default();
-    assert!(throttle.hear(START + SECOND, named(2.0, START + SECOND)));
+    assert!(throttle.hear(START + SECOND, announced(2.0, START + SECOND)));
     assert!(!throttle.hear(START + SECOND, Word { per_s: None, at: START }));
     assert_eq!(throttle.limit(START + SECOND), Some(2.0));
     assert!(throttle.hear(START + 3 * SECOND, Word { per_s: None, at: START + 2 * SECOND }));
@@ -160,9 +160,9 @@
 /// If no request was sent to the endpoint for a long time, the limit expires, so that some
 /// request can find out whether the endpoint has recovered.
 #[test]
-fn limit_lapses() {
+fn limit_expires() {
     let mut throttle = Throttle::default();
-    throttle.hear(START, named(2.0, START));
+    throttle.hear(START, announced(2.0, START));
     assert_eq!(throttle.limit(START + 59 * SECOND), Some(2.0));
     assert_eq!(throttle.limit(START + 60 * SECOND), None);
 }
