--- a/crates/route/src/address.rs
+++ b/crates/route/src/address.rs
@@ -1,10 +1,10 @@
-//! Which instances a customer's callers use.
+//! Selects the instances that a customer's callers use.
 //!
-//! Each customer gets a small set, the same at every instance that is asked:
-//! fewer budget grants, warmer prefix caches, and a customer that misbehaves
-//! reaches few instances. Rendezvous hashing picks it, so that an instance
-//! that goes changes only the sets it was in, each by one member. The set
-//! spreads over failure domains before it takes a second instance of one.
+//! Each customer gets a small set, the same at every instance that is asked. This needs
+//! fewer budget grants, keeps prefix caches warm, and limits a misbehaving customer to few
+//! instances. Sets are selected by rendezvous hashing, so the loss of an instance changes
+//! only the sets that contain it, each by one member. A set covers all failure domains
+//! before it contains a second instance of one.
 
 use world::{
     Millis,
@@ -15,88 +15,89 @@
     session,
 };
 
-/// How sets are cut.
+/// Parameters for the size and lifetime of sets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Fewest instances in a set, where there are as many.
+    /// Minimum number of instances in a set, if there are as many.
     pub min: usize,
-    /// Concurrent requests one instance of a set should carry for a customer.
+    /// Number of concurrent requests of a customer that one instance of its set should
+    /// handle.
     pub load_per_instance: f64,
-    /// How long callers may keep an answer, in milliseconds.
+    /// Time for which callers may cache an answer, in milliseconds.
     pub keep_ms: Millis,
-    /// The same while an instance of the set is suspect.
-    pub unsettled_keep_ms: Millis,
+    /// Time for which callers may cache an answer that contains a suspect instance, in
+    /// milliseconds.
+    pub suspect_keep_ms: Millis,
 }
 
 impl Default for Policy {
     fn default() -> Self {
-        Self { min: 3, load_per_instance: 64.0, keep_ms: 10_000, unsettled_keep_ms: 2_000 }
+        Self { min: 3, load_per_instance: 64.0, keep_ms: 10_000, suspect_keep_ms: 2_000 }
     }
 }
 
-/// Who asks.
+/// The caller that asks for instances.
 #[derive(Debug, Clone, Copy)]
 pub struct Caller<'a> {
-    /// Whose caller.
+    /// Customer that the caller belongs to.
     pub customer: &'a Customer,
-    /// Its session, where it named one.
+    /// Session of the caller, if it sent one.
     pub session: Option<&'a session::Id>,
-    /// Its failure domain, where it named one.
+    /// Failure domain of the caller, if it sent one.
     pub domain: Option<&'a Domain>,
-    /// The customer's concurrent requests over all instances.
+    /// Number of concurrent requests of the customer over all instances.
     pub load: f64,
 }
 
-/// The answer, best instance first.
+/// The answer to a caller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct List<'a> {
-    /// Instances to use, in this order.
+    /// Instances to use, in order of preference.
     pub instances: Vec<&'a Instance>,
-    /// How long the answer may be kept, in milliseconds.
+    /// Time for which the answer may be cached, in milliseconds.
     pub keep_ms: Millis,
 }
 
-/// The instances a caller uses.
+/// Returns the instances that a caller should use.
 ///
-/// Leaving and gone instances are left out; suspect ones stand last, since a
-/// suspicion is often wrong and dropping them at once would move customers
-/// twice.
+/// Instances that are leaving or gone are omitted. Suspect instances are listed last, since
+/// a suspicion is often wrong and omitting them at once would move customers twice.
 #[must_use]
 pub fn list<'a>(policy: &Policy, instances: &'a [Instance], caller: &Caller<'_>) -> List<'a> {
     let mut set = set(policy, instances, caller);
     let order = order_key(caller);
     set.sort_by_cached_key(|instance| {
         let suspect = instance.state == State::Suspect;
-        let away = caller.domain.is_some_and(|domain| *domain != instance.domain);
-        (suspect, away, std::cmp::Reverse(weight(order, instance)))
+        let is_remote = caller.domain.is_some_and(|domain| *domain != instance.domain);
+        (suspect, is_remote, std::cmp::Reverse(rendezvous_weight(order, instance)))
     });
-    let settled = set.iter().all(|instance| instance.state == State::Live);
-    let keep_ms = if settled { policy.keep_ms } else { policy.unsettled_keep_ms };
+    let all_live = set.iter().all(|instance| instance.state == State::Live);
+    let keep_ms = if all_live { policy.keep_ms } else { policy.suspect_keep_ms };
     List { instances: set, keep_ms }
 }
 
-/// The customer's set, by rank.
+/// Returns the customer's set in order of rank.
 fn set<'a>(policy: &Policy, instances: &'a [Instance], caller: &Caller<'_>) -> Vec<&'a Instance> {
     let key = hash::stable(caller.customer.as_str().as_bytes());
     let mut ranked: Vec<_> = instances.iter().filter(|i| matches!(i.state, State::Live | State::Suspect)).collect();
-    ranked.sort_by_cached_key(|instance| std::cmp::Reverse(weight(key, instance)));
+    ranked.sort_by_cached_key(|instance| std::cmp::Reverse(rendezvous_weight(key, instance)));
     let wanted = size(policy, caller.load).min(ranked.len());
     let mut chosen: Vec<&Instance> = Vec::with_capacity(wanted);
-    let mut rounds = 1;
+    let mut max_per_domain = 1;
     while chosen.len() < wanted {
         for instance in &ranked {
-            let same = chosen.iter().filter(|c| c.domain == instance.domain).count();
+            let same_domain = chosen.iter().filter(|c| c.domain == instance.domain).count();
             let taken = chosen.iter().any(|c| c.id == instance.id);
-            if !taken && same < rounds && chosen.len() < wanted {
+            if !taken && same_domain < max_per_domain && chosen.len() < wanted {
                 chosen.push(instance);
             }
         }
-        rounds += 1;
+        max_per_domain += 1;
     }
     chosen
 }
 
-/// Instances a load needs, one spare included.
+/// Returns the number of instances that a load needs, including one spare.
 fn size(policy: &Policy, load: f64) -> usize {
     let needed = (load.max(0.0) / policy.load_per_instance).ceil();
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded by u32, never negative")]
@@ -104,7 +105,9 @@
     policy.min.max(needed + 1)
 }
 
-/// A session's requests meet at one instance; other calls of a customer do too.
+/// Returns the hash key that determines the order of the instances. It depends on the
+/// session, so that a session's requests go to the same instance. Requests without a
+/// session use one key per customer.
 fn order_key(caller: &Caller<'_>) -> u64 {
     match caller.session {
         Some(session) => hash::stable(format!("{}/{session}", caller.customer).as_bytes()),
@@ -112,6 +115,7 @@
     }
 }
 
-fn weight(key: u64, instance: &Instance) -> u64 {
+/// Returns the rendezvous weight of an instance for a key.
+fn rendezvous_weight(key: u64, instance: &Instance) -> u64 {
     hash::rendezvous(key, instance.id.as_str().as_bytes())
 }
--- a/crates/route/src/endpoint/subset.rs
+++ b/crates/route/src/endpoint/subset.rs
@@ -1,10 +1,10 @@
-//! The part of a target's endpoints that one instance works with.
+//! Selects the subset of a target's endpoints that one instance uses.
 //!
-//! Endpoints and instances are each ordered by hash. An instance takes a run
-//! of endpoints that starts at its own rank: every endpoint is in as many
-//! subsets as any other (give or take one), none is left out, and one instance
-//! more or less shifts the runs by a little. Ranks need one look at each
-//! instance and each endpoint, never at pairs of them.
+//! Endpoints and instances are each ordered by hash. An instance uses a contiguous range of
+//! endpoints that starts in proportion to its own rank. Every endpoint is in as many
+//! subsets as any other (give or take one), none is left out, and adding or removing an
+//! instance shifts the ranges only slightly. Ranks are computed in one pass over the
+//! instances and one over the endpoints, never over pairs.
 
 use std::collections::HashMap;
 
@@ -12,19 +12,19 @@
 
 use super::{Key, Peer};
 
-/// Endpoints of a target taken in the instance's own failure domain.
-const LOCAL: usize = 24;
-/// Endpoints of a target taken wherever they stand.
-const ANYWHERE: usize = 8;
-/// How long an endpoint that answered "not loaded" is left out.
-const ABSENT_MS: Millis = 2_000;
-/// Share of the newest run in the typical pace.
-const STEP: f64 = 0.02;
+/// Number of a target's endpoints used in the instance's own failure domain.
+const LOCAL_ENDPOINTS: usize = 24;
+/// Number of a target's endpoints used in any failure domain.
+const ANY_DOMAIN_ENDPOINTS: usize = 8;
+/// Time for which an endpoint that answered "not loaded" is skipped.
+const NOT_LOADED_MS: Millis = 2_000;
+/// Weight of the newest run in the typical time per token.
+const PACE_STEP: f64 = 0.02;
 
-/// Step by which the time of a run follows.
-const RUN_STEP: f64 = 0.005;
-/// Time of a run before the first has ended.
-const BLANK_RUN_MS: f64 = 1_000.0;
+/// Relative step by which the estimated run duration follows each run.
+const RUN_MS_STEP: f64 = 0.005;
+/// Estimated run duration before the first run has ended.
+const INITIAL_RUN_MS: f64 = 1_000.0;
 
 /// One endpoint of a subset.
 #[derive(Debug, Clone, Copy)]
@@ -34,71 +34,82 @@
     pub local: bool,
 }
 
-/// The endpoints of one target.
+/// The endpoints of one target that this instance uses.
 #[derive(Debug)]
 pub(super) struct Subset {
     pub members: Vec<Member>,
-    absent: HashMap<Key, Timestamp>,
-    pace: Option<f64>,
+    /// Endpoints without the target, and the time until which they are skipped.
+    absent_until: HashMap<Key, Timestamp>,
+    /// Typical time per output token, in milliseconds.
+    typical_ms_per_token: Option<f64>,
+    /// Estimated duration of a run in a batch, in milliseconds.
     run_ms: f64,
 }
 
 impl Subset {
     pub fn new(members: Vec<Member>, before: Option<&Self>) -> Self {
-        let absent = before.map(|b| b.absent.clone()).unwrap_or_default();
-        Self { members, absent, pace: before.and_then(|b| b.pace), run_ms: before.map_or(BLANK_RUN_MS, |b| b.run_ms) }
+        let absent_until = before.map(|b| b.absent_until.clone()).unwrap_or_default();
+        Self {
+            members,
+            absent_until,
+            typical_ms_per_token: before.and_then(|b| b.typical_ms_per_token),
+            run_ms: before.map_or(INITIAL_RUN_MS, |b| b.run_ms),
+        }
     }
 
-    /// Takes in a run's time and says how slow it was against the typical one.
-    pub fn observe(&mut self, millis: Millis, tokens: u32) -> f64 {
+    /// Records the duration of a run and returns its time per token relative to the typical
+    /// one.
+    pub fn observe_run(&mut self, millis: Millis, tokens: u32) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "run times are far below 2^52 milliseconds")]
         let millis = millis.max(1) as f64;
-        let pace = millis / f64::from(tokens.max(1));
-        // Follows the lower quartile: waits in an engine's queue must not count
-        // as time in its batch.
-        let step = if millis < self.run_ms { -3.0 * RUN_STEP } else { RUN_STEP };
+        let ms_per_token = millis / f64::from(tokens.max(1));
+        // Tracks the lower quartile, because waits in an engine's queue must not count as
+        // time in its batch.
+        let step = if millis < self.run_ms { -3.0 * RUN_MS_STEP } else { RUN_MS_STEP };
         self.run_ms *= 1.0 + step;
-        let typical = self.pace.get_or_insert(pace);
-        // A mean of logarithms: one run that hung for minutes must not make
-        // every slow endpoint look typical.
-        *typical = (STEP.mul_add(pace.ln() - typical.ln(), typical.ln())).exp();
-        pace / *typical
+        let typical = self.typical_ms_per_token.get_or_insert(ms_per_token);
+        // Averages logarithms, so that one run that hung for minutes does not make every
+        // slow endpoint look typical.
+        *typical = (PACE_STEP.mul_add(ms_per_token.ln() - typical.ln(), typical.ln())).exp();
+        ms_per_token / *typical
     }
 
-    /// Time of a run in a batch, in milliseconds.
+    /// Returns the estimated duration of a run in a batch, in milliseconds.
     pub fn run_ms(&self) -> f64 {
         self.run_ms.max(1.0)
     }
 
-    pub fn absent(&mut self, key: Key, now: Timestamp) {
-        self.absent.insert(key, now.plus(ABSENT_MS));
+    /// Skips an endpoint that answered that it does not have the target loaded.
+    pub fn mark_absent(&mut self, key: Key, now: Timestamp) {
+        self.absent_until.insert(key, now.plus(NOT_LOADED_MS));
     }
 
-    pub fn loaded(&mut self, key: Key, loaded: bool) {
-        if loaded {
-            self.absent.remove(&key);
+    /// Records whether an endpoint reports the target as loaded.
+    pub fn set_loaded(&mut self, key: Key, is_loaded: bool) {
+        if is_loaded {
+            self.absent_until.remove(&key);
         } else if self.members.iter().any(|member| member.key == key) {
-            self.absent.insert(key, Timestamp(u64::MAX));
+            self.absent_until.insert(key, Timestamp(u64::MAX));
         }
     }
 
     pub fn is_absent(&self, key: Key, now: Timestamp) -> bool {
-        !self.absent.is_empty() && self.absent.get(&key).is_some_and(|until| now < *until)
+        !self.absent_until.is_empty() && self.absent_until.get(&key).is_some_and(|until| now < *until)
     }
 }
 
-/// An instance's place among the live ones.
+/// Ranks of an instance among the live instances.
 #[derive(Debug)]
 pub(super) struct Ranks {
     local: Rank,
     all: Rank,
 }
 
-/// A place: the `at`th of `of`.
+/// Zero-based rank `index` among `total` instances.
 #[derive(Debug, Clone, Copy)]
 struct Rank {
-    at: usize,
-    of: usize,
+    index: usize,
+    total: usize,
 }
 
 impl Ranks {
@@ -109,14 +120,15 @@
         }
     }
 
-    /// The endpoints of a target that this instance works with: a run of its
-    /// own failure domain's, and a run of all for when that one is full or gone.
+    /// Returns the endpoints of a target that this instance uses: a range of those in its
+    /// own failure domain, and a range of all of them for when the local ones are full or
+    /// lost.
     pub fn subset<'a>(&self, domain: &Domain, endpoints: &'a [Endpoint]) -> Vec<&'a Endpoint> {
         let local = endpoints.iter().filter(|endpoint| endpoint.domain == *domain).collect();
-        let mut subset = run(local, self.local, LOCAL);
-        let spare = LOCAL - subset.len().min(LOCAL);
-        for endpoint in run(endpoints.iter().collect(), self.all, ANYWHERE + spare) {
-            if !subset.iter().any(|held| std::ptr::eq(*held, endpoint)) {
+        let mut subset = endpoint_range(local, self.local, LOCAL_ENDPOINTS);
+        let spare = LOCAL_ENDPOINTS - subset.len().min(LOCAL_ENDPOINTS);
+        for endpoint in endpoint_range(endpoints.iter().collect(), self.all, ANY_DOMAIN_ENDPOINTS + spare) {
+            if !subset.iter().any(|selected| std::ptr::eq(*selected, endpoint)) {
                 subset.push(endpoint);
             }
         }
@@ -125,32 +137,33 @@
 }
 
 fn rank<'a>(me: &Peer, others: impl Iterator<Item = &'a Peer>) -> Rank {
-    let place = |peer: &Peer| (hash::stable(peer.id.as_str().as_bytes()), peer.id.clone());
-    let mine = place(me);
-    let mut rank = Rank { at: 0, of: 1 };
+    let sort_key = |peer: &Peer| (hash::stable(peer.id.as_str().as_bytes()), peer.id.clone());
+    let own_key = sort_key(me);
+    let mut rank = Rank { index: 0, total: 1 };
     for peer in others.filter(|peer| peer.id != me.id) {
-        rank.of += 1;
-        rank.at += usize::from(place(peer) < mine);
+        rank.total += 1;
+        rank.index += usize::from(sort_key(peer) < own_key);
     }
     rank
 }
 
-/// A run of endpoints that starts at the instance's rank.
+/// Returns the range of endpoints that starts at the instance's rank.
 ///
-/// Where the runs of all instances would leave some endpoints out, they are
-/// lengthened until they touch.
-fn run(mut endpoints: Vec<&Endpoint>, rank: Rank, most: usize) -> Vec<&Endpoint> {
+/// If the ranges of all instances would leave some endpoints out, they are extended until
+/// they touch.
+fn endpoint_range(mut endpoints: Vec<&Endpoint>, rank: Rank, preferred_len: usize) -> Vec<&Endpoint> {
     let count = endpoints.len();
-    let wanted = most.max(count.div_ceil(rank.of));
+    let wanted = preferred_len.max(count.div_ceil(rank.total));
     if count <= wanted {
         return endpoints;
     }
     endpoints.sort_unstable_by_key(|endpoint| hash::stable(endpoint.id.as_str().as_bytes()));
-    let start = rank.at * count / rank.of;
+    let start = rank.index * count / rank.total;
     (start..start + wanted).map(|position| endpoints[position % count]).collect()
 }
 
-/// How strongly a prefix prefers an endpoint; the highest wins.
-pub(super) fn weight(prefix: u64, endpoint: u64) -> u64 {
+/// Returns the rendezvous weight of an endpoint for a prefix. The highest weight is
+/// preferred.
+pub(super) fn rendezvous_weight(prefix: u64, endpoint: u64) -> u64 {
     hash::rendezvous(prefix, &endpoint.to_le_bytes())
 }
--- a/crates/route/tests/address.rs
+++ b/crates/route/tests/address.rs
@@ -1,4 +1,4 @@
-//! Which instances a customer's callers use.
+//! Selection of the instances that a customer's callers use.
 
 use std::collections::BTreeSet;
 
@@ -37,9 +37,9 @@
     list.instances.into_iter().map(|instance| instance.id.clone()).collect()
 }
 
-/// An instance goes. Only customers that had it change, each by one member.
+/// When an instance leaves, only the sets that contain it change, each by one member.
 #[test]
-fn few_customers_move() {
+fn few_customers_change_their_set() {
     for (count, domains) in [(7, 4), (31, 8), (750, 8)] {
         let before = fleet(count, domains);
         let mut after = before.clone();
@@ -56,12 +56,14 @@
             }
         }
         let by_modulo = (0..400).filter(|number| modulo(*number, count) != modulo(*number, count - 1)).count();
-        println!("{count} instances, one goes: {moved} of 400 customers move; counted off by a hash: {by_modulo}");
-        assert!(moved * count <= 400 * 3 * 2, "{moved} of 400 customers moved at {count} instances");
+        println!(
+            "{count} instances, one leaves: {moved} of 400 customers change their set; by a hash modulo the count: {by_modulo}"
+        );
+        assert!(moved * count <= 400 * 3 * 2, "{moved} of 400 customers changed their set at {count} instances");
     }
 }
 
-/// The baseline: three in a row from a hash's place in the list.
+/// Baseline: three consecutive instances, starting at the index given by a hash.
 fn modulo(number: usize, count: usize) -> Vec<usize> {
     let first = world::hash::stable(customer(number).as_str().as_bytes()) % count as u64;
     (0..3).map(|next| (usize::try_from(first).unwrap() + next) % count).collect()
@@ -87,7 +89,8 @@
     assert_eq!([size(0.0), size(100.0), size(640.0), size(1e9)], [3, 3, 11, 31]);
 }
 
-/// A larger set holds the smaller one: a customer that grows keeps its homes.
+/// The set for a larger load contains the set for a smaller one, so a growing customer
+/// keeps its instances.
 #[test]
 fn growth_keeps_the_set() {
     let instances = fleet(31, 8);
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn own_domain_first_and_leaving_left_out() {
+fn own_domain_is_first_and_leaving_is_omitted() {
     let mut instances = fleet(8, 4);
     let customer = customer(3);
     let domain = Domain::parse("d2").unwrap();
@@ -119,12 +122,12 @@
 
     instances[place].state = State::Suspect;
     let list = address::list(&policy, &instances, &asked);
-    assert_eq!(list.instances.last().unwrap().id, first.id, "a suspect stands last");
-    assert_eq!(list.keep_ms, policy.unsettled_keep_ms);
+    assert_eq!(list.instances.last().unwrap().id, first.id, "a suspect instance is last");
+    assert_eq!(list.keep_ms, policy.suspect_keep_ms);
 }
 
-/// A session's callers all get the same order, whichever instance they ask;
-/// a customer's sessions spread over its set.
+/// All requests of a session get the same order from any instance. The sessions of a
+/// customer spread over its set.
 #[test]
 fn sessions_spread_over_the_set() {
     let instances = fleet(7, 4);
--- a/crates/route/tests/relay/placement.rs
+++ b/crates/route/tests/relay/placement.rs
@@ -1,4 +1,4 @@
-//! Where work goes: to what an endpoint has read, until waiting costs more.
+//! Requests are placed at endpoints that hold their prefix until waiting there costs more.
 
 use route::relay::placement::{Candidate, Wanted, choose, sample};
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn requests_that_share_a_part_meet_at_one_endpoint() {
+fn requests_with_a_shared_prefix_go_to_one_endpoint() {
     let mut reversed = idle();
     reversed.reverse();
     for key in 0..50 {
@@ -37,12 +37,12 @@
     }
 }
 
-/// One part gets much of the traffic. Its holder is left as soon as waiting there
-/// costs more than copying the part elsewhere: 175 ms for 5,000 tokens. The next
-/// endpoint copies it and is a holder as well, so it spreads just as far as that
-/// pays, and nobody reads it again.
+/// A prefix is used by many requests. Its holder is no longer chosen once waiting there
+/// costs more than copying the prefix elsewhere: 175 ms for 5,000 tokens. The next endpoint
+/// copies the prefix and becomes a holder too, so the prefix spreads only as far as is
+/// worthwhile and is never processed again.
 #[test]
-fn hot_part_spreads_just_as_far_as_that_pays() {
+fn hot_prefix_spreads_only_as_far_as_worthwhile() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 150.0, shared_tokens: 5_000, first_ms: 60.0 };
     let mut candidates = idle();
     let mut taken = Vec::new();
@@ -59,12 +59,12 @@
     }
 }
 
-/// All callers resume their streams at once after a loss of all instances. One
-/// whose whole prompt is kept goes there though others are freer, until waiting
-/// there costs more than copying the shared part and reading the rest elsewhere;
-/// so does a prompt that shares nothing.
+/// All callers resume their streams at once after all instances were lost. A prompt that an
+/// endpoint holds entirely goes there even if other endpoints are less busy, until waiting
+/// there costs more than copying the shared prefix and processing the rest elsewhere. The
+/// same applies to a prompt without a shared prefix.
 #[test]
-fn prompt_that_is_kept_whole_goes_there() {
+fn request_goes_to_the_holder_of_its_whole_prompt() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 150.0, shared_tokens: 5_000, first_ms: 300.0 };
     for wanted in [wanted, Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, ..wanted }] {
         let mut candidates = idle();
@@ -78,11 +78,11 @@
     }
 }
 
-/// A small model reads a shared part of 5,000 tokens in 15 ms. Its requests left
-/// what was read for them for any endpoint that was 45 ms less busy, and half of
-/// all shared parts were read again.
+/// A small model processes a shared prefix of 5,000 tokens in 15 ms. If only that time
+/// counted, its requests would leave the holder for any endpoint that is 45 ms less busy,
+/// and half of all shared prefixes would be processed again.
 #[test]
-fn small_models_stay_with_what_was_read_too() {
+fn small_model_requests_stay_with_the_prefix_holder() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 15.0, shared_tokens: 5_000, first_ms: 10.0 };
     let mut candidates = idle();
     let first = choose(&candidates, wanted, 0).unwrap().index;
@@ -94,10 +94,10 @@
     assert!(elsewhere.index != first && elsewhere.source == Some(first));
 }
 
-/// A short shared part is read again sooner than its holder is waited for, and
-/// there is next to nothing to copy.
+/// A short shared prefix is processed again rather than waited for, and copying it saves
+/// almost nothing.
 #[test]
-fn short_part_waits_for_nobody() {
+fn short_prefix_does_not_wait_for_its_holder() {
     let wanted = Wanted { affinity: Some(7), reread_ms: 1.0, shared_tokens: 200, first_ms: 10.0 };
     let mut candidates = idle();
     candidates[2].holds = true;
@@ -105,12 +105,12 @@
     assert_ne!(choose(&candidates, wanted, 0).unwrap().index, 2);
 }
 
-/// A part that nobody has read yet. It need not wait behind another prompt at
-/// the endpoint that its hash names: read anywhere else it costs the same. That
-/// endpoint is only taken while it is about as free as the others, since word
-/// of a reading there may have been lost.
+/// No endpoint holds the prefix yet. The request need not wait for the endpoint that the
+/// hash selects, since processing costs the same anywhere. That endpoint is chosen only
+/// while it is about as free as the others, since a notice that it holds the prefix may
+/// have been lost.
 #[test]
-fn part_that_nobody_has_read_does_not_wait_for_its_endpoint() {
+fn uncached_prefix_does_not_wait_for_its_hashed_endpoint() {
     let mut candidates = idle();
     let named = choose(&candidates, shared(7), 0).unwrap().index;
     candidates[named].backlog_ms = 170.0;
@@ -121,10 +121,10 @@
     assert_eq!(choose(&candidates, shared(7), 0).unwrap().index, 3);
 }
 
-/// Two endpoints have read a hot part; its next request goes to the one where
-/// it waits less, whichever its hash names first.
+/// Two endpoints hold a prefix. The request goes to the one with the shorter wait,
+/// whichever the hash selects.
 #[test]
-fn hot_part_goes_to_the_freest_of_its_holders() {
+fn hot_prefix_goes_to_its_least_busy_holder() {
     for (busy, free) in [(1, 4), (4, 1)] {
         let mut candidates = idle();
         candidates[busy].holds = true;
@@ -135,10 +135,10 @@
     }
 }
 
-/// Two in five endpoints are reading, and each instance was told so at once:
-/// nobody is placed behind a reading while others are free.
+/// Two in five endpoints are processing a prompt, and each instance was notified at once.
+/// Almost no request may be placed behind a prompt while other endpoints are free.
 #[test]
-fn reading_endpoints_are_passed_over_when_known_at_once() {
+fn endpoints_with_announced_backlog_are_skipped() {
     let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
     let names: Vec<String> = (0..60).map(|n| format!("e{n}")).collect();
     let reads = |n: usize| n % 5 < 2;
@@ -150,19 +150,19 @@
     };
     let candidates: Vec<Candidate<'_>> = (0..60).map(candidate).collect();
     let behind = (0..1_000).filter(|&tie| reads(choose(&candidates, plain, tie).unwrap().index)).count();
-    assert!(behind <= 10, "{behind} of 1000 behind a reading");
+    assert!(behind <= 10, "{behind} of 1000 placed behind a prompt");
 }
 
 macro_rules! avoided {
-    ($($(#[$doc:meta])* $name:ident: $spoil:expr;)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $degrade:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
             let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
             for tie in 0..30 {
                 let mut candidates = idle();
-                let spoil: fn(&mut Candidate<'_>) = $spoil;
-                spoil(&mut candidates[2]);
+                let degrade: fn(&mut Candidate<'_>) = $degrade;
+                degrade(&mut candidates[2]);
                 assert_ne!(choose(&candidates, plain, tie).unwrap().index, 2);
             }
         }
@@ -173,9 +173,9 @@
     busy_endpoint_is_avoided: |candidate| candidate.runs = 10.0;
     full_endpoint_is_avoided: |candidate| candidate.runs = 40.0;
     slow_endpoint_is_avoided: |candidate| candidate.slowness = 4.0;
-    // Its health probe is good, and it fails part of its requests.
+    // The health probe of the endpoint succeeds, but part of its requests fail.
     failing_endpoint_is_avoided: |candidate| candidate.failing = 0.3;
-    far_endpoint_is_avoided: |candidate| candidate.local = false;
+    remote_endpoint_is_avoided: |candidate| candidate.local = false;
 }
 
 #[test]
@@ -188,11 +188,10 @@
     assert!(counts.iter().all(|&count| (60..150).contains(&count)), "{counts:?}");
 }
 
-/// A fleet of instances hears of each other's loads once a second. Between two
-/// news each places ten requests by what it heard last, and no instance may
-/// send them all to the one endpoint that looked idle: the others do the same.
+/// Instances exchange their loads once a second and place ten requests between two updates.
+/// They must not all send these to the one endpoint that looked idle.
 #[test]
-fn old_news_makes_no_herd() {
+fn stale_loads_cause_no_herding() {
     let names: Vec<String> = (0..60).map(|n| format!("e{n}")).collect();
     let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
     let mut placed = [0_u32; 60];
@@ -204,27 +203,27 @@
             (0..60).map(|n| Candidate { id: &names[n], local: local(n), runs: runs(n), ..IDLE }).collect();
         placed[choose(&candidates, plain, tie).unwrap().index] += 1;
     }
-    // 740 requests on 60 endpoints: some 12 each, and a few times that at most.
+    // 740 requests on 60 endpoints: about 12 each, and at most a few times that.
     assert!(placed.iter().all(|&count| count <= 60), "{placed:?}");
     assert!(placed.iter().all(|&count| count >= 1), "{placed:?}");
 }
 
 #[test]
-fn no_endpoint_is_no_choice() {
+fn no_candidate_gives_no_choice() {
     assert_eq!(choose(&[], shared(1), 0), None);
 }
 
-/// A decision among ten thousand endpoints looked at each of them, a millisecond's
-/// work for every request.
+/// Guards against examining each of ten thousand endpoints, which takes a millisecond per
+/// request.
 #[test]
-fn a_draw_looks_at_a_few_of_many() {
+fn sample_examines_few_of_many() {
     for count in [1, 7, 100, 10_000] {
-        let mut looks = 0;
+        let mut examined = 0;
         let drawn = sample(count, 20, 0x1234_5678_9ABC, |place| {
-            looks += 1;
+            examined += 1;
             place % 2 == 0
         });
-        assert!(looks <= 80.min(count), "{looks} of {count}");
+        assert!(examined <= 80.min(count), "{examined} of {count}");
         assert!(drawn.iter().all(|place| place % 2 == 0 && *place < count));
         let distinct: std::collections::HashSet<_> = drawn.iter().collect();
         assert_eq!(distinct.len(), drawn.len());
