--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -13,11 +13,11 @@
 
 use relay::{
     clock,
-    desk::{
-        Desk,
+    dispatcher::{
+        Dispatcher,
         fleet::{Job, Load, Notice, short_hash},
         peers::{Asking, Phase, Sighting, Word},
-        track::Change,
+        synchronization::Change,
     },
     settings::Cores,
     source::Endpoint,
@@ -40,39 +40,39 @@
 pub fn run() {
     println!("instances, 200 endpoints | piece heard | sightings taken | news sent to | addresses told | watch asked");
     for instances in INSTANCES {
-        let desk = desk(instances, 200);
+        let dispatcher = dispatcher(instances, 200);
         let mut number = 0;
         let heard = measure(|| {
             number += 1;
-            desk.hear(&name(number % instances), news(number % instances), word(number % instances, number, 200));
+            dispatcher.hear(&name(number % instances), news(number % instances), word(number % instances, number, 200));
         });
-        let sightings = measure(|| desk.take_sightings((0..40).map(|n| sighting(n % instances))));
-        let audience = measure(|| black_box(desk.audience(number as usize, 16)));
+        let sightings = measure(|| dispatcher.take_sightings((0..40).map(|n| sighting(n % instances))));
+        let audience = measure(|| black_box(dispatcher.audience(number as usize, 16)));
         let asking = Asking { domain: Some(domain(0)), from: None };
-        let fronts = measure(|| black_box(desk.fronts(&asking)));
-        let led = measure(|| black_box(desk.led()));
+        let fronts = measure(|| black_box(dispatcher.fronts(&asking)));
+        let led = measure(|| black_box(dispatcher.led()));
         println!("{instances} | {heard:.1} | {sightings:.1} | {audience:.1} | {fronts:.1} | {led:.1}");
     }
     println!("endpoints, 30 instances | expectation | placement | notice | listing compared");
     for endpoints in ENDPOINTS {
-        let desk = desk(30, endpoints);
+        let dispatcher = dispatcher(30, endpoints);
         let mut session = 0;
         let expected = measure(|| {
             session += 1;
-            black_box(desk.expect(&job(session)))
+            black_box(dispatcher.expect(&job(session)))
         });
         let placed = measure(|| {
             session += 1;
-            black_box(desk.place(&job(session)))
+            black_box(dispatcher.place(&job(session)))
         });
         let noticed = measure(|| {
             session += 1;
             let endpoint = short_hash(&format!("e{}", session % u64::from(endpoints)));
-            desk.take_notice(Notice { endpoint, reading_ms: 1.0, part: None });
+            dispatcher.take_notice(Notice { endpoint, reading_ms: 1.0, part: None });
         });
         let listed: Vec<Endpoint> = (0..endpoints).map(endpoint).collect();
         let listed: Vec<&Endpoint> = listed.iter().collect();
-        let compared = measure(|| -> Vec<Change> { black_box(desk.differences(&listed, &[])) });
+        let compared = measure(|| -> Vec<Change> { black_box(dispatcher.differences(&listed, &[])) });
         println!("{endpoints} | {expected:.1} | {placed:.1} | {noticed:.1} | {compared:.1}");
     }
 }
@@ -88,13 +88,13 @@
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(times)
 }
 
-fn desk(instances: u32, endpoints: u32) -> Arc<Desk> {
-    let desk = Desk::new(settings(), dialect());
-    (0..endpoints).for_each(|number| desk.enlist(endpoint(number)));
-    desk.note_listing(1);
-    desk.renew(clock::now(), Proof::Read);
-    (0..instances).for_each(|number| desk.hear(&name(number), news(number), word(number, 0, endpoints)));
-    desk
+fn dispatcher(instances: u32, endpoints: u32) -> Arc<Dispatcher> {
+    let dispatcher = Dispatcher::new(settings(), dialect());
+    (0..endpoints).for_each(|number| dispatcher.enlist(endpoint(number)));
+    dispatcher.note_listing(1);
+    dispatcher.renew(clock::now(), Proof::Read);
+    (0..instances).for_each(|number| dispatcher.hear(&name(number), news(number), word(number, 0, endpoints)));
+    dispatcher
 }
 
 fn word(instance: u32, run: u32, endpoints: u32) -> Word {
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -153,10 +153,10 @@
         runtime.block_on(async {
             let source = Arc::new(Fixed { endpoint });
             let relay = relay::spawn(settings(), dialect(), source).await.expect("free ports can be bound");
-            while !relay.desk().ready() {
+            while !relay.dispatcher().ready() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            ready.send(relay.desk().settings.listeners.front).expect("somebody waits");
+            ready.send(relay.dispatcher().settings.listeners.front).expect("somebody waits");
             std::future::pending::<()>().await;
         });
     };
--- a/crates/relay/src/caches.rs
+++ b/crates/relay/src/caches.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use tokio::{task::JoinSet, time::timeout};
 
-use crate::{clock, desk::Desk, source::Endpoint, upstream};
+use crate::{clock, dispatcher::Dispatcher, source::Endpoint, upstream};
 
 /// Time limit for connecting to an engine and reading its list; most lists arrive
 /// within some milliseconds.
@@ -21,13 +21,13 @@
 const MAX_ENGINES_ASKED: usize = 16;
 
 /// Asks the engines once, as soon as the endpoints have been listed.
-pub async fn ask_engines(desk: Arc<Desk>) {
-    desk.started().await;
-    let engines = nearest_engines(&desk);
+pub async fn ask_engines(dispatcher: Arc<Dispatcher>) {
+    dispatcher.started().await;
+    let engines = nearest_engines(&dispatcher);
     let started = clock::now();
     let (mut asking, mut parts, count) = (JoinSet::new(), 0, engines.len());
     for engine in engines {
-        let path = desk.dialect.cache_path;
+        let path = dispatcher.dialect.cache_path;
         asking.spawn(async move { (timeout(LIST_TIMEOUT, fetch_list(&engine, path)).await, engine) });
     }
     while let Some(Ok((answer, engine))) = asking.join_next().await {
@@ -35,19 +35,19 @@
             tracing::debug!(engine = engine.id, "engine does not list its cache");
             continue;
         };
-        let cached = (desk.dialect.cached)(&body);
+        let cached = (dispatcher.dialect.cached)(&body);
         parts += cached.len();
-        desk.note_cache(&engine, &cached);
+        dispatcher.note_cache(&engine, &cached);
     }
-    desk.mark_caches_known();
+    dispatcher.mark_caches_known();
     let took_ms = clock::millis(clock::now().saturating_sub(started));
     tracing::info!(engines = count, parts, took_ms, "engines' caches known");
 }
 
 /// Returns the engines to ask, those in this instance's failure domain first.
-fn nearest_engines(desk: &Desk) -> Vec<Endpoint> {
-    let mut engines = desk.engines();
-    engines.sort_by_key(|engine| engine.domain != desk.settings.domain);
+fn nearest_engines(dispatcher: &Dispatcher) -> Vec<Endpoint> {
+    let mut engines = dispatcher.engines();
+    engines.sort_by_key(|engine| engine.domain != dispatcher.settings.domain);
     engines.truncate(MAX_ENGINES_ASKED);
     engines
 }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     answer::{self, Body},
-    desk::{Desk, peers::Asking},
+    dispatcher::{Dispatcher, peers::Asking},
     front::CallerIp,
 };
 
@@ -19,31 +19,31 @@
 pub const ADDRESS_CACHE_S: u32 = 2;
 
 /// Answers an address request.
-pub fn addresses(desk: &Arc<Desk>, request: &Request<Incoming>) -> Response<Body> {
-    if request.uri().path() != desk.dialect.addresses_path {
+pub fn addresses(dispatcher: &Arc<Dispatcher>, request: &Request<Incoming>) -> Response<Body> {
+    if request.uri().path() != dispatcher.dialect.addresses_path {
         return answer::empty_response(StatusCode::NOT_FOUND);
     }
-    let fronts = desk.fronts(&asking_caller(desk, request));
+    let fronts = dispatcher.fronts(&asking_caller(dispatcher, request));
     if fronts.is_empty() {
         return answer::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let longest = u32::try_from(desk.settings.keep_addresses.as_secs()).unwrap_or(ADDRESS_CACHE_S);
+    let longest = u32::try_from(dispatcher.settings.keep_addresses.as_secs()).unwrap_or(ADDRESS_CACHE_S);
     let mut response =
-        Response::new(answer::full_body((desk.dialect.addresses)(&fronts, ADDRESS_CACHE_S.min(longest.max(1)))));
+        Response::new(answer::full_body((dispatcher.dialect.addresses)(&fronts, ADDRESS_CACHE_S.min(longest.max(1)))));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
 /// Answers a readiness check: 200 if this instance accepts requests, otherwise 503.
-pub fn ready(desk: &Arc<Desk>, request: &Request<Incoming>) -> Response<Body> {
-    if request.uri().path() != desk.dialect.ready_path {
+pub fn ready(dispatcher: &Arc<Dispatcher>, request: &Request<Incoming>) -> Response<Body> {
+    if request.uri().path() != dispatcher.dialect.ready_path {
         return answer::empty_response(StatusCode::NOT_FOUND);
     }
-    answer::empty_response(if desk.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+    answer::empty_response(if dispatcher.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
 /// Returns the failure domain and IP address of the caller, as far as known.
-fn asking_caller(desk: &Desk, request: &Request<Incoming>) -> Asking {
-    let domain = request.uri().query().and_then(desk.dialect.asking_domain);
+fn asking_caller(dispatcher: &Dispatcher, request: &Request<Incoming>) -> Asking {
+    let domain = request.uri().query().and_then(dispatcher.dialect.asking_domain);
     Asking { domain, from: request.extensions().get().map(|CallerIp(address)| *address) }
 }
--- a/crates/relay/src/desk.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -1,9 +1,9 @@
 //! Shared in-memory state of an instance.
 //!
-//! It covers the catalog and access keys ([`Desk::fresh`], [`Desk::catalog_holds`]),
+//! It covers the catalog and access keys ([`Dispatcher::fresh`], [`Dispatcher::catalog_holds`]),
 //! endpoints and their loads ([`fleet`]), other instances ([`peers`]), roll-outs
-//! ([`trials`]) and requests that crash endpoints (`crashes`). Every piece of
-//! state has a source and an age; [`track`] synchronizes the state with the
+//! ([`rollouts`]) and requests that crash endpoints (`crashes`). Every piece of
+//! state has a source and an age; [`synchronization`] synchronizes the state with the
 //! store through other instances.
 //!
 //! One thread runs all tasks and the lock is never held across an await, so
@@ -14,8 +14,8 @@
 pub mod fleet;
 mod flight;
 pub mod peers;
-pub mod track;
-pub mod trials;
+pub mod rollouts;
+pub mod synchronization;
 pub mod watchers;
 
 use std::{
@@ -64,7 +64,7 @@
 
 /// Shared state of an instance, and the notifications between its tasks.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Dispatcher {
     /// Settings of this instance.
     pub settings: Settings,
     /// Names of headers and paths on the wire.
@@ -108,8 +108,8 @@
     /// Quarantine changes that were not written to the store yet.
     unwritten_changes: VecDeque<quarantine::Change>,
     peers: peers::Peers,
-    trials: trials::Trials,
-    track: track::Track,
+    rollouts: rollouts::Rollouts,
+    synchronization: synchronization::Synchronization,
     /// Progress of the start-up.
     knowledge: Knowledge,
     /// Whether this instance's last call to the store succeeded.
@@ -139,7 +139,7 @@
     Caches,
 }
 
-impl Desk {
+impl Dispatcher {
     /// Creates the state of an instance that has just started.
     #[must_use]
     pub fn new(settings: Settings, dialect: Dialect) -> Arc<Self> {
@@ -153,8 +153,8 @@
             findings: Vec::new(),
             unwritten_changes: VecDeque::new(),
             peers: peers::Peers::default(),
-            trials: trials::Trials::default(),
-            track: track::Track::new(settings.replace),
+            rollouts: rollouts::Rollouts::default(),
+            synchronization: synchronization::Synchronization::new(settings.replace),
             knowledge: Knowledge::Nothing,
             in_touch: false,
             is_narrow: false,
@@ -201,7 +201,7 @@
             routes = catalog.hosts.values().map(Vec::len).sum::<usize>(),
             "catalog in force"
         );
-        state.track.succession.install(catalog.version);
+        state.synchronization.succession.install(catalog.version);
         state.catalog = Some(Arc::new(catalog));
         self.startup_progressed.notify_waiters();
         true
@@ -232,7 +232,7 @@
     pub fn fresh(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
-        state.freshness.holds(now) && state.track.succession.holds(now)
+        state.freshness.holds(now) && state.synchronization.succession.holds(now)
     }
 
     /// Whether requests may be served by the catalog in force.
@@ -240,14 +240,14 @@
     /// This ends a limited time after another instance has announced a newer catalog.
     #[must_use]
     pub fn catalog_holds(&self) -> bool {
-        self.lock().track.succession.holds(clock::now())
+        self.lock().synchronization.succession.holds(clock::now())
     }
 
     /// Records the outcome of this instance's own latest call to the store.
     pub fn note_touch(&self, succeeded: bool) {
         let mut state = self.lock();
         state.in_touch = succeeded;
-        state.track.doubts_store &= !succeeded;
+        state.synchronization.doubts_store &= !succeeded;
         state.store_failed_once |= !succeeded;
         drop(state);
         self.startup_progressed.notify_waiters();
--- a/crates/relay/src/desk/crashes.rs
+++ b/crates/relay/src/dispatcher/crashes.rs
@@ -8,7 +8,7 @@
     quarantine::{Effect, Finding, LASTS},
 };
 
-use super::{Desk, State, fleet::Key};
+use super::{Dispatcher, State, fleet::Key};
 use crate::{clock, quarantine::Change, source::Refused};
 
 /// Time for which an abandoned run still counts as running at its endpoint. After an
@@ -130,7 +130,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Returns how much longer a request is refused because it crashes endpoints, or
     /// `None` if it is not quarantined.
     #[must_use]
--- a/crates/relay/src/desk/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -38,7 +38,7 @@
     decaying_mean::DecayingMean,
     selection::{Selection, job_units},
 };
-use super::{Desk, State, crashes::UnfinishedRuns, trials::Arm};
+use super::{Dispatcher, State, crashes::UnfinishedRuns, rollouts::Arm};
 use crate::{clock, source::Endpoint};
 
 slotmap::new_key_type! {
@@ -162,7 +162,7 @@
     pub version: Option<&'a str>,
 }
 
-impl Desk {
+impl Dispatcher {
     /// Chooses an endpoint and counts a run there. Returns `None` if no endpoint accepts the job.
     #[must_use]
     pub fn place(self: &Arc<Self>, job: &Job<'_>) -> Option<Run> {
@@ -184,11 +184,11 @@
             self.notices_ready.notify_one();
         }
         if job.in_session && arm == Arm::Old && canary::tries_versions(job.session, self.settings.exposure) {
-            state.trials.record_session(job.session, now, self.settings.session);
+            state.rollouts.record_session(job.session, now, self.settings.session);
         }
         let pace_key = PaceKey { service: job.service.to_owned(), model: job.model };
         Some(Run {
-            desk: Arc::clone(self),
+            dispatcher: Arc::clone(self),
             key,
             endpoint,
             source,
--- a/crates/relay/src/desk/fleet/caches.rs
+++ b/crates/relay/src/dispatcher/fleet/caches.rs
@@ -10,7 +10,7 @@
 use world::hash;
 
 use super::{Fleet, start_hash};
-use crate::{catalog::Catalog, clock, desk::Desk, dialect::Cached, source::Endpoint};
+use crate::{catalog::Catalog, clock, dialect::Cached, dispatcher::Dispatcher, source::Endpoint};
 
 /// Returns the hash of a prompt part combined with its model. A part cached for one
 /// model is of no use to another.
@@ -25,7 +25,7 @@
     u32::try_from(affinity >> 32).unwrap_or_default()
 }
 
-impl Desk {
+impl Dispatcher {
     /// Returns the known endpoints of services with prompt caches, to ask for their contents.
     #[must_use]
     pub fn engines(&self) -> Vec<Endpoint> {
--- a/crates/relay/src/desk/fleet/limits.rs
+++ b/crates/relay/src/dispatcher/fleet/limits.rs
@@ -9,7 +9,7 @@
 use super::{Fleet, Key, Run, Server};
 use crate::{
     clock,
-    desk::{Desk, State},
+    dispatcher::{Dispatcher, State},
 };
 
 /// Time between updates of this instance's share of each limit, which changes as other
@@ -63,7 +63,7 @@
             Said::Limit(per_s) => Word { per_s: Some(per_s), at: now },
             Said::NoLimit => Word { per_s: None, at: self.started },
         };
-        let mut state = self.desk.lock();
+        let mut state = self.dispatcher.lock();
         if state.apply_limit(self.key, word, now) {
             let start = state.fleet.servers[self.key].hash;
             let limit = Limit { start, per_s: word.per_s, age: now.saturating_sub(word.at) };
@@ -71,7 +71,7 @@
             if unsent.len() < MAX_UNSENT_UPDATES {
                 unsent.push(limit);
             }
-            self.desk.limits_ready.notify_one();
+            self.dispatcher.limits_ready.notify_one();
         }
     }
 }
@@ -113,7 +113,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Waits until there are updates of limits to send, and takes them.
     pub async fn limits_to_tell(&self) -> Vec<Limit> {
         loop {
--- a/crates/relay/src/desk/fleet/notices.rs
+++ b/crates/relay/src/dispatcher/fleet/notices.rs
@@ -7,7 +7,7 @@
 use super::{Job, Key};
 use crate::{
     clock,
-    desk::{Desk, State},
+    dispatcher::{Dispatcher, State},
 };
 
 /// Maximum number of notices kept for sending. They are sent within a turn of the
@@ -66,7 +66,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Waits until there are notices to send, and takes them.
     pub async fn notices(&self) -> Vec<Notice> {
         loop {
--- a/crates/relay/src/desk/fleet/pool.rs
+++ b/crates/relay/src/dispatcher/fleet/pool.rs
@@ -11,7 +11,7 @@
 use world::hash;
 
 use super::{Fleet, Job, Key, Server};
-use crate::desk::trials::Assignment;
+use crate::dispatcher::rollouts::Assignment;
 
 /// Number of endpoints up to which a decision examines all of them.
 const MAX_FULL_SCAN: usize = 64;
--- a/crates/relay/src/desk/fleet/registry.rs
+++ b/crates/relay/src/dispatcher/fleet/registry.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use super::{Fleet, Key, Load, Server, start_hash};
-use crate::{clock, desk::Desk, source::Endpoint};
+use crate::{clock, dispatcher::Dispatcher, source::Endpoint};
 
 /// How a registration compares to the known one of the same name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Adds or updates an endpoint by its registration.
     ///
     /// An endpoint that restarted under its name counts as a new one, without the
@@ -66,7 +66,7 @@
                 "endpoint registered"
             );
         }
-        state.trials.record_version(&endpoint.service, &endpoint.version, now);
+        state.rollouts.record_version(&endpoint.service, &endpoint.version, now);
         let peer_load = state.peers.load(start_hash(&endpoint));
         state.fleet.register(endpoint, kind, peer_load, now);
     }
@@ -152,12 +152,12 @@
     }
 
     /// Returns a known endpoint.
-    pub(in crate::desk) fn server(&mut self, key: Key) -> Option<&mut Server> {
+    pub(in crate::dispatcher) fn server(&mut self, key: Key) -> Option<&mut Server> {
         self.servers.get_mut(key)
     }
 
     /// Returns the key of the endpoint whose start has the hash.
-    pub(in crate::desk) fn key_of(&self, hash: u32) -> Option<Key> {
+    pub(in crate::dispatcher) fn key_of(&self, hash: u32) -> Option<Key> {
         self.by_hash.get(&hash).copied()
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Sets the load of other instances on an endpoint, if it is known.
-    pub(in crate::desk) fn set_peer_load(&mut self, endpoint: u32, load: Load) {
+    pub(in crate::dispatcher) fn set_peer_load(&mut self, endpoint: u32, load: Load) {
         if let Some(server) = self.server_by_hash(endpoint) {
             server.peer_load = load;
         }
--- a/crates/relay/src/desk/fleet/run.rs
+++ b/crates/relay/src/dispatcher/fleet/run.rs
@@ -11,7 +11,7 @@
 use super::{Key, PaceKey, initial_pace};
 use crate::{
     clock,
-    desk::{Desk, State, trials::Arm},
+    dispatcher::{Dispatcher, State, rollouts::Arm},
     source::Endpoint,
 };
 
@@ -31,7 +31,7 @@
 /// A run in progress; dropping it removes its load from the endpoint.
 #[derive(Debug)]
 pub struct Run {
-    pub(super) desk: Arc<Desk>,
+    pub(super) dispatcher: Arc<Dispatcher>,
     /// Key of the endpoint.
     pub key: Key,
     /// Registration of the endpoint when the run was placed.
@@ -89,8 +89,8 @@
     pub fn first_byte(&mut self) {
         let now = clock::now();
         let took = clock::millis(now.saturating_sub(self.started));
-        let desk = Arc::clone(&self.desk);
-        let mut state = desk.lock();
+        let dispatcher = Arc::clone(&self.dispatcher);
+        let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
         let fleet = &mut state.fleet;
         if let Some(server) = fleet.servers.get_mut(self.key) {
@@ -111,7 +111,7 @@
     /// Records that more bytes of the answer were received.
     pub fn more_bytes(&self) {
         let now = clock::now();
-        if let Some(server) = self.desk.lock().fleet.servers.get_mut(self.key) {
+        if let Some(server) = self.dispatcher.lock().fleet.servers.get_mut(self.key) {
             server.last_received = now;
         }
     }
@@ -120,7 +120,12 @@
     #[must_use]
     pub fn silence(&self) -> Duration {
         let now = clock::now();
-        self.desk.lock().fleet.servers.get(self.key).map_or(Duration::MAX, |s| now.saturating_sub(s.last_received))
+        self.dispatcher
+            .lock()
+            .fleet
+            .servers
+            .get(self.key)
+            .map_or(Duration::MAX, |s| now.saturating_sub(s.last_received))
     }
 
     /// Returns the expected time from the dispatch to the first byte, in milliseconds.
@@ -132,8 +137,8 @@
     /// Records the outcome of the run.
     pub fn ended(&mut self, how: Ended) {
         let now = clock::now();
-        let desk = Arc::clone(&self.desk);
-        let mut state = desk.lock();
+        let dispatcher = Arc::clone(&self.dispatcher);
+        let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
         match (how, self.content.take()) {
             (Ended::Good, Some(content)) => state.note_good_end(content, now),
@@ -141,7 +146,7 @@
             (Ended::Down, _) => state.note_crash(self.key, now),
             _ => {}
         }
-        self.desk.notify_findings(&state);
+        self.dispatcher.notify_findings(&state);
         let Some(server) = state.fleet.servers.get_mut(self.key) else { return };
         match how {
             Ended::Good => {
@@ -171,7 +176,7 @@
     /// Counts the run as a good or bad one of its version.
     pub fn judge(&self, bad: bool) {
         let tally = Tally { runs: 1, bad: u32::from(bad), lateness: self.lateness };
-        self.desk.lock().trials.count(&self.endpoint.service, self.arm, tally);
+        self.dispatcher.lock().rollouts.count(&self.endpoint.service, self.arm, tally);
     }
 
     /// Records that this instance abandoned the run without an answer; the endpoint may
@@ -195,8 +200,8 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        let desk = Arc::clone(&self.desk);
-        let mut state = desk.lock();
+        let dispatcher = Arc::clone(&self.dispatcher);
+        let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
         if let Some(content) = self.content.take() {
             self.note_unfinished(&mut state, content, clock::now());
--- a/crates/relay/src/desk/fleet/selection.rs
+++ b/crates/relay/src/dispatcher/fleet/selection.rs
@@ -11,7 +11,7 @@
 use super::{
     Fleet, Job, Key, PaceKey, Server, State, caches::part_hash, initial_pace, notices::MIN_ANNOUNCED_PART_TOKENS,
 };
-use crate::desk::trials::{Arm, AssignedRequest, Assignment};
+use crate::dispatcher::rollouts::{Arm, AssignedRequest, Assignment};
 
 /// Number of preceding tokens at which reading a token takes twice as long as at the start
 /// of the text, because of the share of attention in the work of dense models of about
@@ -52,12 +52,12 @@
         let pace = self.fleet.pace(job);
         let settled = || {
             let (session, lifetime) = (job.session, self.session_lifetime);
-            self.trials.ran_on_old_version(session, now, lifetime)
+            self.rollouts.ran_on_old_version(session, now, lifetime)
                 || self.peers.ran_on_old_version(session, now, lifetime)
         };
         let settled = job.in_session && canary::tries_versions(job.session, exposure) && settled();
         let assignment =
-            self.trials.assign(job.service, AssignedRequest { session: job.session, settled, exposure }, now);
+            self.rollouts.assign(job.service, AssignedRequest { session: job.session, settled, exposure }, now);
         let (chosen, slow, failing) = if let Some((pool, chosen)) = self.fleet.sample_endpoints(job, &assignment, now) {
             (chosen, pool.mean_slowness, pool.mean_failure_rate)
         } else {
--- a/crates/relay/src/desk/flight.rs
+++ b/crates/relay/src/dispatcher/flight.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use super::Desk;
+use super::Dispatcher;
 
-impl Desk {
+impl Dispatcher {
     /// Returns the number of requests without a complete answer.
     #[must_use]
     pub fn in_flight(&self) -> usize {
@@ -15,40 +15,40 @@
     #[must_use]
     pub fn enter(self: &Arc<Self>) -> Flight {
         self.lock().in_flight += 1;
-        Flight { desk: Arc::clone(self) }
+        Flight { dispatcher: Arc::clone(self) }
     }
 
     /// Returns an empty reservation of the memory for request bodies.
     #[must_use]
     pub fn hold_none(self: &Arc<Self>) -> Held {
-        Held { desk: Arc::clone(self), bytes: 0 }
+        Held { dispatcher: Arc::clone(self), bytes: 0 }
     }
 }
 
 /// A guard that counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct Flight {
-    desk: Arc<Desk>,
+    dispatcher: Arc<Dispatcher>,
 }
 
 impl Drop for Flight {
     fn drop(&mut self) {
-        self.desk.lock().in_flight -= 1;
+        self.dispatcher.lock().in_flight -= 1;
     }
 }
 
 /// Memory reserved for a request's body; dropping it releases the memory.
 #[derive(Debug)]
 pub struct Held {
-    desk: Arc<Desk>,
+    dispatcher: Arc<Dispatcher>,
     bytes: usize,
 }
 
 impl Held {
     /// Reserves `bytes` more and returns true, or returns false if the limit would be exceeded.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let mut state = self.desk.lock();
-        if state.held_body_bytes + bytes > self.desk.settings.body_memory {
+        let mut state = self.dispatcher.lock();
+        if state.held_body_bytes + bytes > self.dispatcher.settings.body_memory {
             return false;
         }
         state.held_body_bytes += bytes;
@@ -59,6 +59,6 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.desk.lock().held_body_bytes -= self.bytes;
+        self.dispatcher.lock().held_body_bytes -= self.bytes;
     }
 }
--- a/crates/relay/src/desk/peers.rs
+++ b/crates/relay/src/dispatcher/peers.rs
@@ -25,9 +25,9 @@
     sightings::Sighting,
 };
 use super::{
-    Desk, State,
+    Dispatcher, State,
     fleet::{Load, short_hash},
-    trials::Report,
+    rollouts::Report,
     watchers::{Rank, Watcher},
 };
 use crate::{clock, settings::Cores};
@@ -263,7 +263,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Sets this instance's own identity and failure domain among its peers.
     pub fn settle_in(&self) {
         let peers = &mut self.lock().peers;
--- a/crates/relay/src/desk/peers/audience.rs
+++ b/crates/relay/src/dispatcher/peers/audience.rs
@@ -7,7 +7,7 @@
 use world::hash;
 
 use super::{Peer, Peers, Phase};
-use crate::{clock, desk::Desk, settings::Cores};
+use crate::{clock, dispatcher::Dispatcher, settings::Cores};
 
 /// Time for which a newly discovered instance that has not sent news yet receives every
 /// piece of news. Live instances answer within two pieces; others are stale
@@ -69,7 +69,7 @@
 impl Peers {
     /// Returns the number of instances that a notice is sent to: all live ones, or one relay
     /// for each failure domain.
-    pub(in crate::desk) fn fanout(&self) -> usize {
+    pub(in crate::dispatcher) fn fanout(&self) -> usize {
         if self.relays.is_empty() { self.live_count } else { self.relays.len() }
     }
 
@@ -91,7 +91,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Returns the recipients of a notice of a long prompt.
     #[must_use]
     pub fn notice_audience(&self) -> Audience {
--- a/crates/relay/src/desk/peers/fronts.rs
+++ b/crates/relay/src/dispatcher/peers/fronts.rs
@@ -6,7 +6,7 @@
 use world::hash;
 
 use super::Peer;
-use crate::{clock, desk::Desk};
+use crate::{clock, dispatcher::Dispatcher};
 
 /// Maximum number of addresses in an answer to a caller.
 const MOST_ADDRESSES: usize = 64;
@@ -45,7 +45,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Returns the addresses that a caller may use: those of ready instances, this one
     /// included, restricted to instances with fresh access keys if there are any. If there
     /// are too many, [`fronts::choose`] selects among them for the caller.
--- a/crates/relay/src/desk/peers/sightings.rs
+++ b/crates/relay/src/dispatcher/peers/sightings.rs
@@ -12,7 +12,7 @@
 use super::{Peer, Peers, Phase};
 use crate::{
     clock,
-    desk::{Desk, fleet::short_hash},
+    dispatcher::{Dispatcher, fleet::short_hash},
 };
 
 /// Age up to which sightings are sent to others.
@@ -56,7 +56,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Applies sightings by another instance.
     pub fn take_sightings(&self, sightings: impl IntoIterator<Item = Sighting>) {
         let now = clock::now();
--- a/crates/relay/src/desk/peers/sums.rs
+++ b/crates/relay/src/dispatcher/peers/sums.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use crate::desk::fleet::Load;
+use crate::dispatcher::fleet::Load;
 
 /// Sums by the hash of the endpoint's start.
 #[derive(Debug, Default)]
--- a/crates/relay/src/desk/peers/tests.rs
+++ b/crates/relay/src/dispatcher/peers/tests.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 use super::{Peer, Peers, Phase, Sighting, Word};
-use crate::desk::fleet::{Load, short_hash};
+use crate::dispatcher::fleet::{Load, short_hash};
 
 const INSTANCES: u32 = 6;
 const ENDPOINTS: u32 = 5;
--- a/crates/relay/src/desk/trials.rs
+++ b/crates/relay/src/dispatcher/rollouts.rs
@@ -9,7 +9,7 @@
 
 use route::relay::canary::{self, Stage, Tally};
 
-use super::{Desk, State};
+use super::{Dispatcher, State};
 use crate::{clock, rollout::Rollout};
 
 /// Time for which endpoints of an unknown version are not used while their order may still
@@ -18,7 +18,7 @@
 
 /// Roll-out state of all services.
 #[derive(Debug, Default)]
-pub struct Trials {
+pub struct Rollouts {
     services: HashMap<String, Service>,
     /// Sessions on an old version, with the time of their latest request.
     sessions: HashMap<u64, Duration>,
@@ -135,7 +135,7 @@
     pub own: Tallies,
 }
 
-impl Trials {
+impl Rollouts {
     /// Records that a service has endpoints of a version.
     pub(super) fn record_version(&mut self, service: &str, version: &str, now: Duration) {
         let service = self.services.entry(service.to_owned()).or_default();
@@ -213,11 +213,11 @@
     if rank(b) > rank(a) { b } else { a }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Applies an order or a new status of it.
     pub fn order(&self, rollout: Rollout) {
         let mut state = self.lock();
-        let service = state.trials.services.entry(rollout.service.clone()).or_default();
+        let service = state.rollouts.services.entry(rollout.service.clone()).or_default();
         let stored_stage = rollout.stage.unwrap_or(Stage::Trial);
         match &mut service.order {
             Some(order) if order.rollout.target == rollout.target => {
@@ -235,7 +235,7 @@
     /// Removes a service's order that was deleted from the store.
     pub fn withdraw_order(&self, service: &str) {
         let mut state = self.lock();
-        let Some(known) = state.trials.services.get_mut(service) else { return };
+        let Some(known) = state.rollouts.services.get_mut(service) else { return };
         if let Some(order) = known.order.take()
             && order.stage == Stage::Done
         {
@@ -248,8 +248,8 @@
     pub fn settled_sessions(&self) -> Vec<u64> {
         let (now, lifetime) = (clock::now(), self.settings.session);
         let mut state = self.lock();
-        state.trials.sessions.retain(|_, seen| now < *seen + lifetime);
-        state.trials.sessions.keys().copied().take(MAX_SENT_SESSIONS).collect()
+        state.rollouts.sessions.retain(|_, seen| now < *seen + lifetime);
+        state.rollouts.sessions.keys().copied().take(MAX_SENT_SESSIONS).collect()
     }
 
     /// Returns this instance's state of all roll-outs, to send with news.
@@ -257,7 +257,7 @@
     pub fn trial_reports(&self) -> Vec<Report> {
         let now = clock::now();
         let state = self.lock();
-        let orders = state.trials.services.values().filter_map(|service| service.order.as_ref());
+        let orders = state.rollouts.services.values().filter_map(|service| service.order.as_ref());
         orders
             .map(|order| Report {
                 order: order_hash(&order.rollout),
@@ -274,9 +274,9 @@
     pub fn advance_trials(&self) -> Vec<(Rollout, Stage)> {
         let now = clock::now();
         let mut state = self.lock();
-        let State { trials, peers, .. } = &mut *state;
+        let State { rollouts, peers, .. } = &mut *state;
         let mut unreported = Vec::new();
-        for order in trials.services.values_mut().filter_map(|service| service.order.as_mut()) {
+        for order in rollouts.services.values_mut().filter_map(|service| service.order.as_mut()) {
             let hash = order_hash(&order.rollout);
             let mut sum = order.own;
             for report in peers.reports(hash) {
--- a/crates/relay/src/desk/track.rs
+++ b/crates/relay/src/dispatcher/synchronization.rs
@@ -17,7 +17,7 @@
 use rand::seq::IteratorRandom;
 use route::relay::freshness::{Proof, Succession};
 
-use super::{Desk, Knowledge};
+use super::{Dispatcher, Knowledge};
 use crate::{clock, rollout::Rollout, source::Endpoint};
 
 /// Silence of the store above which a reply is doubtful. An instance in touch with the store
@@ -55,7 +55,7 @@
 
 /// State of the synchronization of this instance.
 #[derive(Debug, Default)]
-pub struct Track {
+pub struct Synchronization {
     /// Revision up to which the endpoints are known; 0 before they were listed.
     pub(super) revision: u64,
     /// Revision since which all changes are kept.
@@ -104,7 +104,7 @@
     pub orders: Vec<Rollout>,
 }
 
-impl Track {
+impl Synchronization {
     /// Creates the state of an instance that is not synchronized yet. `replace` limits how
     /// long it may serve with a catalog that was replaced.
     pub(super) fn new(replace: Option<Duration>) -> Self {
@@ -156,15 +156,15 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Records a complete listing of endpoints from the store.
     pub fn note_listing(&self, revision: u64) {
-        self.lock().track.record_listing(revision);
+        self.lock().synchronization.record_listing(revision);
     }
 
     /// Records changes to endpoints from the store.
     pub fn note_changes(&self, revision: u64, changes: Vec<Change>) {
-        self.lock().track.record_changes(revision, changes);
+        self.lock().synchronization.record_changes(revision, changes);
     }
 
     /// Returns the changes from the known endpoints to a listing. Endpoints in `kept` do not
@@ -182,19 +182,19 @@
 
     /// Records that all roll-outs have been listed.
     pub fn note_orders(&self) {
-        self.lock().track.orders_known = true;
+        self.lock().synchronization.orders_known = true;
     }
 
     /// Whether the store may be unreachable, according to the replies of other instances.
     #[must_use]
     pub fn doubts_store(&self) -> bool {
-        self.lock().track.doubts_store
+        self.lock().synchronization.doubts_store
     }
 
     /// Returns the revision up to which the endpoints are known.
     #[must_use]
     pub fn endpoints_revision(&self) -> u64 {
-        self.lock().track.revision
+        self.lock().synchronization.revision
     }
 
     /// Records whether this instance's link is slow, so that reading the catalog takes long.
@@ -220,10 +220,10 @@
         // A proof is an answer of the store too.
         let silence = proof_age.min(clock::now().saturating_sub(self.catalog_progress.last()));
         let state = self.lock();
-        if state.knowledge < Knowledge::Endpoints || !state.track.orders_known {
+        if state.knowledge < Knowledge::Endpoints || !state.synchronization.orders_known {
             return None;
         }
-        let since = state.track.changes_since(question.revision, most);
+        let since = state.synchronization.changes_since(question.revision, most);
         let gap = since.is_none();
         let (revision, changes) = since.unwrap_or((question.revision, Vec::new()));
         Some(Reply {
@@ -233,7 +233,7 @@
             revision,
             gap,
             changes,
-            orders: state.trials.orders(),
+            orders: state.rollouts.orders(),
         })
     }
 
@@ -251,10 +251,10 @@
         }
         self.apply_orders(&reply.orders);
         let mut state = self.lock();
-        state.track.record_changes(reply.revision, reply.changes);
-        state.track.last_reply = Some(clock::now());
-        state.track.doubtful_replies = 0;
-        state.track.doubts_store = false;
+        state.synchronization.record_changes(reply.revision, reply.changes);
+        state.synchronization.last_reply = Some(clock::now());
+        state.synchronization.doubtful_replies = 0;
+        state.synchronization.doubts_store = false;
         if reply.gap {
             self.endpoints_wanted.notify_one();
         }
@@ -279,9 +279,11 @@
     /// Records a reply of a watcher that seems to have lost the store.
     fn note_doubtful_reply(&self, reply: &Reply) {
         let mut state = self.lock();
-        state.track.doubtful_replies += 1;
-        if state.track.doubtful_replies >= MAX_DOUBTFUL_REPLIES && state.track.last_reply.take().is_some() {
-            state.track.doubts_store = true;
+        state.synchronization.doubtful_replies += 1;
+        if state.synchronization.doubtful_replies >= MAX_DOUBTFUL_REPLIES
+            && state.synchronization.last_reply.take().is_some()
+        {
+            state.synchronization.doubts_store = true;
             tracing::info!(
                 silence_ms = clock::millis(reply.silence),
                 proof_age_ms = clock::millis(reply.proof_age),
@@ -298,7 +300,7 @@
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
         }
-        if state.track.succession.tell(version, clock::now()) {
+        if state.synchronization.succession.tell(version, clock::now()) {
             tracing::info!(version, "newer catalog announced");
         }
         self.catalog_wanted.notify_one();
@@ -310,7 +312,7 @@
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
         }
-        let newer_catalog_peers = &mut state.track.newer_catalog_peers;
+        let newer_catalog_peers = &mut state.synchronization.newer_catalog_peers;
         newer_catalog_peers.retain(|(known, _)| *known != teller);
         newer_catalog_peers.truncate(MAX_NEWER_CATALOG_PEERS - 1);
         newer_catalog_peers.push_front((teller, version));
@@ -322,8 +324,8 @@
     pub fn teller(&self) -> Option<SocketAddr> {
         let mut state = self.lock();
         let version = state.catalog.as_ref().map_or(0, |known| known.version);
-        state.track.newer_catalog_peers.retain(|(_, announced)| *announced > version);
-        let (teller, _) = state.track.newer_catalog_peers.iter().choose(&mut rand::rng())?;
+        state.synchronization.newer_catalog_peers.retain(|(_, announced)| *announced > version);
+        let (teller, _) = state.synchronization.newer_catalog_peers.iter().choose(&mut rand::rng())?;
         Some(*teller)
     }
 
@@ -332,12 +334,12 @@
     /// read again.
     #[must_use]
     pub fn behind(&self) -> bool {
-        self.lock().track.succession.is_behind()
+        self.lock().synchronization.succession.is_behind()
     }
 
     /// Replaces the known roll-outs by those of a reply, keeping newer revisions.
     fn apply_orders(&self, orders: &[Rollout]) {
-        let known = self.lock().trials.orders();
+        let known = self.lock().rollouts.orders();
         for gone in known.iter().filter(|order| !orders.iter().any(|other| other.service == order.service)) {
             self.withdraw_order(&gone.service);
         }
--- a/crates/relay/src/desk/watchers.rs
+++ b/crates/relay/src/dispatcher/watchers.rs
@@ -4,7 +4,7 @@
 
 use world::hash;
 
-use super::{Desk, State};
+use super::{Dispatcher, State};
 use crate::{clock, settings::Cores};
 
 /// Number of instances that watch the store. When one is lost, the others ask the next one,
@@ -56,7 +56,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Whether this instance is synchronized through another one, so that it need not watch
     /// the store itself.
     #[must_use]
@@ -64,7 +64,7 @@
         let now = clock::now();
         let state = self.lock();
         // An instance that is cut off from the store does not count as a watcher.
-        let answered = state.track.last_reply.is_some_and(|at| now < at + MAX_REPLY_SILENCE);
+        let answered = state.synchronization.last_reply.is_some_and(|at| now < at + MAX_REPLY_SILENCE);
         answered && !(state.in_touch && self.is_watcher(&state, now, true))
     }
 
@@ -96,12 +96,12 @@
     pub fn whom_to_ask(&self, turn: usize) -> Option<SocketAddr> {
         let now = clock::now();
         let state = self.lock();
-        if state.track.revision == 0 || (state.in_touch && self.is_watcher(&state, now, true)) {
+        if state.synchronization.revision == 0 || (state.in_touch && self.is_watcher(&state, now, true)) {
             return None;
         }
         let mut watchers = state.top_watchers(now);
         watchers.sort_by_key(|watcher| !watcher.is_near);
-        let turn = turn + usize::try_from(state.track.doubtful_replies).unwrap_or_default();
+        let turn = turn + usize::try_from(state.synchronization.doubtful_replies).unwrap_or_default();
         watchers.get(turn % watchers.len().max(1)).map(|watcher| watcher.news)
     }
 
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -20,27 +20,27 @@
 use crate::{
     answer::{Body, Refusal},
     clock,
-    desk::Desk,
+    dispatcher::Dispatcher,
     request_params::{RequestParams, end_to_end},
 };
 
 /// Serves one request and returns the response to the caller.
-pub async fn serve(desk: Arc<Desk>, request: Request<Incoming>) -> Response<Body> {
-    let mut exchange = match admit::admit(&desk, request).await {
+pub async fn serve(dispatcher: Arc<Dispatcher>, request: Request<Incoming>) -> Response<Body> {
+    let mut exchange = match admit::admit(&dispatcher, request).await {
         Ok(exchange) => exchange,
-        Err((params, refusal)) => return refuse(&desk, &params, &refusal, None),
+        Err((params, refusal)) => return refuse(&dispatcher, &params, &refusal, None),
     };
     let limit = tokio::time::Instant::now() + exchange.left();
     let mut response = match tokio::time::timeout_at(limit, exchange.run()).await {
         Ok(Ok(tries::AcceptedAnswer::Whole(response))) => response,
         Ok(Ok(tries::AcceptedAnswer::Stream(active))) => stream::forward(exchange, *active),
-        Ok(Err(refusal)) => refuse(&desk, &exchange.params, &refusal, Some(&exchange)),
+        Ok(Err(refusal)) => refuse(&dispatcher, &exchange.params, &refusal, Some(&exchange)),
         Err(_) => {
             let refusal = exchange.refusal_for_caller(Refusal::Expired);
-            refuse(&desk, &exchange.params, &refusal, Some(&exchange))
+            refuse(&dispatcher, &exchange.params, &refusal, Some(&exchange))
         }
     };
-    if desk.draining() {
+    if dispatcher.draining() {
         response.headers_mut().insert(header::CONNECTION, http::HeaderValue::from_static("close"));
     }
     response
@@ -48,13 +48,13 @@
 
 /// Logs and counts a refused request and builds the response.
 fn refuse(
-    desk: &Desk,
+    dispatcher: &Dispatcher,
     params: &RequestParams,
     refusal: &Refusal,
     exchange: Option<&tries::Exchange>,
 ) -> Response<Body> {
-    let age = desk.keys_age().map(clock::millis);
-    let catalog = desk.catalog().map(|catalog| catalog.version);
+    let age = dispatcher.keys_age().map(clock::millis);
+    let catalog = dispatcher.catalog().map(|catalog| catalog.version);
     tracing::info!(
         request = params.id,
         content = exchange.map(|e| e.content.to_string()),
@@ -71,7 +71,7 @@
     );
     metrics::counter!("relay_refusals_total", "status" => refusal.status().as_str().to_owned()).increment(1);
     let mut response = refusal.to_response(rand::random());
-    if matches!(refusal, Refusal::TooLarge | Refusal::Truncated | Refusal::Memory) || desk.draining() {
+    if matches!(refusal, Refusal::TooLarge | Refusal::Truncated | Refusal::Memory) || dispatcher.draining() {
         // The rest of the body may still arrive and must not be read as the next request.
         response.headers_mut().insert(header::CONNECTION, http::HeaderValue::from_static("close"));
     }
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -14,7 +14,7 @@
     answer::Refusal,
     catalog::{Route, Team},
     clock,
-    desk::{Desk, Held},
+    dispatcher::{Dispatcher, Held},
     request_params::{RequestParams, end_to_end},
 };
 
@@ -38,29 +38,32 @@
 }
 
 /// Checks a request and reads its body.
-pub async fn admit(desk: &Arc<Desk>, request: Request<Incoming>) -> Result<Exchange, (RequestParams, Refusal)> {
+pub async fn admit(
+    dispatcher: &Arc<Dispatcher>,
+    request: Request<Incoming>,
+) -> Result<Exchange, (RequestParams, Refusal)> {
     let started = clock::now();
-    let flight = desk.enter();
+    let flight = dispatcher.enter();
     let (head, body) = request.into_parts();
-    let params = RequestParams::read(&head.headers, &desk.dialect.names);
+    let params = RequestParams::read(&head.headers, &dispatcher.dialect.names);
     let host = host(&head.headers, &head.uri);
-    desk.started().await;
-    let admission = match check(desk, &host, head.uri.path(), &params) {
+    dispatcher.started().await;
+    let admission = match check(dispatcher, &host, head.uri.path(), &params) {
         Ok(admission) => admission,
         Err(refusal) => return Err((params, refusal)),
     };
-    if desk.leaves_within(admission.route.timeout) {
+    if dispatcher.leaves_within(admission.route.timeout) {
         return Err((params, Refusal::Leaving));
     }
     if params.tokens.is_some() {
         // Without knowing which engine has the prompt cached, it would be sent to one that
         // has to process it again.
-        desk.caches_known().await;
+        dispatcher.caches_known().await;
     }
     let time = params.deadline.unwrap_or(DEFAULT_DEADLINE).min(admission.route.timeout);
     let limit = started + time.saturating_sub(ANSWER_TIME_RESERVE);
-    let longest = desk.catalog().map_or(0, |catalog| catalog.limits.body_bytes);
-    let mut memory = desk.hold_none();
+    let longest = dispatcher.catalog().map_or(0, |catalog| catalog.limits.body_bytes);
+    let mut memory = dispatcher.hold_none();
     let body = match timeout(time, read_body(body, longest, &mut memory)).await {
         Ok(Ok(body)) => body,
         Ok(Err(refusal)) => return Err((params, refusal)),
@@ -70,11 +73,11 @@
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = Content::of(team, head.method.as_str(), &host, path, &body);
     let mut headers = end_to_end(&head.headers);
-    for name in &desk.dialect.names.reserved {
+    for name in &dispatcher.dialect.names.reserved {
         headers.remove(name);
     }
     Ok(Exchange {
-        desk: Arc::clone(desk),
+        dispatcher: Arc::clone(dispatcher),
         flight: Some(flight),
         _body_memory: memory,
         content,
@@ -100,23 +103,23 @@
 }
 
 /// Checks a request against the catalog and access keys in force now.
-pub fn check(desk: &Desk, host: &str, path: &str, params: &RequestParams) -> Result<Admission, Refusal> {
-    let catalog = desk.catalog().ok_or(Refusal::NotStarted)?;
+pub fn check(dispatcher: &Dispatcher, host: &str, path: &str, params: &RequestParams) -> Result<Admission, Refusal> {
+    let catalog = dispatcher.catalog().ok_or(Refusal::NotStarted)?;
     // An operator may have moved or deleted the route. Requests without a key would
     // otherwise be forwarded by the old route indefinitely.
-    if !desk.catalog_holds() {
+    if !dispatcher.catalog_holds() {
         return Err(Refusal::Replaced);
     }
     // A newer catalog may have the route or key that this one lacks, and callers that
     // get 404 or 401 do not retry.
-    let or_replaced = |refusal| if desk.behind() { Refusal::Replaced } else { refusal };
+    let or_replaced = |refusal| if dispatcher.behind() { Refusal::Replaced } else { refusal };
     let route = catalog.route(host, path).ok_or_else(|| or_replaced(Refusal::NoRoute))?;
     let team = match &catalog.keys {
         Some(keys) if !route.public => {
             // A key may have been revoked while this instance had no contact with the store,
             // so no key is accepted without a recent confirmation.
-            if !desk.fresh() {
-                return Err(Refusal::KeysStale { elsewhere: desk.fresh_elsewhere() });
+            if !dispatcher.fresh() {
+                return Err(Refusal::KeysStale { elsewhere: dispatcher.fresh_elsewhere() });
             }
             let team = params.key.as_deref().and_then(|key| keys.get(key));
             Some(Arc::clone(team.ok_or_else(|| or_replaced(Refusal::NoKey))?))
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -15,7 +15,7 @@
 use super::tries::Exchange;
 use crate::{
     clock,
-    desk::fleet::{Job, Run, affinity},
+    dispatcher::fleet::{Job, Run, affinity},
     request_params,
     upstream::Answer,
 };
@@ -70,20 +70,20 @@
         if let Some(model) = self.resumed_model(models) {
             return Some(model);
         }
-        if self.desk.suspects(self.content) {
+        if self.dispatcher.suspects(self.content) {
             // Trying a smaller model first adds a run, which may crash one more endpoint.
             return Some(models - 1);
         }
         let service = self.admission.route.target(self.target_draw).unwrap_or_default();
         let room = Room {
             attempts: self.admission.route.attempts,
-            allowance: self.desk.affords(service, Purpose::Escalation),
+            allowance: self.dispatcher.affords(service, Purpose::Escalation),
         };
         let goal_ms = clock::millis(self.admission.route.goal).max(1.0);
         let time = |model| {
             let job = self.job_at(service, Some(model));
-            let now_ms = self.desk.expect(&job).unwrap_or(f64::INFINITY);
-            Time { idle: self.desk.expect_idle(&job) / goal_ms, now: now_ms / goal_ms }
+            let now_ms = self.dispatcher.expect(&job).unwrap_or(f64::INFINITY);
+            Time { idle: self.dispatcher.expect_idle(&job) / goal_ms, now: now_ms / goal_ms }
         };
         let times: Vec<Time> = (0..models).map(time).collect();
         Some(ladder::start(room, &times))
@@ -97,13 +97,13 @@
     /// and is not asked again.
     fn resumed_model(&self, models: usize) -> Option<usize> {
         self.params.last_event?;
-        self.desk.model_that_read(|model| self.prompt_key(Some(model)), models)
+        self.dispatcher.model_that_read(|model| self.prompt_key(Some(model)), models)
     }
 
     /// Returns how long a run may take to its first byte.
     pub(super) fn patience(&self, run: &Run) -> Duration {
         let route = &self.admission.route;
-        let last = self.sent >= route.attempts || !self.desk.affords(&self.service, Purpose::Repair);
+        let last = self.sent >= route.attempts || !self.dispatcher.affords(&self.service, Purpose::Repair);
         if last || !route.kind.repeatable() {
             return self.left();
         }
@@ -118,7 +118,7 @@
         last_event: Option<u64>,
         left: Duration,
     ) -> Request<Full<Bytes>> {
-        let names = &self.desk.dialect.names;
+        let names = &self.dispatcher.dialect.names;
         let mut headers = self.headers.clone();
         let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(names.deadline.clone(), request_params::value(&left.to_string()));
@@ -157,7 +157,7 @@
         }
         let room = Room {
             attempts: self.admission.route.attempts.saturating_sub(self.sent),
-            allowance: self.desk.affords(&self.service, Purpose::Escalation),
+            allowance: self.dispatcher.affords(&self.service, Purpose::Escalation),
         };
         let outlooks: Vec<Outlook> = (0..models).map(|model| self.outlook(model)).collect();
         match ladder::step(index, confidence, self.admission.urgency, room, &outlooks) {
@@ -168,21 +168,21 @@
 
     /// Returns the model's confidence in its answer.
     pub(super) fn confidence(&self, answer: &Answer) -> Option<u32> {
-        let value = answer.response.headers().get(&self.desk.dialect.names.confidence)?;
+        let value = answer.response.headers().get(&self.dispatcher.dialect.names.confidence)?;
         value.to_str().ok()?.trim().parse().ok()
     }
 
     /// Predicts whether a model's first event would still come in time.
     fn outlook(&self, model: usize) -> Outlook {
         let job = self.job(Some(model));
-        let Some(expected_ms) = self.desk.expect(&job) else { return Outlook::Never };
+        let Some(expected_ms) = self.dispatcher.expect(&job) else { return Outlook::Never };
         let goal_ms = clock::millis(self.admission.route.goal);
         let passed_ms = clock::millis(clock::now().saturating_sub(self.started));
         if passed_ms + expected_ms <= goal_ms {
             Outlook::InTime
         } else if expected_ms > 0.5 * clock::millis(self.left()) {
             Outlook::Never
-        } else if self.desk.expect_idle(&job) <= SHORT_PROMPT_FRACTION * goal_ms {
+        } else if self.dispatcher.expect_idle(&job) <= SHORT_PROMPT_FRACTION * goal_ms {
             Outlook::Crowded
         } else {
             Outlook::Late
--- a/crates/relay/src/exchange/stream.rs
+++ b/crates/relay/src/exchange/stream.rs
@@ -11,7 +11,7 @@
     forwarded_headers,
     tries::{ActiveStream, Exchange},
 };
-use crate::{answer::Body, catalog::Kind, clock, desk::fleet::Ended, events::Splitter, upstream::Outcome};
+use crate::{answer::Body, catalog::Kind, clock, dispatcher::fleet::Ended, events::Splitter, upstream::Outcome};
 
 /// A run has stalled after this many times the route's target pause between events.
 const STALL_FACTOR: f64 = 2.0;
--- a/crates/relay/src/exchange/tries.rs
+++ b/crates/relay/src/exchange/tries.rs
@@ -16,8 +16,8 @@
     answer::{self, Body, Refusal},
     catalog::Kind,
     clock,
-    desk::{
-        Desk, Flight, Held,
+    dispatcher::{
+        Dispatcher, Flight, Held,
         fleet::{Ended, Key, Run},
     },
     request_params::RequestParams,
@@ -49,7 +49,7 @@
 /// A request being served.
 #[derive(Debug)]
 pub struct Exchange {
-    pub(super) desk: Arc<Desk>,
+    pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) flight: Option<Flight>,
     pub(super) _body_memory: Held,
     pub(super) content: Content,
@@ -151,12 +151,12 @@
     /// Places the next try at an endpoint, or returns why no further try is possible.
     pub(super) async fn next_run(&mut self, model: Option<usize>) -> Result<Run, Refusal> {
         self.await_crash_check().await;
-        if let Some(left) = self.desk.quarantined(self.content) {
+        if let Some(left) = self.dispatcher.quarantined(self.content) {
             return Err(self.refusal_for_caller(Refusal::Quarantined { left }));
         }
         // The catalog may have changed since the last check: a revoked key or an old route
         // must not be used again.
-        self.admission = admit::check(&self.desk, &self.host, self.uri.path(), &self.params)
+        self.admission = admit::check(&self.dispatcher, &self.host, self.uri.path(), &self.params)
             .map_err(|r| self.refusal_for_caller(r))?;
         if self.left() < MIN_TRY_TIME {
             return Err(self.refusal_for_caller(Refusal::Expired));
@@ -172,9 +172,9 @@
         };
         if self.sent == 0 {
             if self.unreachable == 0 {
-                self.desk.earn(&self.service);
+                self.dispatcher.earn(&self.service);
             }
-        } else if !self.desk.spend(&self.service, Purpose::Repair) {
+        } else if !self.dispatcher.spend(&self.service, Purpose::Repair) {
             return Err(self.refusal_for_caller(Refusal::TurnedAway));
         }
         Ok(run)
@@ -193,7 +193,7 @@
     async fn wait_for_place(&self, model: Option<usize>) -> Result<Run, Refusal> {
         let until = clock::now() + ENDPOINT_WAIT.min(self.left());
         while clock::now() < until {
-            if let Some(after) = self.desk.throttled(&self.service)
+            if let Some(after) = self.dispatcher.throttled(&self.service)
                 && clock::now() + after > until
             {
                 return Err(self.refusal_for_caller(Refusal::Throttled { after }));
@@ -220,7 +220,7 @@
 
     /// Places a run at an endpoint; `None` if no endpoint accepts the request.
     fn place(&self, model: Option<usize>) -> Option<Run> {
-        self.desk.place(&self.job(model))
+        self.dispatcher.place(&self.job(model))
     }
 
     /// Sends the request once and decides what to do with the answer.
@@ -274,7 +274,7 @@
             Outcome::Unknown(cause) => (Ended::Broken, cause.clone()),
             Outcome::Broken(cause) => {
                 self.crash_check =
-                    Some(tokio::spawn(check_for_crash(Arc::clone(&self.desk), run.key, run.endpoint.address)));
+                    Some(tokio::spawn(check_for_crash(Arc::clone(&self.dispatcher), run.key, run.endpoint.address)));
                 (Ended::Broken, cause.clone())
             }
             Outcome::Answer(_) => (Ended::Good, String::new()),
@@ -309,7 +309,8 @@
         // on the caller must not be told that the request did not run.
         let ran_before = std::mem::replace(&mut self.may_have_run, true);
         let TryResult { outcome, limit } =
-            upstream::send(run.endpoint.address, request, &self.params.id, &self.desk.dialect.names, patience).await;
+            upstream::send(run.endpoint.address, request, &self.params.id, &self.dispatcher.dialect.names, patience)
+                .await;
         run.said(limit);
         if matches!(outcome, Outcome::Unreachable(_) | Outcome::NotRun(_)) {
             self.may_have_run = ran_before;
@@ -387,9 +388,9 @@
 }
 
 /// Reports a crash of an endpoint if it refuses connections.
-async fn check_for_crash(desk: Arc<Desk>, key: Key, address: SocketAddr) {
+async fn check_for_crash(dispatcher: Arc<Dispatcher>, key: Key, address: SocketAddr) {
     if upstream::is_refused(address).await {
-        desk.note_crash(key);
+        dispatcher.note_crash(key);
     }
 }
 
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -5,7 +5,7 @@
 //! never report an error. After any failure the kind is listed again, because an
 //! interrupted watch may have missed changes.
 //!
-//! While another instance keeps this one synchronized ([`crate::desk::track`]), the
+//! While another instance keeps this one synchronized ([`crate::dispatcher::synchronization`]), the
 //! store is called only for what that instance cannot provide.
 
 mod intake;
@@ -19,7 +19,7 @@
 use self::lapses::{Lapses, REREGISTRATION_TIME};
 use crate::{
     clock,
-    desk::Desk,
+    dispatcher::Dispatcher,
     share, silence,
     source::{Fault, Kind, Progress, Read, Source},
 };
@@ -85,10 +85,10 @@
 const TRIGGERED_READ_PAUSE: Duration = Duration::from_millis(300);
 
 /// Keeps one kind of record synchronized; never returns.
-pub async fn follow(desk: Arc<Desk>, source: Arc<dyn Source>, kind: Kind) {
-    let progress = if kind == Kind::Catalog { desk.catalog_progress() } else { Arc::default() };
+pub async fn follow(dispatcher: Arc<Dispatcher>, source: Arc<dyn Source>, kind: Kind) {
+    let progress = if kind == Kind::Catalog { dispatcher.catalog_progress() } else { Arc::default() };
     let mut follower = Follower {
-        desk,
+        dispatcher,
         source,
         kind,
         progress,
@@ -109,7 +109,7 @@
 }
 
 struct Follower {
-    desk: Arc<Desk>,
+    dispatcher: Arc<Dispatcher>,
     source: Arc<dyn Source>,
     kind: Kind,
     progress: Arc<Progress>,
@@ -135,7 +135,7 @@
 impl Follower {
     /// Makes one call to the store, or waits if none is due.
     async fn step(&mut self) {
-        if self.has_listed && self.desk.led() {
+        if self.has_listed && self.dispatcher.led() {
             self.wait_synchronized().await;
             return;
         }
@@ -177,10 +177,10 @@
             tracing::warn!(kind = ?self.kind, %fault, "store lost");
             self.lost_since = Some(asked);
         }
-        let wait = if self.desk.looks_first() {
+        let wait = if self.dispatcher.looks_first() {
             self.backoff(BACKOFF.1)
         } else {
-            PROBE_PAUSE.max(PROBE_PAUSE_PER_INSTANCE * u32::try_from(self.desk.members()).unwrap_or(u32::MAX))
+            PROBE_PAUSE.max(PROBE_PAUSE_PER_INSTANCE * u32::try_from(self.dispatcher.members()).unwrap_or(u32::MAX))
         };
         self.note_failure(clock::now());
         sleep(wait.mul_f64(0.7 + 0.6 * rand::random::<f64>())).await;
@@ -195,20 +195,20 @@
     /// store and keep the others synchronized.
     fn is_discovering(&self) -> bool {
         let Some(since) = self.first_listed.map(|first| clock::now().saturating_sub(first)) else { return false };
-        since < WATCHER_DISCOVERY_TIME || (since < DISCOVERY_TIME && !self.desk.watches_store())
+        since < WATCHER_DISCOVERY_TIME || (since < DISCOVERY_TIME && !self.dispatcher.watches_store())
     }
 
     /// Returns whether to leave probing of an unreachable store to the catalog's follower:
     /// all kinds are lost and regained together, and each probe is paid for.
     fn defers_to_catalog(&self) -> bool {
-        let is_lost = self.lost_since.is_some() && !self.desk.touched();
-        self.kind != Kind::Catalog && (is_lost || self.desk.doubts_store())
+        let is_lost = self.lost_since.is_some() && !self.dispatcher.touched();
+        self.kind != Kind::Catalog && (is_lost || self.dispatcher.doubts_store())
     }
 
     /// Returns whether to wait before probing a store that others seem to have lost. The
     /// whole fleet learns of it at once, and usually the store is lost to all instances.
     fn defers_first_probe(&mut self) -> bool {
-        let doubts = self.kind == Kind::Catalog && self.desk.doubts_store() && !self.desk.looks_first();
+        let doubts = self.kind == Kind::Catalog && self.dispatcher.doubts_store() && !self.dispatcher.looks_first();
         let is_first = doubts && !self.has_deferred_probe;
         self.has_deferred_probe = doubts;
         is_first
@@ -220,11 +220,11 @@
         self.revision = None;
         self.expire_lapses();
         self.lapses.clear_removals();
-        let asked_for = timeout(SYNCED_CHECK_PAUSE, self.desk.wanted(self.kind)).await.is_ok();
-        let wanted = asked_for && (self.kind != Kind::Catalog || self.desk.behind());
+        let asked_for = timeout(SYNCED_CHECK_PAUSE, self.dispatcher.wanted(self.kind)).await.is_ok();
+        let wanted = asked_for && (self.kind != Kind::Catalog || self.dispatcher.behind());
         let asked = clock::now();
         let probe =
-            self.kind == Kind::Catalog && !self.desk.touched() && asked > self.last_failure + SYNCED_PROBE_PAUSE;
+            self.kind == Kind::Catalog && !self.dispatcher.touched() && asked > self.last_failure + SYNCED_PROBE_PAUSE;
         // The store may reject this instance and serve all others, which then announce the
         // newer catalog sixteen times a second. Without a wait, each announcement causes two
         // more rejected calls, which made up a quarter of the cost of a day's calls.
@@ -255,9 +255,9 @@
     /// This helps when the store rejects this instance and serves the others. The store is
     /// still asked first, because callers are directed to instances in contact with it.
     async fn copy_catalog(&self) -> bool {
-        let Some(teller) = self.desk.teller() else { return false };
+        let Some(teller) = self.dispatcher.teller() else { return false };
         match share::fetch(teller).await {
-            Ok(catalog) => self.desk.install(catalog),
+            Ok(catalog) => self.dispatcher.install(catalog),
             Err(cause) => {
                 tracing::info!(%teller, cause, "copying the catalog from another instance failed");
                 false
@@ -281,14 +281,14 @@
             }
             return;
         }
-        let version = |desk: &Desk| desk.catalog().map(|catalog| catalog.version);
-        let before = version(&self.desk);
+        let version = |dispatcher: &Dispatcher| dispatcher.catalog().map(|catalog| catalog.version);
+        let before = version(&self.dispatcher);
         match self.list(Read::AnyAge, asked).await {
             Err(fault) => {
                 self.note_failed_read(asked, &fault);
                 self.copy_catalog().await;
             }
-            Ok(()) if version(&self.desk) == before => {
+            Ok(()) if version(&self.dispatcher) == before => {
                 if !self.copy_catalog().await {
                     self.read_latest(clock::now()).await;
                 }
@@ -325,7 +325,7 @@
     /// follower does so, on behalf of all kinds.
     fn note_contact(&self, succeeded: bool) {
         if self.kind == Kind::Catalog {
-            self.desk.note_touch(succeeded);
+            self.dispatcher.note_touch(succeeded);
         }
     }
 
@@ -340,15 +340,15 @@
         let call = self.source.list(self.kind, read, &self.progress);
         let listing = silence::bounded(&self.progress, Duration::ZERO, call).await?;
         // An empty listing is a proof only while no catalog has been read: then there is none.
-        let is_conclusive = !listing.records.is_empty() || self.desk.catalog().is_none();
+        let is_conclusive = !listing.records.is_empty() || self.dispatcher.catalog().is_none();
         let proves = self.kind == Kind::Catalog && read == Read::Latest && is_conclusive;
         if self.kind == Kind::Catalog {
             self.cadence.note(self.progress.transfer(), clock::now());
-            self.desk.note_narrow(self.cadence.is_long());
+            self.dispatcher.note_narrow(self.cadence.is_long());
         }
         self.apply_listing(listing);
         if proves {
-            self.desk.renew(asked, Proof::Read);
+            self.dispatcher.renew(asked, Proof::Read);
         }
         Ok(())
     }
@@ -360,7 +360,7 @@
         let batch = silence::bounded(&self.progress, wait, call).await?;
         self.apply_batch(batch);
         if self.kind == Kind::Catalog {
-            self.desk.renew(asked, Proof::Quiet);
+            self.dispatcher.renew(asked, Proof::Quiet);
             // A watch without changes proves less than a read, since it may have missed
             // one. With a read after each watch, callers are still served for three fifths
             // of the bound on revoked keys once the store is lost; for a long catalog, which
@@ -394,7 +394,7 @@
     /// Removes lapsed endpoints that did not register again in time.
     fn expire_lapses(&mut self) {
         for lapse in self.lapses.expire(clock::now()) {
-            if self.desk.delist_lapsed(&lapse.id, lapse.since) {
+            if self.dispatcher.delist_lapsed(&lapse.id, lapse.since) {
                 self.lapses.note_removed(lapse.id);
             }
         }
--- a/crates/relay/src/follow/intake.rs
+++ b/crates/relay/src/follow/intake.rs
@@ -5,7 +5,7 @@
 use super::{ENDPOINT_CHANGES_PAUSE, Follower, LONG_OUTAGE};
 use crate::{
     clock,
-    desk::track,
+    dispatcher::synchronization,
     source::{Batch, Change, Endpoint, Kind, Listing, Record},
 };
 
@@ -15,7 +15,7 @@
     pub(super) fn apply_listing(&mut self, listing: Listing) {
         // Another instance may already have delivered newer changes. This listing would
         // undo them, and they would not be delivered again.
-        if self.kind == Kind::Endpoints && listing.revision < self.desk.endpoints_revision() {
+        if self.kind == Kind::Endpoints && listing.revision < self.dispatcher.endpoints_revision() {
             self.revision = Some(listing.revision);
             return;
         }
@@ -31,8 +31,8 @@
         self.has_listed = true;
         self.first_listed.get_or_insert_with(clock::now);
         match self.kind {
-            Kind::Endpoints => self.desk.mark_listed(),
-            Kind::Rollouts => self.desk.note_orders(),
+            Kind::Endpoints => self.dispatcher.mark_listed(),
+            Kind::Rollouts => self.dispatcher.note_orders(),
             Kind::Catalog | Kind::Instances | Kind::Quarantine => {}
         }
     }
@@ -41,11 +41,11 @@
     pub(super) fn apply_batch(&mut self, batch: Batch) {
         let Batch { revision, changes } = batch;
         if self.kind == Kind::Endpoints {
-            let mut announced: Vec<track::Change> = changes.iter().filter_map(endpoint_change).collect();
-            if revision > self.desk.endpoints_revision() {
+            let mut announced: Vec<synchronization::Change> = changes.iter().filter_map(endpoint_change).collect();
+            if revision > self.dispatcher.endpoints_revision() {
                 announced.splice(0..0, self.lapses.take_removals());
             }
-            self.desk.note_changes(revision, announced);
+            self.dispatcher.note_changes(revision, announced);
             if !changes.is_empty() {
                 self.pause = Some(ENDPOINT_CHANGES_PAUSE);
             }
@@ -70,18 +70,18 @@
         let listed_ids: HashSet<&str> =
             listed.iter().map(|other| other.id.as_str()).chain(listing.unreadable.iter().map(String::as_str)).collect();
         let is_missing = |id: &String| !listed_ids.contains(id.as_str());
-        let missing: Vec<String> = self.desk.enlisted().into_iter().filter(is_missing).collect();
+        let missing: Vec<String> = self.dispatcher.enlisted().into_iter().filter(is_missing).collect();
         let kept: Vec<&str> = if outage { missing.iter().map(String::as_str).collect() } else { Vec::new() };
-        if self.desk.endpoints_revision() == 0 {
-            self.desk.note_listing(listing.revision);
+        if self.dispatcher.endpoints_revision() == 0 {
+            self.dispatcher.note_listing(listing.revision);
         } else {
-            self.desk.note_changes(listing.revision, self.desk.differences(&listed, &kept));
+            self.dispatcher.note_changes(listing.revision, self.dispatcher.differences(&listed, &kept));
         }
         for id in missing {
             if outage {
                 self.lapses.add(id, now);
             } else {
-                self.desk.delist(&id);
+                self.dispatcher.delist(&id);
             }
         }
     }
@@ -90,19 +90,19 @@
     fn apply_change(&mut self, change: Change) {
         match change.record {
             Some(Record::Catalog(catalog)) => {
-                self.desk.install(*catalog);
+                self.dispatcher.install(*catalog);
             }
             Some(Record::Endpoint(endpoint)) => {
                 self.lapses.note_registered(&endpoint.id);
-                self.desk.enlist(endpoint);
+                self.dispatcher.enlist(endpoint);
             }
-            Some(Record::Rollout(rollout)) => self.desk.order(rollout),
-            Some(Record::Instance(instance)) => self.desk.meet(&instance.name, instance.news),
-            Some(Record::Refused(refused)) => self.desk.restore_refused([refused]),
+            Some(Record::Rollout(rollout)) => self.dispatcher.order(rollout),
+            Some(Record::Instance(instance)) => self.dispatcher.meet(&instance.name, instance.news),
+            Some(Record::Refused(refused)) => self.dispatcher.restore_refused([refused]),
             None => match self.kind {
-                Kind::Endpoints => self.desk.delist(&change.name),
-                Kind::Rollouts => self.desk.withdraw_order(&change.name),
-                Kind::Instances => self.desk.part(&change.name),
+                Kind::Endpoints => self.dispatcher.delist(&change.name),
+                Kind::Rollouts => self.dispatcher.withdraw_order(&change.name),
+                Kind::Instances => self.dispatcher.part(&change.name),
                 Kind::Quarantine => {}
                 Kind::Catalog => tracing::warn!("catalog deleted in the store; the last one stays in force"),
             },
@@ -117,10 +117,10 @@
     }
 }
 
-fn endpoint_change(change: &Change) -> Option<track::Change> {
+fn endpoint_change(change: &Change) -> Option<synchronization::Change> {
     match &change.record {
-        Some(Record::Endpoint(endpoint)) => Some(track::Change::Known(endpoint.clone())),
+        Some(Record::Endpoint(endpoint)) => Some(synchronization::Change::Known(endpoint.clone())),
         Some(_) => None,
-        None => Some(track::Change::Gone(change.name.clone())),
+        None => Some(synchronization::Change::Gone(change.name.clone())),
     }
 }
--- a/crates/relay/src/follow/lapses.rs
+++ b/crates/relay/src/follow/lapses.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use crate::desk::track::Change;
+use crate::dispatcher::synchronization::Change;
 
 /// Time that endpoints get to register again after an outage of the store.
 pub(super) const REREGISTRATION_TIME: Duration = Duration::from_millis(2_300);
--- a/crates/relay/src/follow/lapses/tests.rs
+++ b/crates/relay/src/follow/lapses/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Lapse, Lapses, REREGISTRATION_TIME};
-use crate::desk::track::Change;
+use crate::dispatcher::synchronization::Change;
 
 const OUTAGE_ENDS: Duration = Duration::from_secs(10);
 
--- a/crates/relay/src/handle.rs
+++ b/crates/relay/src/handle.rs
@@ -9,9 +9,10 @@
 
 use crate::{
     caches, clock,
-    desk::Desk,
     dialect::Dialect,
-    directory, exchange, follow, front, join, news, quarantine, report,
+    directory,
+    dispatcher::Dispatcher,
+    exchange, follow, front, join, news, quarantine, report,
     settings::{Listeners, Settings},
     share::CatalogServer,
     source::{Kind, Source},
@@ -50,7 +51,7 @@
 /// A running relay; dropping it stops it.
 #[derive(Debug)]
 pub struct Handle {
-    desk: Arc<Desk>,
+    dispatcher: Arc<Dispatcher>,
     source: Arc<dyn Source>,
     tasks: JoinSet<()>,
 }
@@ -74,44 +75,44 @@
         directory: bound(&directory, at.directory),
         news: socket.local_addr().unwrap_or(at.news),
     };
-    let desk = Desk::new(settings, dialect);
-    desk.settle_in();
+    let dispatcher = Dispatcher::new(settings, dialect);
+    dispatcher.settle_in();
     let mut tasks = JoinSet::new();
-    let shared = Arc::clone(&desk);
+    let shared = Arc::clone(&dispatcher);
     tasks.spawn(front::accept(front_listener, move |request| exchange::serve(Arc::clone(&shared), request)));
-    let shared = Arc::clone(&desk);
+    let shared = Arc::clone(&dispatcher);
     tasks.spawn(front::accept(ready, move |request| std::future::ready(directory::ready(&shared, &request))));
-    let shared = Arc::clone(&desk);
+    let shared = Arc::clone(&dispatcher);
     tasks.spawn(front::accept(directory, move |request| std::future::ready(directory::addresses(&shared, &request))));
-    let (catalog_server, shared) = (Arc::new(CatalogServer::new()), Arc::clone(&desk));
+    let (catalog_server, shared) = (Arc::new(CatalogServer::new()), Arc::clone(&dispatcher));
     let serve_copy = move |request| std::future::ready(catalog_server.serve(&shared, &request));
     tasks.spawn(front::accept(catalog_listener, serve_copy));
     for kind in [Kind::Catalog, Kind::Rollouts, Kind::Endpoints] {
-        tasks.spawn(follow::follow(Arc::clone(&desk), Arc::clone(&source), kind));
+        tasks.spawn(follow::follow(Arc::clone(&dispatcher), Arc::clone(&source), kind));
     }
-    tasks.spawn(caches::ask_engines(Arc::clone(&desk)));
-    tasks.spawn(join::join(Arc::clone(&desk), Arc::clone(&source)));
-    tasks.spawn(report::advance_rollouts(Arc::clone(&desk), Arc::clone(&source)));
-    tasks.spawn(quarantine::synchronize(Arc::clone(&desk), Arc::clone(&source)));
-    tasks.spawn(news::exchange(Arc::clone(&desk), socket));
-    Ok(Handle { desk, source, tasks })
+    tasks.spawn(caches::ask_engines(Arc::clone(&dispatcher)));
+    tasks.spawn(join::join(Arc::clone(&dispatcher), Arc::clone(&source)));
+    tasks.spawn(report::advance_rollouts(Arc::clone(&dispatcher), Arc::clone(&source)));
+    tasks.spawn(quarantine::synchronize(Arc::clone(&dispatcher), Arc::clone(&source)));
+    tasks.spawn(news::exchange(Arc::clone(&dispatcher), socket));
+    Ok(Handle { dispatcher, source, tasks })
 }
 
 impl Handle {
     /// Returns the state of the instance.
     #[must_use]
-    pub fn desk(&self) -> &Arc<Desk> {
-        &self.desk
+    pub fn dispatcher(&self) -> &Arc<Dispatcher> {
+        &self.dispatcher
     }
 
     /// Shuts down gracefully: other instances are notified at once, and callers that still
     /// have the address are served until all answers are sent or the grace period is over.
     pub async fn shutdown(mut self) {
         let started = Instant::now();
-        let grace = self.desk.settings.grace.saturating_sub(EXIT_TIME);
-        self.desk.drain();
-        tracing::info!(in_flight = self.desk.in_flight(), "leaving");
-        let name = self.desk.settings.instance.clone();
+        let grace = self.dispatcher.settings.grace.saturating_sub(EXIT_TIME);
+        self.dispatcher.drain();
+        tracing::info!(in_flight = self.dispatcher.in_flight(), "leaving");
+        let name = self.dispatcher.settings.instance.clone();
         match timeout(QUIET_TIME, self.source.deregister(&name)).await {
             Ok(Ok(())) => {}
             Ok(Err(fault)) => tracing::info!(%fault, "registration left behind"),
@@ -120,7 +121,7 @@
         let addresses_cached_for = Duration::from_secs((directory::ADDRESS_CACHE_S * ADDRESS_CACHE_FACTOR).into());
         let mut quiet_since = Instant::now();
         while started.elapsed() < grace {
-            if self.desk.in_flight() > 0 {
+            if self.dispatcher.in_flight() > 0 {
                 quiet_since = Instant::now();
             }
             if started.elapsed() > addresses_cached_for && quiet_since.elapsed() > QUIET_TIME {
@@ -128,7 +129,7 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        tracing::info!(in_flight = self.desk.in_flight(), took_ms = clock::millis(started.elapsed()), "left");
+        tracing::info!(in_flight = self.dispatcher.in_flight(), took_ms = clock::millis(started.elapsed()), "left");
         self.tasks.shutdown().await;
     }
 }
--- a/crates/relay/src/join.rs
+++ b/crates/relay/src/join.rs
@@ -5,7 +5,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::{
-    desk::Desk,
+    dispatcher::Dispatcher,
     silence::{self, SILENCE_TIMEOUT},
     source::{Instance, Kind, Progress, Read, Record, Source},
 };
@@ -21,16 +21,16 @@
 const SEED_CHECK_PAUSE: Duration = Duration::from_millis(20);
 
 /// Registers this instance, discovers the others and lists them now and then.
-pub async fn join(desk: Arc<Desk>, source: Arc<dyn Source>) {
-    let me = Instance { name: desk.settings.instance.clone(), news: desk.settings.listeners.news };
+pub async fn join(dispatcher: Arc<Dispatcher>, source: Arc<dyn Source>) {
+    let me = Instance { name: dispatcher.settings.instance.clone(), news: dispatcher.settings.listeners.news };
     let progress = Progress::default();
     let mut is_registered = register(&*source, &me).await;
-    let mut has_discovered = discovered_by_seeds(&desk).await;
+    let mut has_discovered = discovered_by_seeds(&dispatcher).await;
     loop {
         if !has_discovered {
             // When a whole fleet starts at once, an old listing shows none of the others,
             // and each instance would watch the store by itself until the next listing.
-            has_discovered = list(&desk, &*source, Read::Latest, &progress).await;
+            has_discovered = list(&dispatcher, &*source, Read::Latest, &progress).await;
         }
         if is_registered && has_discovered {
             break;
@@ -42,10 +42,10 @@
     }
     loop {
         sleep(with_jitter(LIST_PAUSE)).await;
-        let members = u32::try_from(desk.members()).unwrap_or(u32::MAX);
+        let members = u32::try_from(dispatcher.members()).unwrap_or(u32::MAX);
         // On average one instance of the fleet lists; each decides at random.
         if rand::random_ratio(1, members) {
-            list(&desk, &*source, Read::AnyAge, &progress).await;
+            list(&dispatcher, &*source, Read::AnyAge, &progress).await;
         }
     }
 }
@@ -68,20 +68,20 @@
 /// Waits for an answer of a seed and returns whether one came; the seed then names the other
 /// instances. That saves a listing by each instance, which takes one call per fifty
 /// instances.
-async fn discovered_by_seeds(desk: &Desk) -> bool {
-    while desk.awaits_seeds() && desk.members() == 1 {
+async fn discovered_by_seeds(dispatcher: &Dispatcher) -> bool {
+    while dispatcher.awaits_seeds() && dispatcher.members() == 1 {
         sleep(SEED_CHECK_PAUSE).await;
     }
-    desk.members() > 1 && !desk.settings.seeds.is_empty()
+    dispatcher.members() > 1 && !dispatcher.settings.seeds.is_empty()
 }
 
 /// Lists the instances and adds them to the known ones; returns whether it succeeded.
-async fn list(desk: &Desk, source: &dyn Source, read: Read, progress: &Progress) -> bool {
+async fn list(dispatcher: &Dispatcher, source: &dyn Source, read: Read, progress: &Progress) -> bool {
     match silence::bounded(progress, Duration::ZERO, source.list(Kind::Instances, read, progress)).await {
         Ok(listing) => {
             for change in listing.records {
                 if let Some(Record::Instance(instance)) = change.record {
-                    desk.meet(&instance.name, instance.news);
+                    dispatcher.meet(&instance.name, instance.news);
                 }
             }
             true
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -24,12 +24,12 @@
 
 use crate::{
     clock,
-    desk::{
-        Desk,
+    dispatcher::{
+        Dispatcher,
         fleet::{self, short_hash},
         peers::{Sighting, Turn, Word},
-        track,
-        trials::Report,
+        rollouts::Report,
+        synchronization,
     },
     front,
 };
@@ -92,17 +92,17 @@
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
 /// Sends and receives datagrams; never returns.
-pub async fn exchange(desk: Arc<Desk>, socket: Arc<UdpSocket>) {
+pub async fn exchange(dispatcher: Arc<Dispatcher>, socket: Arc<UdpSocket>) {
     // Wall-clock time is only used to order the starts of one instance. Time since boot
     // would restart after a power loss, and others would ignore the instance as outdated.
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let run = u64::try_from(since_epoch.as_nanos()).unwrap_or(0);
     let (last_question, broadcasts) = (Mutex::default(), Broadcasts::new());
     tokio::join!(
-        send_periodically(&desk, &socket, run),
-        broadcasts.serve(&desk, &socket),
-        ask_watchers(&desk, &socket, &last_question),
-        receive(&desk, &socket, &last_question, &broadcasts)
+        send_periodically(&dispatcher, &socket, run),
+        broadcasts.serve(&dispatcher, &socket),
+        ask_watchers(&dispatcher, &socket, &last_question),
+        receive(&dispatcher, &socket, &last_question, &broadcasts)
     );
 }
 
@@ -110,19 +110,19 @@
 type LastQuestion = Mutex<Option<(u64, Duration)>>;
 
 /// Periodically asks an instance that watches the store for changes.
-async fn ask_watchers(desk: &Desk, socket: &UdpSocket, last_question: &LastQuestion) {
+async fn ask_watchers(dispatcher: &Dispatcher, socket: &UdpSocket, last_question: &LastQuestion) {
     let (mut number, mut turn) = (rand::random(), 0);
     loop {
-        if let Some(watcher) = desk.whom_to_ask(turn) {
+        if let Some(watcher) = dispatcher.whom_to_ask(turn) {
             number += 1;
             let last = last_question.lock().unwrap_or_else(PoisonError::into_inner).replace((number, clock::now()));
             if last.is_some() {
                 turn += 1;
             }
-            let question = Question { number, revision: desk.question().revision };
+            let question = Question { number, revision: dispatcher.question().revision };
             send(socket, watcher, &encode(&Packet::Question(question)));
         }
-        send_evidence(desk, socket);
+        send_evidence(dispatcher, socket);
         sleep(QUESTION_PAUSE).await;
     }
 }
@@ -131,40 +131,40 @@
 ///
 /// In a large fleet each instance sees only a few runs of a bad version. By news alone it
 /// takes many seconds until any instance has seen enough of them.
-fn send_evidence(desk: &Desk, socket: &UdpSocket) {
-    let orders: Vec<RolloutEvidence> = desk.trial_reports().iter().map(RolloutEvidence::from).collect();
+fn send_evidence(dispatcher: &Dispatcher, socket: &UdpSocket) {
+    let orders: Vec<RolloutEvidence> = dispatcher.trial_reports().iter().map(RolloutEvidence::from).collect();
     if orders.is_empty() {
         return;
     }
-    let bytes = encode(&Packet::Evidence(short_hash(&desk.settings.instance), orders));
-    for watcher in desk.watchers() {
+    let bytes = encode(&Packet::Evidence(short_hash(&dispatcher.settings.instance), orders));
+    for watcher in dispatcher.watchers() {
         send(socket, watcher, &bytes);
     }
 }
 
 /// Announces this start to the seeds, then periodically sends news.
-async fn send_periodically(desk: &Desk, socket: &UdpSocket, run: u64) {
+async fn send_periodically(dispatcher: &Dispatcher, socket: &UdpSocket, run: u64) {
     // `try_send_to` fails on a new socket until its readiness was awaited once.
     if let Err(error) = socket.writable().await {
         tracing::warn!(%error, "cannot announce this start to the seeds");
     }
-    for seed in &desk.settings.seeds {
-        send(socket, *seed, &encode(&Packet::News(news_message(desk, run, NEWS_PAUSE, MAX_NAMED))));
+    for seed in &dispatcher.settings.seeds {
+        send(socket, *seed, &encode(&Packet::News(news_message(dispatcher, run, NEWS_PAUSE, MAX_NAMED))));
     }
     let mut turn = 0;
     loop {
-        let Turn { near, far } = desk.audience(turn, MAX_RECEIVERS);
+        let Turn { near, far } = dispatcher.audience(turn, MAX_RECEIVERS);
         let time_to_next = NEWS_PAUSE * u32::try_from(near.rounds).unwrap_or(u32::MAX);
-        let bytes = encode(&Packet::News(news_message(desk, run, time_to_next, MAX_NAMED)));
+        let bytes = encode(&Packet::News(news_message(dispatcher, run, time_to_next, MAX_NAMED)));
         // Random, because with a counter the same instances would miss the reminders in each
         // round.
-        let reminders = if rand::random_ratio(1, REMINDER_RATIO) { reminders(desk) } else { Vec::new() };
-        for receiver in near.news.into_iter().chain(desk.strangers()) {
+        let reminders = if rand::random_ratio(1, REMINDER_RATIO) { reminders(dispatcher) } else { Vec::new() };
+        for receiver in near.news.into_iter().chain(dispatcher.strangers()) {
             send_news(socket, receiver, &bytes, &reminders);
         }
         if !far.news.is_empty() {
             let pause = NEWS_PAUSE * u32::try_from(far.rounds).unwrap_or(u32::MAX);
-            let bytes = encode(&Packet::News(brief_message(desk, run, pause)));
+            let bytes = encode(&Packet::News(brief_message(dispatcher, run, pause)));
             for receiver in far.news {
                 send_news(socket, receiver, &bytes, &reminders);
             }
@@ -174,8 +174,8 @@
         loop {
             tokio::select! {
                 () = &mut pause => break,
-                () = desk.hurry() => break,
-                () = desk.greetings() => greet(desk, socket, run, time_to_next).await,
+                () = dispatcher.hurry() => break,
+                () = dispatcher.greetings() => greet(dispatcher, socket, run, time_to_next).await,
             }
         }
     }
@@ -183,20 +183,20 @@
 
 /// Sends news to newly discovered instances at once, so that a starting instance discovers
 /// the others. When a fleet starts, those found at about the same time are greeted together.
-async fn greet(desk: &Desk, socket: &UdpSocket, run: u64, pause: Duration) {
+async fn greet(dispatcher: &Dispatcher, socket: &UdpSocket, run: u64, pause: Duration) {
     sleep(GREETING_DELAY).await;
-    let bytes = encode(&Packet::News(news_message(desk, run, pause, MAX_NAMED_IN_GREETING)));
-    let reminders = reminders(desk);
-    for receiver in desk.greeted() {
+    let bytes = encode(&Packet::News(news_message(dispatcher, run, pause, MAX_NAMED_IN_GREETING)));
+    let reminders = reminders(dispatcher);
+    for receiver in dispatcher.greeted() {
         send_news(socket, receiver, &bytes, &reminders);
     }
 }
 
 /// Returns encoded datagrams with quarantined requests and endpoint limits, for instances
 /// that missed them or started later; empty if there are none.
-fn reminders(desk: &Desk) -> Vec<Vec<u8>> {
-    let findings: Vec<Finding> = desk.refused_requests(MAX_BATCH).into_iter().map(Finding::from).collect();
-    let limits: Vec<Limit> = desk.limits(MAX_REMINDER_LIMITS).into_iter().map(Limit::from).collect();
+fn reminders(dispatcher: &Dispatcher) -> Vec<Vec<u8>> {
+    let findings: Vec<Finding> = dispatcher.refused_requests(MAX_BATCH).into_iter().map(Finding::from).collect();
+    let limits: Vec<Limit> = dispatcher.limits(MAX_REMINDER_LIMITS).into_iter().map(Limit::from).collect();
     let findings = (!findings.is_empty()).then_some(Packet::Findings(findings));
     let limits = (!limits.is_empty()).then_some(Packet::Limits(limits));
     findings.iter().chain(&limits).map(encode).collect()
@@ -217,19 +217,19 @@
 }
 
 /// Applies notices, except this instance's own, which relays send back.
-fn take_notices(desk: &Desk, notices: Vec<Notice>) {
-    let me = short_hash(&desk.settings.instance);
+fn take_notices(dispatcher: &Dispatcher, notices: Vec<Notice>) {
+    let me = short_hash(&dispatcher.settings.instance);
     for notice in notices.into_iter().filter(|notice| notice.origin != me) {
-        desk.take_notice(notice.into());
+        dispatcher.take_notice(notice.into());
     }
 }
 
-fn take_findings(desk: &Desk, findings: &[Finding]) {
-    desk.take_findings(findings.iter().copied().map(quarantine::Finding::from));
+fn take_findings(dispatcher: &Dispatcher, findings: &[Finding]) {
+    dispatcher.take_findings(findings.iter().copied().map(quarantine::Finding::from));
 }
 
 /// Receives datagrams, applies them and answers questions.
-async fn receive(desk: &Desk, socket: &UdpSocket, last_question: &LastQuestion, broadcasts: &Broadcasts) {
+async fn receive(dispatcher: &Dispatcher, socket: &UdpSocket, last_question: &LastQuestion, broadcasts: &Broadcasts) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
@@ -243,30 +243,32 @@
         match postcard::from_bytes(&buffer[..length]) {
             Ok(Packet::News(message)) => {
                 for (name, news) in &message.named {
-                    desk.meet(name, *news);
+                    dispatcher.meet(name, *news);
                 }
-                desk.take_sightings(message.sightings.iter().map(Sighting::from));
-                desk.hear(&message.name, from, Word::from(&message));
+                dispatcher.take_sightings(message.sightings.iter().map(Sighting::from));
+                dispatcher.hear(&message.name, from, Word::from(&message));
             }
-            Ok(Packet::Evidence(name, orders)) => desk.take_reports(name, orders.iter().map(Report::from).collect()),
-            Ok(Packet::Notices(notices)) => take_notices(desk, notices),
+            Ok(Packet::Evidence(name, orders)) => {
+                dispatcher.take_reports(name, orders.iter().map(Report::from).collect())
+            }
+            Ok(Packet::Notices(notices)) => take_notices(dispatcher, notices),
             Ok(Packet::PassOn(notices)) => {
                 broadcasts.notices.enqueue(notices.clone());
-                take_notices(desk, notices);
+                take_notices(dispatcher, notices);
             }
-            Ok(Packet::Findings(findings)) => take_findings(desk, &findings),
+            Ok(Packet::Findings(findings)) => take_findings(dispatcher, &findings),
             Ok(Packet::PassOnFindings(findings)) => {
                 broadcasts.findings.enqueue(findings.clone());
-                take_findings(desk, &findings);
+                take_findings(dispatcher, &findings);
             }
-            Ok(Packet::Limits(limits)) => desk.take_limits(limits.iter().map(fleet::Limit::from)),
+            Ok(Packet::Limits(limits)) => dispatcher.take_limits(limits.iter().map(fleet::Limit::from)),
             Ok(Packet::PassOnLimits(limits)) => {
-                desk.take_limits(limits.iter().map(fleet::Limit::from));
+                dispatcher.take_limits(limits.iter().map(fleet::Limit::from));
                 broadcasts.limits.enqueue(limits);
             }
             Ok(Packet::Question(question)) => {
-                let asked = track::Question { revision: question.revision };
-                if let Some(reply) = desk.reply(asked, MAX_REPLY_CHANGES) {
+                let asked = synchronization::Question { revision: question.revision };
+                if let Some(reply) = dispatcher.reply(asked, MAX_REPLY_CHANGES) {
                     send(socket, from, &encode(&Packet::Reply(Reply::new(question.number, reply))));
                 }
             }
@@ -276,8 +278,8 @@
                 // older than computed from the last question's time.
                 if let Some((_, at)) = last_question.take_if(|(number, _)| *number == reply.number) {
                     drop(last_question);
-                    desk.note_teller(from, reply.catalog);
-                    desk.take_reply(at, reply.into());
+                    dispatcher.note_teller(from, reply.catalog);
+                    dispatcher.take_reply(at, reply.into());
                 }
             }
             Err(error) => tracing::warn!(%from, %error, "invalid datagram; instances of another build?"),
@@ -287,43 +289,43 @@
 
 /// Builds a news message; `pause` is the time until the receiver gets the next one, and
 /// `named` the number of other instances to name.
-fn news_message(desk: &Desk, run: u64, pause: Duration, named: usize) -> NewsMessage {
+fn news_message(dispatcher: &Dispatcher, run: u64, pause: Duration, named: usize) -> NewsMessage {
     NewsMessage {
-        name: desk.settings.instance.clone(),
+        name: dispatcher.settings.instance.clone(),
         run,
-        front: desk.settings.listeners.front,
-        phase: desk.phase().into(),
-        fresh: desk.fresh(),
-        in_touch: desk.in_touch(),
-        narrow: desk.is_narrow(),
-        centicores: desk.settings.cores.0,
-        domain: desk.settings.domain.clone(),
+        front: dispatcher.settings.listeners.front,
+        phase: dispatcher.phase().into(),
+        fresh: dispatcher.fresh(),
+        in_touch: dispatcher.in_touch(),
+        narrow: dispatcher.is_narrow(),
+        centicores: dispatcher.settings.cores.0,
+        domain: dispatcher.settings.domain.clone(),
         pause_ms: millis_u32(pause),
-        named: desk.some_peers(named),
-        sightings: sightings(desk, pause),
-        loads: desk
+        named: dispatcher.some_peers(named),
+        sightings: sightings(dispatcher, pause),
+        loads: dispatcher
             .own_loads()
             .into_iter()
             .map(|(hash, load)| (hash, clamp_to_u16(load.runs), clamp_to_u16(load.backlog_ms)))
             .collect(),
-        sessions: desk.settled_sessions(),
-        orders: desk.trial_reports().iter().map(RolloutEvidence::from).collect(),
-        catalog: desk.catalog().map_or(0, |catalog| catalog.version),
+        sessions: dispatcher.settled_sessions(),
+        orders: dispatcher.trial_reports().iter().map(RolloutEvidence::from).collect(),
+        catalog: dispatcher.catalog().map_or(0, |catalog| catalog.version),
     }
 }
 
 /// Builds a news message without the parts that would be outdated before the next one.
-fn brief_message(desk: &Desk, run: u64, pause: Duration) -> NewsMessage {
-    NewsMessage { loads: Vec::new(), sightings: Vec::new(), ..news_message(desk, run, pause, MAX_NAMED_IN_BRIEF) }
+fn brief_message(dispatcher: &Dispatcher, run: u64, pause: Duration) -> NewsMessage {
+    NewsMessage { loads: Vec::new(), sightings: Vec::new(), ..news_message(dispatcher, run, pause, MAX_NAMED_IN_BRIEF) }
 }
 
 /// Returns when other instances were last heard from, if a round of news takes several
 /// messages.
-fn sightings(desk: &Desk, pause: Duration) -> Vec<SerializedSighting> {
+fn sightings(dispatcher: &Dispatcher, pause: Duration) -> Vec<SerializedSighting> {
     if pause <= NEWS_PAUSE {
         return Vec::new();
     }
-    desk.sightings(MAX_SIGHTINGS).into_iter().map(SerializedSighting::from).collect()
+    dispatcher.sightings(MAX_SIGHTINGS).into_iter().map(SerializedSighting::from).collect()
 }
 
 fn encode(packet: &Packet) -> Vec<u8> {
--- a/crates/relay/src/news/spread.rs
+++ b/crates/relay/src/news/spread.rs
@@ -15,7 +15,7 @@
     encode, send,
     wire::{Finding, Limit, Notice, Packet},
 };
-use crate::desk::{Desk, fleet::short_hash, peers::Audience};
+use crate::dispatcher::{Dispatcher, fleet::short_hash, peers::Audience};
 
 /// Time for which a relay collects items before it passes them on.
 const BATCH_DELAY: Duration = Duration::from_millis(30);
@@ -45,38 +45,38 @@
     }
 
     /// Broadcasts this instance's items and passes on those of others; never returns.
-    pub(super) async fn serve(&self, desk: &Desk, socket: &UdpSocket) {
+    pub(super) async fn serve(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         tokio::join!(
-            self.send_notices(desk, socket),
-            self.send_findings(desk, socket),
-            self.send_limits(desk, socket),
-            self.notices.pass_on(desk, socket),
-            self.findings.pass_on(desk, socket),
-            self.limits.pass_on(desk, socket)
+            self.send_notices(dispatcher, socket),
+            self.send_findings(dispatcher, socket),
+            self.send_limits(dispatcher, socket),
+            self.notices.pass_on(dispatcher, socket),
+            self.findings.pass_on(dispatcher, socket),
+            self.limits.pass_on(dispatcher, socket)
         );
     }
 
-    async fn send_notices(&self, desk: &Desk, socket: &UdpSocket) {
-        let origin = short_hash(&desk.settings.instance);
+    async fn send_notices(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
+        let origin = short_hash(&dispatcher.settings.instance);
         loop {
             let notices: Vec<Notice> =
-                desk.notices().await.into_iter().map(|notice| Notice::new(notice, origin)).collect();
+                dispatcher.notices().await.into_iter().map(|notice| Notice::new(notice, origin)).collect();
             metrics::counter!("relay_notices_total").increment(u64::try_from(notices.len()).unwrap_or_default());
-            self.notices.send_to_all(desk, socket, &notices);
+            self.notices.send_to_all(dispatcher, socket, &notices);
         }
     }
 
-    async fn send_findings(&self, desk: &Desk, socket: &UdpSocket) {
+    async fn send_findings(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         loop {
-            let findings: Vec<Finding> = desk.findings().await.into_iter().map(Finding::from).collect();
-            self.findings.send_to_all(desk, socket, &findings);
+            let findings: Vec<Finding> = dispatcher.findings().await.into_iter().map(Finding::from).collect();
+            self.findings.send_to_all(dispatcher, socket, &findings);
         }
     }
 
-    async fn send_limits(&self, desk: &Desk, socket: &UdpSocket) {
+    async fn send_limits(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         loop {
-            let limits: Vec<Limit> = desk.limits_to_tell().await.into_iter().map(Limit::from).collect();
-            self.limits.send_to_all(desk, socket, &limits);
+            let limits: Vec<Limit> = dispatcher.limits_to_tell().await.into_iter().map(Limit::from).collect();
+            self.limits.send_to_all(dispatcher, socket, &limits);
         }
     }
 }
@@ -102,10 +102,10 @@
     }
 
     /// Sends items to all instances; in a large fleet, to the relays.
-    fn send_to_all(&self, desk: &Desk, socket: &UdpSocket, items: &[T]) {
-        let me = desk.settings.listeners.news;
+    fn send_to_all(&self, dispatcher: &Dispatcher, socket: &UdpSocket, items: &[T]) {
+        let me = dispatcher.settings.listeners.news;
         for items in items.chunks(MAX_BATCH) {
-            let (audience, packet) = match desk.notice_audience() {
+            let (audience, packet) = match dispatcher.notice_audience() {
                 Audience::All(all) => (all, (self.to_all)(items.to_vec())),
                 Audience::Relays(relays) => {
                     if relays.contains(&me) {
@@ -122,10 +122,10 @@
     }
 
     /// Passes queued items on to the neighbours, in batches; never returns.
-    async fn pass_on(&self, desk: &Desk, socket: &UdpSocket) {
+    async fn pass_on(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         loop {
             let items = self.next_batch().await;
-            let neighbours = desk.neighbours();
+            let neighbours = dispatcher.neighbours();
             for items in items.chunks(MAX_BATCH) {
                 let bytes = encode(&(self.to_all)(items.to_vec()));
                 for receiver in &neighbours {
--- a/crates/relay/src/news/wire.rs
+++ b/crates/relay/src/news/wire.rs
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    desk::{
+    dispatcher::{
         fleet::{self, Load},
         peers::{self, Sighting, Word},
-        track,
-        trials::{Report, Tallies},
+        rollouts::{Report, Tallies},
+        synchronization,
     },
     rollout::Rollout,
     settings::Cores,
@@ -119,14 +119,14 @@
     pub(super) part: Option<u32>,
 }
 
-/// Serialized form of [`track::Question`]; the reply repeats the number.
+/// Serialized form of [`synchronization::Question`]; the reply repeats the number.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Question {
     pub(super) number: u64,
     pub(super) revision: u64,
 }
 
-/// Serialized form of [`track::Reply`].
+/// Serialized form of [`synchronization::Reply`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Reply {
     /// Number of the question.
@@ -145,7 +145,7 @@
     pub(super) rollouts: Vec<RolloutOrder>,
 }
 
-/// Serialized form of [`track::Change`].
+/// Serialized form of [`synchronization::Change`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Change {
     Known {
@@ -339,11 +339,11 @@
     }
 }
 
-impl From<track::Change> for Change {
-    fn from(change: track::Change) -> Self {
+impl From<synchronization::Change> for Change {
+    fn from(change: synchronization::Change) -> Self {
         match change {
-            track::Change::Gone(id) => Self::Gone(id),
-            track::Change::Known(endpoint) => Self::Known {
+            synchronization::Change::Gone(id) => Self::Gone(id),
+            synchronization::Change::Known(endpoint) => Self::Known {
                 id: endpoint.id,
                 service: endpoint.service,
                 address: endpoint.address,
@@ -359,7 +359,7 @@
     }
 }
 
-impl From<Change> for track::Change {
+impl From<Change> for synchronization::Change {
     fn from(change: Change) -> Self {
         match change {
             Change::Gone(id) => Self::Gone(id),
@@ -398,7 +398,7 @@
 }
 
 impl Reply {
-    pub(super) fn new(number: u64, reply: track::Reply) -> Self {
+    pub(super) fn new(number: u64, reply: synchronization::Reply) -> Self {
         Self {
             number,
             catalog: reply.catalog,
@@ -412,7 +412,7 @@
     }
 }
 
-impl From<Reply> for track::Reply {
+impl From<Reply> for synchronization::Reply {
     fn from(reply: Reply) -> Self {
         Self {
             catalog: reply.catalog,
@@ -420,7 +420,7 @@
             silence: Duration::from_millis(u64::from(reply.silence_ms)),
             revision: reply.revision,
             gap: reply.gap,
-            changes: reply.changes.into_iter().map(track::Change::from).collect(),
+            changes: reply.changes.into_iter().map(synchronization::Change::from).collect(),
             orders: reply.rollouts.into_iter().map(Rollout::from).collect(),
         }
     }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::{
-    desk::Desk,
+    dispatcher::Dispatcher,
     silence::{self, SILENCE_TIMEOUT},
     source::{Fault, Kind, Progress, Read, Record, Refused, Source},
 };
@@ -30,11 +30,11 @@
 }
 
 /// Reads the stored quarantine once and writes changes to the store; never returns.
-pub async fn synchronize(desk: Arc<Desk>, source: Arc<dyn Source>) {
-    tokio::join!(restore(&desk, &*source), write_changes(&desk, &*source));
+pub async fn synchronize(dispatcher: Arc<Dispatcher>, source: Arc<dyn Source>) {
+    tokio::join!(restore(&dispatcher, &*source), write_changes(&dispatcher, &*source));
 }
 
-async fn restore(desk: &Desk, source: &dyn Source) {
+async fn restore(dispatcher: &Dispatcher, source: &dyn Source) {
     let (progress, mut retry_pause) = (Progress::default(), RETRY_PAUSE);
     let listing = loop {
         let list = source.list(Kind::Quarantine, Read::AnyAge, &progress);
@@ -48,17 +48,17 @@
         Some(Record::Refused(refused)) => Some(refused),
         _ => None,
     });
-    desk.restore_refused(refused);
+    dispatcher.restore_refused(refused);
 }
 
-async fn write_changes(desk: &Desk, source: &dyn Source) {
+async fn write_changes(dispatcher: &Dispatcher, source: &dyn Source) {
     loop {
-        let change = desk.quarantine_change().await;
+        let change = dispatcher.quarantine_change().await;
         let mut retry_pause = RETRY_PAUSE;
         while let Err(fault) = write_change(source, change).await {
             tracing::info!(%fault, ?change, "writing quarantine change failed; retrying");
             back_off(&mut retry_pause).await;
-            if !desk.is_due(change) {
+            if !dispatcher.is_due(change) {
                 break;
             }
         }
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::{sleep, timeout};
 
-use crate::{desk::Desk, silence::SILENCE_TIMEOUT, source::Source};
+use crate::{dispatcher::Dispatcher, silence::SILENCE_TIMEOUT, source::Source};
 
 /// Pause between checks of the rollouts.
 const CHECK_PAUSE: Duration = Duration::from_millis(250);
@@ -18,18 +18,18 @@
 /// Every instance advances rollouts. The instance whose name sorts first and those that
 /// watch the store report the stages, and the others if these fail to. Reports are
 /// conditional writes, so a late one changes nothing.
-pub async fn advance_rollouts(desk: Arc<Desk>, source: Arc<dyn Source>) {
+pub async fn advance_rollouts(dispatcher: Arc<Dispatcher>, source: Arc<dyn Source>) {
     let mut unreported_checks = 0;
     loop {
         sleep(CHECK_PAUSE).await;
-        let unreported = desk.advance_trials();
+        let unreported = dispatcher.advance_trials();
         if unreported.is_empty() {
             unreported_checks = 0;
             continue;
         }
         unreported_checks += 1;
         // Instances that watch the store have the most evidence and see a stage end first.
-        if !desk.leads() && !desk.watches_store() && unreported_checks < FALLBACK_CHECKS {
+        if !dispatcher.leads() && !dispatcher.watches_store() && unreported_checks < FALLBACK_CHECKS {
             continue;
         }
         for (rollout, stage) in unreported {
--- a/crates/relay/src/share.rs
+++ b/crates/relay/src/share.rs
@@ -24,7 +24,7 @@
 use crate::{
     answer::{self, Body},
     catalog::{Catalog, wire},
-    desk::Desk,
+    dispatcher::Dispatcher,
     upstream,
 };
 
@@ -61,11 +61,11 @@
 
     /// Answers a request for the catalog.
     #[must_use]
-    pub fn serve(&self, desk: &Desk, request: &Request<Incoming>) -> Response<Body> {
+    pub fn serve(&self, dispatcher: &Dispatcher, request: &Request<Incoming>) -> Response<Body> {
         if request.uri().path() != CATALOG_PATH {
             return answer::empty_response(StatusCode::NOT_FOUND);
         }
-        let copy = desk.catalog().and_then(|catalog| self.copy(&catalog));
+        let copy = dispatcher.catalog().and_then(|catalog| self.copy(&catalog));
         match (copy, Arc::clone(&self.permits).try_acquire_owned()) {
             (Some(copy), Ok(permit)) => Response::new(copy_body(copy, permit)),
             _ => answer::empty_response(StatusCode::SERVICE_UNAVAILABLE),
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::{desk::fleet::Said, dialect::Names};
+use crate::{dialect::Names, dispatcher::fleet::Said};
 
 /// Time limit for connecting: many round trips, and well below the time after which TCP
 /// resends a lost first packet.
--- a/crates/relay/tests/it/crashes.rs
+++ b/crates/relay/tests/it/crashes.rs
@@ -4,7 +4,7 @@
 
 use relay::{
     catalog::{Kind, Route},
-    desk::{Desk, fleet::Job},
+    dispatcher::{Dispatcher, fleet::Job},
     source::Refused,
 };
 use route::relay::content::Content;
@@ -48,7 +48,7 @@
         sites.push(start_instance(name, contents, &sites).await);
     }
     for site in &sites {
-        while site.relay.desk().members() < sites.len() {
+        while site.relay.dispatcher().members() < sites.len() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
@@ -57,7 +57,7 @@
 
 /// Starts an instance that knows the addresses of others.
 async fn start_instance(name: &str, contents: &StoreContents, others: &[Site]) -> Site {
-    let seeds: Vec<SocketAddr> = others.iter().map(|site| site.relay.desk().settings.listeners.news).collect();
+    let seeds: Vec<SocketAddr> = others.iter().map(|site| site.relay.dispatcher().settings.listeners.news).collect();
     Site::start_with(contents.clone(), |settings| {
         settings.instance = name.into();
         settings.seeds = seeds;
@@ -137,7 +137,7 @@
     }
     let before = deadly_request_count(&servers);
     sites.push(start_instance("late", &contents, &sites).await);
-    while sites[2].relay.desk().members() < 3 {
+    while sites[2].relay.dispatcher().members() < 3 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -191,7 +191,7 @@
     while !site.store.refused().is_empty() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(site.relay.desk().quarantined(refused.content), None);
+    assert_eq!(site.relay.dispatcher().quarantined(refused.content), None);
 }
 
 /// Half of the endpoints crash at once while they run many identical requests, which did not
@@ -232,7 +232,7 @@
 /// quarantined for minutes.
 #[tokio::test]
 async fn endpoints_that_crash_together_count_as_one_crash_of_their_unfinished_request() {
-    let instance = Desk::new(settings(), dialect());
+    let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(1, vec![route("/s/", RESUMABLE)]));
     for id in 0..3 {
         instance.enlist(endpoint(&format!("e{id}"), ([127, 0, 0, 1], 9 + id).into()));
@@ -334,7 +334,7 @@
 async fn list_only(site: &Site, only: relay::source::Endpoint) {
     let id = only.id.clone();
     site.store.change(|contents| contents.endpoints = vec![only]);
-    while site.relay.desk().enlisted() != [id.as_str()] {
+    while site.relay.dispatcher().enlisted() != [id.as_str()] {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/relay/tests/it/large_pool.rs
+++ b/crates/relay/tests/it/large_pool.rs
@@ -4,8 +4,8 @@
 
 use relay::{
     catalog::Kind,
-    desk::{
-        Desk,
+    dispatcher::{
+        Dispatcher,
         fleet::{Job, Notice, short_hash},
     },
     rollout::Rollout,
@@ -19,8 +19,8 @@
 const ENDPOINTS: u16 = 400;
 
 /// Returns an instance that knows 400 endpoints; every hundredth has the older version, v2.
-fn instance_with_large_pool() -> Arc<Desk> {
-    let instance = Desk::new(settings(), dialect());
+fn instance_with_large_pool() -> Arc<Dispatcher> {
+    let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
     for number in 0..ENDPOINTS {
         let version = if number % 100 == 99 { "v2" } else { "v1" };
--- a/crates/relay/tests/it/limits.rs
+++ b/crates/relay/tests/it/limits.rs
@@ -33,7 +33,7 @@
     let contents = StoreContents { catalog: Some(catalog), endpoints: endpoints.collect(), ..StoreContents::default() };
     let mut sites: Vec<Site> = Vec::new();
     for number in 0..count {
-        let seeds = sites.iter().map(|site| site.relay.desk().settings.listeners.news).collect();
+        let seeds = sites.iter().map(|site| site.relay.dispatcher().settings.listeners.news).collect();
         let site = Site::start_with(contents.clone(), |settings| {
             settings.instance = format!("instance-{number}");
             settings.seeds = seeds;
@@ -41,7 +41,7 @@
         sites.push(site.await);
     }
     for site in &sites {
-        while site.relay.desk().members() < count {
+        while site.relay.dispatcher().members() < count {
             sleep(Duration::from_millis(2)).await;
         }
     }
@@ -160,9 +160,9 @@
     let mut sites = start_instances(1, &[&overloaded]).await;
     send_requests(&sites, 1).await;
     let store = std::sync::Arc::clone(&sites[0].store);
-    let seeds = vec![sites[0].relay.desk().settings.listeners.news];
+    let seeds = vec![sites[0].relay.dispatcher().settings.listeners.news];
     sites.push(Site::start_on(store, relay::Settings { instance: "late".into(), seeds, ..settings() }).await);
-    let instance = sites[1].relay.desk();
+    let instance = sites[1].relay.dispatcher();
     while instance.limits(1).is_empty() {
         sleep(Duration::from_millis(5)).await;
     }
--- a/crates/relay/tests/it/notices.rs
+++ b/crates/relay/tests/it/notices.rs
@@ -4,8 +4,8 @@
 
 use relay::{
     catalog::Kind,
-    desk::{
-        Desk,
+    dispatcher::{
+        Dispatcher,
         fleet::{Job, Notice, short_hash},
         peers::{Audience, Word},
     },
@@ -25,8 +25,8 @@
 const NOTICES_TAG: u8 = 3;
 
 /// Returns an instance that knows three endpoints and another instance.
-fn instance_with_endpoints() -> Arc<Desk> {
-    let instance = Desk::new(settings(), dialect());
+fn instance_with_endpoints() -> Arc<Dispatcher> {
+    let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
     for (id, port) in ENDPOINTS.into_iter().zip(9..) {
         instance.enlist(endpoint(id, ([127, 0, 0, 1], port).into()));
@@ -119,7 +119,7 @@
     assert_eq!(caller::call(site.front(), "POST", "/a/x", headers, "prompt").await.status, 200);
     let holder = usize::from(servers[0].requests().is_empty());
     let busy = Notice { endpoint: short_hash(&format!("e{holder}")), reading_ms: 10_000.0, part: None };
-    site.relay.desk().take_notice(busy);
+    site.relay.dispatcher().take_notice(busy);
     assert_eq!(caller::call(site.front(), "POST", "/a/x", headers, "prompt").await.status, 200);
     let requests = servers[1 - holder].requests();
     assert_eq!(header(&requests[0], "x-fetch"), Some(addresses[holder].to_string()));
@@ -128,7 +128,7 @@
 
 /// Adds `per_domain` instances in each of three failure domains, all at one address; the first of
 /// each domain has the most cores.
-fn add_instances(instance: &Desk, per_domain: u16, news: SocketAddr) {
+fn add_instances(instance: &Dispatcher, per_domain: u16, news: SocketAddr) {
     for domain in ["tartu-a", "tartu-b", "voru"] {
         for number in 0..per_domain {
             let cores = Cores(if number == 0 { 50 } else { 12 });
@@ -171,13 +171,13 @@
     };
     let (here, relay) = (start("a", Cores(12)).await, start("b", Cores(400)).await);
     let update = Word { domain: "tartu-a".into(), cores: Cores(400), pause: Duration::from_mins(1), ..Word::default() };
-    here.relay.desk().hear("b", relay.relay.desk().settings.listeners.news, update);
+    here.relay.dispatcher().hear("b", relay.relay.dispatcher().settings.listeners.news, update);
     for site in [&here, &relay] {
-        add_instances(site.relay.desk(), 40, address);
+        add_instances(site.relay.dispatcher(), 40, address);
     }
     let job = prompt_job(None, 10_000);
-    let before = relay.relay.desk().expect(&job).unwrap();
-    let _run = here.relay.desk().place(&job).unwrap();
+    let before = relay.relay.dispatcher().expect(&job).unwrap();
+    let _run = here.relay.dispatcher().place(&job).unwrap();
     let passed_on = async {
         let mut buffer = [0; 2_048];
         while buffer[0] != NOTICES_TAG {
@@ -185,5 +185,5 @@
         }
     };
     timeout(Duration::from_secs(5), passed_on).await.expect("the notice should reach the neighbours");
-    assert!(relay.relay.desk().expect(&job).unwrap() > before + 100.0);
+    assert!(relay.relay.dispatcher().expect(&job).unwrap() > before + 100.0);
 }
--- a/crates/relay/tests/it/proofs.rs
+++ b/crates/relay/tests/it/proofs.rs
@@ -8,8 +8,8 @@
 use relay::{
     catalog::Kind,
     clock,
-    desk::{
-        Desk,
+    dispatcher::{
+        Dispatcher,
         peers::{Phase, Word},
     },
 };
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn instance_with_a_narrow_link_keeps_others_synchronized() {
     let site = start().await;
-    let (watcher, other) = (site.relay.desk(), instance_with_catalog(1));
+    let (watcher, other) = (site.relay.dispatcher(), instance_with_catalog(1));
     let started_at = Instant::now();
     while started_at.elapsed() < TEST_TIME {
         if let Some(reply) = watcher.reply(other.question(), 60) {
@@ -81,7 +81,7 @@
     names.sort_by_key(|name| hash::stable(name.as_bytes()));
     let name = |place: &str| names[place.parse::<usize>().unwrap()];
     let settings = relay::Settings { instance: name(here).into(), ..settings() };
-    let instance = Desk::new(settings, dialect());
+    let instance = Dispatcher::new(settings, dialect());
     instance.note_narrow(is_narrow);
     for (place, is_narrow) in others {
         let update =
--- a/crates/relay/tests/it/requests.rs
+++ b/crates/relay/tests/it/requests.rs
@@ -103,7 +103,7 @@
     while server.disconnects() == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(site.relay.desk().in_flight(), 0);
+    assert_eq!(site.relay.dispatcher().in_flight(), 0);
 }
 
 /// An operator revokes a customer's key while the store cannot be reached.
@@ -158,7 +158,7 @@
 #[tokio::test]
 async fn older_catalog_is_not_installed() {
     let (_server, site) = start(Kind::Idempotent).await;
-    assert!(site.relay.desk().install(catalog(3, vec![route("/b/", Kind::Idempotent)])));
-    assert!(!site.relay.desk().install(catalog(2, vec![route("/a/", Kind::Idempotent)])));
+    assert!(site.relay.dispatcher().install(catalog(3, vec![route("/b/", Kind::Idempotent)])));
+    assert!(!site.relay.dispatcher().install(catalog(2, vec![route("/a/", Kind::Idempotent)])));
     assert_eq!(caller::call(site.front(), "GET", "/a/x", "", "").await.status, 404);
 }
--- a/crates/relay/tests/it/restarts.rs
+++ b/crates/relay/tests/it/restarts.rs
@@ -5,11 +5,11 @@
 use relay::{
     catalog::Kind,
     clock,
-    desk::{
-        Desk,
+    dispatcher::{
+        Dispatcher,
         fleet::{Ended, Job, Load, Notice, start_hash},
         peers::Word,
-        track::{Change, Reply},
+        synchronization::{Change, Reply},
     },
     source::Endpoint,
 };
@@ -29,8 +29,8 @@
 }
 
 /// Returns an instance that knows the first starts of two endpoints, and another instance.
-fn instance_with_endpoints() -> Arc<Desk> {
-    let instance = Desk::new(settings(), dialect());
+fn instance_with_endpoints() -> Arc<Dispatcher> {
+    let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
     instance.enlist(registration("e0", 9, 100, 5));
     instance.enlist(registration("e1", 10, 100, 6));
@@ -46,7 +46,7 @@
 }
 
 /// Returns the distinct endpoints that fifty short prompts are placed on, one after the other.
-fn placements(instance: &Arc<Desk>) -> Vec<String> {
+fn placements(instance: &Arc<Dispatcher>) -> Vec<String> {
     let place = |session| Job { session, own_tokens: 100, ..prompt_job(None, 10_000) };
     let mut ids: Vec<String> = (0..50)
         .map(|n| instance.place(&place(n)).expect("an endpoint should take the job").endpoint.id.clone())
@@ -56,7 +56,7 @@
     ids
 }
 
-fn place_long_prompts(instance: &Arc<Desk>) -> Vec<relay::desk::fleet::Run> {
+fn place_long_prompts(instance: &Arc<Dispatcher>) -> Vec<relay::dispatcher::fleet::Run> {
     (0..40)
         .map(|session| {
             instance.place(&Job { session, ..prompt_job(None, 10_000) }).expect("an endpoint should take the job")
@@ -189,7 +189,7 @@
     let restarted = Server::start(actions()).await;
     let second = Endpoint { address: restarted.address, born: Some(200), revision: 9, ..first };
     site.store.change(|contents| contents.endpoints[0] = second);
-    let has_restarted = || site.relay.desk().known_endpoints().iter().any(|endpoint| endpoint.born == Some(200));
+    let has_restarted = || site.relay.dispatcher().known_endpoints().iter().any(|endpoint| endpoint.born == Some(200));
     while !has_restarted() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
--- a/crates/relay/tests/it/rollouts.rs
+++ b/crates/relay/tests/it/rollouts.rs
@@ -7,10 +7,10 @@
 
 use relay::{
     catalog::Kind,
-    desk::{
+    dispatcher::{
         fleet::short_hash,
         peers::Word,
-        trials::{Report, Tallies},
+        rollouts::{Report, Tallies},
     },
     rollout::Rollout,
 };
--- a/crates/relay/tests/it/site.rs
+++ b/crates/relay/tests/it/site.rs
@@ -263,7 +263,7 @@
     pub async fn start_on(store: Arc<Store>, settings: Settings) -> Self {
         let source: Arc<dyn Source> = store.clone();
         let relay = relay::spawn(settings, dialect(), source).await.expect("free ports can be bound");
-        while !relay.desk().ready() {
+        while !relay.dispatcher().ready() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         Self { relay, store }
@@ -271,7 +271,7 @@
 
     /// Returns the address to which callers connect.
     pub fn front(&self) -> SocketAddr {
-        self.relay.desk().settings.listeners.front
+        self.relay.dispatcher().settings.listeners.front
     }
 }
 
--- a/crates/relay/tests/it/stale_catalog.rs
+++ b/crates/relay/tests/it/stale_catalog.rs
@@ -5,10 +5,10 @@
 use relay::{
     catalog::{Catalog, Kind, Route},
     clock,
-    desk::{
-        Desk,
+    dispatcher::{
+        Dispatcher,
         peers::{Phase, Word},
-        track::Question,
+        synchronization::Question,
     },
 };
 use route::relay::freshness::Proof;
@@ -45,7 +45,7 @@
 }
 
 /// Delivers a status update of another instance that has catalog `version`.
-fn announce_catalog(instance: &Desk, version: u64) {
+fn announce_catalog(instance: &Dispatcher, version: u64) {
     let update = Word {
         run: 1,
         phase: Phase::Ready,
@@ -62,7 +62,7 @@
 async fn first_refusal(site: &Site, path: &str) -> (caller::Response, Duration) {
     let started_at = Instant::now();
     loop {
-        announce_catalog(site.relay.desk(), 2);
+        announce_catalog(site.relay.dispatcher(), 2);
         let response = caller::call(site.front(), "GET", path, "", "").await;
         if response.status != 200 {
             return (response, started_at.elapsed());
@@ -103,7 +103,7 @@
 async fn unknown_route_gets_503_while_the_catalog_is_known_to_be_replaced() {
     let (_server, site) = start().await;
     assert_eq!(caller::call(site.front(), "GET", "/q/x", "", "").await.status, 404);
-    announce_catalog(site.relay.desk(), 2);
+    announce_catalog(site.relay.dispatcher(), 2);
     let refused = caller::call(site.front(), "GET", "/q/x", "", "").await;
     assert_eq!(refused.status, 503, "{refused:?}");
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
@@ -114,7 +114,7 @@
 #[tokio::test]
 async fn catalog_without_a_known_successor_stays_in_force_without_the_store() {
     let (_server, site) = start().await;
-    let instance = Arc::clone(site.relay.desk());
+    let instance = Arc::clone(site.relay.dispatcher());
     let started_at = clock::now();
     while clock::now() < started_at + REPLACE_LIMIT + REPLACE_LIMIT / 2 {
         announce_catalog(&instance, 1);
@@ -132,8 +132,8 @@
     let newer = StoreContents { catalog: Some(public_catalog(2, &["/p/", "/q/"])), ..StoreContents::default() };
     let other = Site::start_with(newer, |settings| settings.instance = "there".into()).await;
     let update = Word { run: 1, phase: Phase::Ready, pause: REPLACE_LIMIT, catalog: 2, ..Word::default() };
-    let instance = site.relay.desk();
-    instance.hear("there", other.relay.desk().settings.listeners.news, update);
+    let instance = site.relay.dispatcher();
+    instance.hear("there", other.relay.dispatcher().settings.listeners.news, update);
     let copied = async {
         while instance.behind() || instance.catalog().is_none_or(|catalog| catalog.version < 2) {
             // Only a synchronized instance waits until another one announces a newer catalog.
@@ -147,7 +147,7 @@
 
 /// Delivers the reply of another instance that watches the store, so that this one counts as
 /// synchronized.
-fn synchronize(instance: &Desk) {
+fn synchronize(instance: &Dispatcher) {
     let watcher = instance_with_catalog(2);
     watcher.renew(clock::now(), Proof::Read);
     let reply = watcher.reply(Question { revision: 10 }, 60).expect("the watcher should be able to reply");
--- a/crates/relay/tests/it/startup.rs
+++ b/crates/relay/tests/it/startup.rs
@@ -27,7 +27,7 @@
     };
     let source: Arc<dyn Source> = Arc::new(Store::new(contents));
     let relay = relay::spawn(settings(), dialect(), source).await.expect("free ports can be bound");
-    let front = relay.desk().settings.listeners.front;
+    let front = relay.dispatcher().settings.listeners.front;
     let response = caller::call(front, "POST", "/a/x", "", "sheet").await;
     assert_eq!(response.status, status, "{response:?}");
     assert_eq!(response.header("retry-after").is_some(), status == 503, "{response:?}");
@@ -55,7 +55,8 @@
     };
     let seed = Site::start_with(contents(), |settings| settings.instance = "seed".into()).await;
     let silent = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let address = if is_seed_up { seed.relay.desk().settings.listeners.news } else { silent.local_addr().unwrap() };
+    let address =
+        if is_seed_up { seed.relay.dispatcher().settings.listeners.news } else { silent.local_addr().unwrap() };
     let started = Site::start_with(contents(), |settings| settings.seeds = vec![address]).await;
     (seed, started)
 }
@@ -65,7 +66,7 @@
 #[tokio::test]
 async fn other_instances_are_learned_from_a_seed() {
     let (_seed, started) = start_with_seed(true).await;
-    while started.relay.desk().members() < 2 {
+    while started.relay.dispatcher().members() < 2 {
         sleep(Duration::from_millis(10)).await;
     }
     sleep(Duration::from_secs(1)).await;
@@ -79,5 +80,5 @@
     while started.store.instance_reads.load(Ordering::Relaxed) == 0 {
         sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(started.relay.desk().members(), 1);
+    assert_eq!(started.relay.dispatcher().members(), 1);
 }
--- a/crates/relay/tests/it/synchronization.rs
+++ b/crates/relay/tests/it/synchronization.rs
@@ -9,11 +9,11 @@
 use relay::{
     catalog::Kind,
     clock,
-    desk::{
-        Desk,
+    dispatcher::{
+        Dispatcher,
         fleet::{Job, Load, short_hash},
         peers::{Asking, Phase, Word},
-        track::{Change, Question, Reply},
+        synchronization::{Change, Question, Reply},
     },
     settings::Cores,
 };
@@ -23,8 +23,8 @@
 use crate::site::{SERVICE, Site, StoreContents, catalog, dialect, endpoint, route, settings};
 
 /// Returns an instance that has a catalog and one endpoint, as of revision 10.
-pub fn instance_with_catalog(version: u64) -> Arc<Desk> {
-    let instance = Desk::new(settings(), dialect());
+pub fn instance_with_catalog(version: u64) -> Arc<Dispatcher> {
+    let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(version, vec![route("/a/", Kind::Idempotent)]));
     instance.enlist(endpoint("e0", ([127, 0, 0, 1], 9).into()));
     instance.note_listing(10);
@@ -33,7 +33,7 @@
     instance
 }
 
-fn endpoint_ids(instance: &Desk) -> Vec<String> {
+fn endpoint_ids(instance: &Dispatcher) -> Vec<String> {
     let mut names = instance.enlisted();
     names.sort();
     names
@@ -63,7 +63,7 @@
         ..StoreContents::default()
     };
     let site = Site::start_with(contents, |_| {}).await;
-    let instance = site.relay.desk();
+    let instance = site.relay.dispatcher();
     let newer = Change::Known(endpoint("e1", ([127, 0, 0, 1], 10).into()));
     instance.enlist(endpoint("e1", ([127, 0, 0, 1], 10).into()));
     instance.note_changes(1_000, vec![newer]);
@@ -124,7 +124,7 @@
         ..StoreContents::default()
     };
     let site = Site::start_with(contents, |_| {}).await;
-    let watcher = site.relay.desk();
+    let watcher = site.relay.dispatcher();
     let asked = watcher.question();
     site.store.change(|contents| {
         contents.endpoints.remove(0);
@@ -232,7 +232,7 @@
     let routes = || vec![route("/a/", Kind::Idempotent)];
     let contents = StoreContents { catalog: Some(catalog(1, routes())), ..StoreContents::default() };
     let site = Site::start_with(contents, |_| {}).await;
-    let (instance, watcher) = (site.relay.desk(), instance_with_catalog(2));
+    let (instance, watcher) = (site.relay.dispatcher(), instance_with_catalog(2));
     let counts = || [&site.store.catalog_reads, &site.store.any_age_catalog_reads].map(|n| n.load(Ordering::Relaxed));
     let synchronize = || {
         watcher.renew(clock::now(), Proof::Read);
@@ -278,7 +278,7 @@
     let mut names = ["a", "b", "c", "d"];
     names.sort_by_key(|name| hash::stable(name.as_bytes()));
     let site = Site::start_with(contents, |settings| settings.instance = names[3].into()).await;
-    let (instance, cut_off) = (site.relay.desk(), instance_with_catalog(1));
+    let (instance, cut_off) = (site.relay.dispatcher(), instance_with_catalog(1));
     let update = |catalog| Word {
         run: 1,
         phase: Phase::Ready,
@@ -336,7 +336,7 @@
     let mut names = ["a", "b", "c"];
     names.sort_by_key(|name| hash::stable(name.as_bytes()));
     let site = Site::start_with(contents, |settings| settings.instance = names[2].into()).await;
-    let (instance, watcher) = (site.relay.desk(), instance_with_catalog(2));
+    let (instance, watcher) = (site.relay.dispatcher(), instance_with_catalog(2));
     let synchronize = async || {
         for (name, port) in [(names[0], 7), (names[1], 8)] {
             let update = Word {
@@ -384,7 +384,7 @@
 #[test]
 fn instance_without_a_catalog_keeps_others_synchronized() {
     let empty = || {
-        let instance = Desk::new(settings(), dialect());
+        let instance = Dispatcher::new(settings(), dialect());
         instance.note_listing(10);
         instance.note_orders();
         instance.mark_listed();
@@ -524,7 +524,7 @@
 #[tokio::test]
 async fn lost_store_is_polled_by_few_instances() {
     let site = Site::start(vec![route("/a/", Kind::Idempotent)], &[]).await;
-    let (instance, watcher) = (site.relay.desk(), instance_with_catalog(1));
+    let (instance, watcher) = (site.relay.dispatcher(), instance_with_catalog(1));
     let update = || Word { cores: Cores(400), in_touch: true, pause: Duration::from_mins(1), ..Word::default() };
     for (name, port) in [("a", 7), ("b", 8)] {
         instance.hear(name, ([127, 0, 0, 7], port).into(), update());
--- a/crates/relay/tests/it/unreadable_registrations.rs
+++ b/crates/relay/tests/it/unreadable_registrations.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use relay::{catalog::Kind, desk::track::Change};
+use relay::{catalog::Kind, dispatcher::synchronization::Change};
 
 use crate::{
     caller,
@@ -24,7 +24,7 @@
         ..StoreContents::default()
     };
     let site = Site::start_with(contents, |_| {}).await;
-    let instance = site.relay.desk();
+    let instance = site.relay.dispatcher();
     let asked = instance.question();
     if let Some(outage) = outage {
         site.store.change(|contents| contents.refuses = true);
