--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -44,13 +44,17 @@
         let mut number = 0;
         let heard = measure(|| {
             number += 1;
-            dispatcher.hear(&name(number % instances), news(number % instances), word(number % instances, number, 200));
+            dispatcher.update_peer(
+                &name(number % instances),
+                news(number % instances),
+                word(number % instances, number, 200),
+            );
         });
-        let sightings = measure(|| dispatcher.take_sightings((0..40).map(|n| sighting(n % instances))));
-        let audience = measure(|| black_box(dispatcher.audience(number as usize, 16)));
+        let sightings = measure(|| dispatcher.apply_sightings((0..40).map(|n| sighting(n % instances))));
+        let audience = measure(|| black_box(dispatcher.news_recipients(number as usize, 16)));
         let asking = Asking { domain: Some(domain(0)), from: None };
-        let fronts = measure(|| black_box(dispatcher.fronts(&asking)));
-        let led = measure(|| black_box(dispatcher.led()));
+        let fronts = measure(|| black_box(dispatcher.caller_addresses(&asking)));
+        let led = measure(|| black_box(dispatcher.is_synchronized()));
         println!("{instances} | {heard:.1} | {sightings:.1} | {audience:.1} | {fronts:.1} | {led:.1}");
     }
     println!("endpoints, 30 instances | expectation | placement | notice | listing compared");
@@ -59,7 +63,7 @@
         let mut session = 0;
         let expected = measure(|| {
             session += 1;
-            black_box(dispatcher.expect(&job(session)))
+            black_box(dispatcher.expected_ms(&job(session)))
         });
         let placed = measure(|| {
             session += 1;
@@ -68,7 +72,7 @@
         let noticed = measure(|| {
             session += 1;
             let endpoint = short_hash(&format!("e{}", session % u64::from(endpoints)));
-            dispatcher.take_notice(Notice { endpoint, reading_ms: 1.0, part: None });
+            dispatcher.apply_notice(Notice { endpoint, reading_ms: 1.0, part: None });
         });
         let listed: Vec<Endpoint> = (0..endpoints).map(endpoint).collect();
         let listed: Vec<&Endpoint> = listed.iter().collect();
@@ -90,10 +94,10 @@
 
 fn dispatcher(instances: u32, endpoints: u32) -> Arc<Dispatcher> {
     let dispatcher = Dispatcher::new(settings(), dialect());
-    (0..endpoints).for_each(|number| dispatcher.enlist(endpoint(number)));
-    dispatcher.note_listing(1);
+    (0..endpoints).for_each(|number| dispatcher.register_endpoint(endpoint(number)));
+    dispatcher.record_listing(1);
     dispatcher.renew(clock::now(), Proof::Read);
-    (0..instances).for_each(|number| dispatcher.hear(&name(number), news(number), word(number, 0, endpoints)));
+    (0..instances).for_each(|number| dispatcher.update_peer(&name(number), news(number), word(number, 0, endpoints)));
     dispatcher
 }
 
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -153,7 +153,7 @@
         runtime.block_on(async {
             let source = Arc::new(Fixed { endpoint });
             let relay = relay::spawn(settings(), dialect(), source).await.expect("free ports can be bound");
-            while !relay.dispatcher().ready() {
+            while !relay.dispatcher().is_ready() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             ready.send(relay.dispatcher().settings.listeners.front).expect("somebody waits");
--- a/crates/relay/src/caches.rs
+++ b/crates/relay/src/caches.rs
@@ -22,7 +22,7 @@
 
 /// Asks the engines once, as soon as the endpoints have been listed.
 pub async fn ask_engines(dispatcher: Arc<Dispatcher>) {
-    dispatcher.started().await;
+    dispatcher.wait_until_started().await;
     let engines = nearest_engines(&dispatcher);
     let started = clock::now();
     let (mut asking, mut parts, count) = (JoinSet::new(), 0, engines.len());
@@ -37,7 +37,7 @@
         };
         let cached = (dispatcher.dialect.cached)(&body);
         parts += cached.len();
-        dispatcher.note_cache(&engine, &cached);
+        dispatcher.record_cache(&engine, &cached);
     }
     dispatcher.mark_caches_known();
     let took_ms = clock::millis(clock::now().saturating_sub(started));
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -23,7 +23,7 @@
     if request.uri().path() != dispatcher.dialect.addresses_path {
         return answer::empty_response(StatusCode::NOT_FOUND);
     }
-    let fronts = dispatcher.fronts(&asking_caller(dispatcher, request));
+    let fronts = dispatcher.caller_addresses(&asking_caller(dispatcher, request));
     if fronts.is_empty() {
         return answer::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -39,7 +39,7 @@
     if request.uri().path() != dispatcher.dialect.ready_path {
         return answer::empty_response(StatusCode::NOT_FOUND);
     }
-    answer::empty_response(if dispatcher.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+    answer::empty_response(if dispatcher.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
 /// Returns the failure domain and IP address of the caller, as far as known.
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -1,6 +1,6 @@
 //! Shared in-memory state of an instance.
 //!
-//! It covers the catalog and access keys ([`Dispatcher::fresh`], [`Dispatcher::catalog_holds`]),
+//! It covers the catalog and access keys ([`Dispatcher::is_fresh`], [`Dispatcher::is_catalog_valid`]),
 //! endpoints and their loads ([`fleet`]), other instances ([`peers`]), roll-outs
 //! ([`rollouts`]) and requests that crash endpoints (`crashes`). Every piece of
 //! state has a source and an age; [`synchronization`] synchronizes the state with the
@@ -208,7 +208,7 @@
     }
 
     /// Waits until a message of another instance requires that objects of `kind` are read again.
-    pub async fn wanted(&self, kind: Kind) {
+    pub async fn wait_for_refresh(&self, kind: Kind) {
         match kind {
             Kind::Catalog => self.catalog_wanted.notified().await,
             Kind::Endpoints => self.endpoints_wanted.notified().await,
@@ -229,7 +229,7 @@
 
     /// Whether access keys and the rest of the catalog are fresh enough to serve requests.
     #[must_use]
-    pub fn fresh(&self) -> bool {
+    pub fn is_fresh(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
         state.freshness.holds(now) && state.synchronization.succession.holds(now)
@@ -239,12 +239,12 @@
     ///
     /// This ends a limited time after another instance has announced a newer catalog.
     #[must_use]
-    pub fn catalog_holds(&self) -> bool {
+    pub fn is_catalog_valid(&self) -> bool {
         self.lock().synchronization.succession.holds(clock::now())
     }
 
     /// Records the outcome of this instance's own latest call to the store.
-    pub fn note_touch(&self, succeeded: bool) {
+    pub fn record_store_call(&self, succeeded: bool) {
         let mut state = self.lock();
         state.in_touch = succeeded;
         state.synchronization.doubts_store &= !succeeded;
@@ -255,7 +255,7 @@
 
     /// Whether this instance's last call to the store succeeded.
     #[must_use]
-    pub fn touched(&self) -> bool {
+    pub fn last_store_call_succeeded(&self) -> bool {
         self.lock().in_touch
     }
 
@@ -268,14 +268,14 @@
     /// Whether this instance's last call to the store succeeded and its lease on
     /// access keys holds, through its own calls or other instances' proofs.
     #[must_use]
-    pub fn in_touch(&self) -> bool {
+    pub fn is_in_touch_with_store(&self) -> bool {
         let state = self.lock();
         state.in_touch && state.freshness.holds(clock::now())
     }
 
     /// Returns the number of instances that are alive, this one included.
     #[must_use]
-    pub fn members(&self) -> usize {
+    pub fn live_instance_count(&self) -> usize {
         self.lock().update_peer_loads(clock::now()) + 1
     }
 
@@ -295,7 +295,7 @@
 
     /// Waits until the instance can serve its first request, a call to the store
     /// has failed, or the time to wait for the start is over.
-    pub async fn started(&self) {
+    pub async fn wait_until_started(&self) {
         let is_decided = |state: &State| {
             state.store_failed_once || (state.catalog.is_some() && state.knowledge >= Knowledge::Endpoints)
         };
@@ -318,7 +318,7 @@
     }
 
     /// Waits until the engines' caches are known or the time to wait for the start is over.
-    pub async fn caches_known(&self) {
+    pub async fn wait_until_caches_known(&self) {
         self.wait_for_startup(|state| state.knowledge == Knowledge::Caches).await;
     }
 
@@ -337,7 +337,7 @@
 
     /// Whether this instance can serve callers and is not leaving.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let state = self.lock();
         state.catalog.is_some() && state.knowledge >= Knowledge::Endpoints && state.draining_since.is_none()
     }
@@ -345,9 +345,9 @@
     /// Returns this instance's phase of life.
     #[must_use]
     pub fn phase(&self) -> Phase {
-        if self.draining() {
+        if self.is_draining() {
             Phase::Leaving
-        } else if self.ready() {
+        } else if self.is_ready() {
             Phase::Ready
         } else {
             Phase::Starting
@@ -356,7 +356,7 @@
 
     /// Whether this instance is leaving.
     #[must_use]
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.lock().draining_since.is_some()
     }
 
@@ -376,28 +376,28 @@
     }
 
     /// Starts leaving: the instance is no longer ready, and connections close after their answers.
-    pub fn drain(&self) {
+    pub fn start_draining(&self) {
         self.lock().draining_since.get_or_insert_with(clock::now);
         self.urgent_news.notify_one();
     }
 
     /// Waits until there is news that must be sent without waiting for the next round.
-    pub async fn hurry(&self) {
+    pub async fn wait_for_urgent_news(&self) {
         self.urgent_news.notified().await;
     }
 
     /// Credits the service's allowance for a request's first dispatch.
-    pub fn earn(&self, service: &str) {
+    pub fn credit_dispatch(&self, service: &str) {
         self.with_allowance(service, |allowance, _| allowance.earn(clock::now()));
     }
 
     /// Takes an extra dispatch from the service's allowance, and returns whether there was room.
-    pub fn spend(&self, service: &str, purpose: Purpose) -> bool {
+    pub fn take_extra_dispatch(&self, service: &str, purpose: Purpose) -> bool {
         self.with_allowance(service, |allowance, members| allowance.spend(clock::now(), members, purpose))
     }
 
     /// Whether the service's allowance has room for an extra dispatch.
-    pub fn affords(&self, service: &str, purpose: Purpose) -> bool {
+    pub fn allows_extra_dispatch(&self, service: &str, purpose: Purpose) -> bool {
         self.with_allowance(service, |allowance, members| allowance.left(clock::now(), members, purpose) >= 1.0)
     }
 
--- a/crates/relay/src/dispatcher/crashes.rs
+++ b/crates/relay/src/dispatcher/crashes.rs
@@ -59,7 +59,7 @@
 
 impl State {
     /// Records a finding for each unfinished run of this instance at an endpoint that crashed.
-    pub(super) fn note_crash(&mut self, key: Key, now: Duration) {
+    pub(super) fn record_crash(&mut self, key: Key, now: Duration) {
         let Some(server) = self.fleet.server(key) else { return };
         let (start, endpoint) = (server.hash(), server.endpoint());
         let runs = server.unfinished_runs().take(now);
@@ -76,7 +76,7 @@
     }
 
     /// Records that a request was answered successfully.
-    pub(super) fn note_good_end(&mut self, content: Content, now: Duration) {
+    pub(super) fn record_good_end(&mut self, content: Content, now: Duration) {
         self.record_finding(Finding::EndedWell { content }, now);
     }
 
@@ -134,28 +134,28 @@
     /// Returns how much longer a request is refused because it crashes endpoints, or
     /// `None` if it is not quarantined.
     #[must_use]
-    pub fn quarantined(&self, content: Content) -> Option<Duration> {
+    pub fn remaining_quarantine(&self, content: Content) -> Option<Duration> {
         self.lock().quarantine.refuses(clock::now(), content)
     }
 
     /// Whether an endpoint has crashed while running a request that was not answered
     /// successfully since.
     #[must_use]
-    pub fn suspects(&self, content: Content) -> bool {
-        self.lock().quarantine.suspects(clock::now(), content)
+    pub fn is_suspect(&self, content: Content) -> bool {
+        self.lock().quarantine.is_suspect(clock::now(), content)
     }
 
     /// Records the crash of an endpoint whose address refuses connections.
-    pub fn note_crash(&self, key: Key) {
+    pub fn record_crash(&self, key: Key) {
         let mut state = self.lock();
-        state.note_crash(key, clock::now());
+        state.record_crash(key, clock::now());
         self.notify_findings(&state);
     }
 
     /// Applies findings of another instance.
-    pub fn take_findings(&self, findings: impl IntoIterator<Item = Finding>) {
+    pub fn apply_findings(&self, findings: impl IntoIterator<Item = Finding>) {
         let now = clock::now();
-        let leads = self.leads();
+        let leads = self.is_leader();
         let mut state = self.lock();
         for finding in findings {
             let effect = state.apply_finding(finding, now);
@@ -171,7 +171,7 @@
             if let Finding::Crash { start, .. } = finding
                 && let Some(key) = state.fleet.key_of(start)
             {
-                state.note_crash(key, now);
+                state.record_crash(key, now);
             }
         }
         self.notify_findings(&state);
@@ -188,9 +188,9 @@
     }
 
     /// Restores the quarantine that the store holds from before this instance's start.
-    pub fn restore_refused(&self, refused: impl IntoIterator<Item = Refused>) {
+    pub fn restore_quarantine(&self, refused: impl IntoIterator<Item = Refused>) {
         let (now, unix_now) = (clock::now(), unix_ms());
-        let members = u32::try_from(self.members()).unwrap_or(u32::MAX);
+        let members = u32::try_from(self.live_instance_count()).unwrap_or(u32::MAX);
         let mut state = self.lock();
         for refused in refused {
             let age = Duration::from_millis(unix_now.saturating_sub(refused.since));
@@ -205,7 +205,7 @@
     }
 
     /// Waits for a quarantine change to write to the store, and takes it.
-    pub async fn quarantine_change(&self) -> Change {
+    pub async fn next_quarantine_change(&self) -> Change {
         loop {
             if let Some(change) = self.lock().unwritten_changes.pop_front() {
                 return change;
@@ -216,15 +216,15 @@
 
     /// Whether a change that could not be written is still current.
     #[must_use]
-    pub fn is_due(&self, change: Change) -> bool {
+    pub fn is_change_current(&self, change: Change) -> bool {
         match change {
-            Change::Refuse(refused) => self.quarantined(refused.content).is_some(),
-            Change::Allow(refused) => self.quarantined(refused.content).is_none(),
+            Change::Refuse(refused) => self.remaining_quarantine(refused.content).is_some(),
+            Change::Allow(refused) => self.remaining_quarantine(refused.content).is_none(),
         }
     }
 
     /// Waits until there are findings to send, and takes them.
-    pub async fn findings(&self) -> Vec<Finding> {
+    pub async fn next_findings(&self) -> Vec<Finding> {
         loop {
             let findings = std::mem::take(&mut self.lock().findings);
             if !findings.is_empty() {
--- a/crates/relay/src/dispatcher/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -209,7 +209,7 @@
     /// Returns the expected time to the first byte if the job were placed now, in
     /// milliseconds, or `None` if no endpoint accepts it.
     #[must_use]
-    pub fn expect(&self, job: &Job<'_>) -> Option<f64> {
+    pub fn expected_ms(&self, job: &Job<'_>) -> Option<f64> {
         let now = clock::now();
         let mut state = self.lock();
         state.update_limit_shares(now);
@@ -219,7 +219,7 @@
 
     /// Returns the expected time to the first byte at an idle endpoint, in milliseconds.
     #[must_use]
-    pub fn expect_idle(&self, job: &Job<'_>) -> f64 {
+    pub fn expected_idle_ms(&self, job: &Job<'_>) -> f64 {
         self.lock().fleet.pace(job).job_ms(job_units(job))
     }
 
--- a/crates/relay/src/dispatcher/fleet/caches.rs
+++ b/crates/relay/src/dispatcher/fleet/caches.rs
@@ -37,7 +37,7 @@
     }
 
     /// Records the cache contents that an engine listed.
-    pub fn note_cache(&self, engine: &Endpoint, cached: &[Cached]) {
+    pub fn record_cache(&self, engine: &Endpoint, cached: &[Cached]) {
         let Some(catalog) = self.catalog() else { return };
         let now = clock::now();
         let holder = start_hash(engine);
@@ -52,7 +52,7 @@
     /// Returns the largest of the first `models` models for which an engine caches a whole
     /// prompt. `whole` returns the prompt's hash for a model.
     #[must_use]
-    pub fn model_that_read(&self, whole: impl Fn(usize) -> Option<u64>, models: usize) -> Option<usize> {
+    pub fn largest_caching_model(&self, whole: impl Fn(usize) -> Option<u64>, models: usize) -> Option<usize> {
         let now = clock::now();
         let state = self.lock();
         (0..models).rev().find(|model| !state.fleet.holders_of(whole(*model), now).is_empty())
--- a/crates/relay/src/dispatcher/fleet/limits.rs
+++ b/crates/relay/src/dispatcher/fleet/limits.rs
@@ -56,7 +56,7 @@
 
 impl Run {
     /// Records what the endpoint said about its limit, and queues a change for the other instances.
-    pub fn said(&self, said: Said) {
+    pub fn record_limit(&self, said: Said) {
         let now = clock::now();
         let word = match said {
             Said::Nothing => return,
@@ -115,7 +115,7 @@
 
 impl Dispatcher {
     /// Waits until there are updates of limits to send, and takes them.
-    pub async fn limits_to_tell(&self) -> Vec<Limit> {
+    pub async fn next_limits(&self) -> Vec<Limit> {
         loop {
             let unsent = std::mem::take(&mut self.lock().fleet.limited.unsent);
             if !unsent.is_empty() {
@@ -126,7 +126,7 @@
     }
 
     /// Applies updates of limits from another instance.
-    pub fn take_limits(&self, limits: impl IntoIterator<Item = Limit>) {
+    pub fn apply_limits(&self, limits: impl IntoIterator<Item = Limit>) {
         let now = clock::now();
         let mut state = self.lock();
         for Limit { start, per_s, age } in limits {
@@ -138,7 +138,7 @@
 
     /// Returns up to `most` recent updates of limits, drawn at random, for instances that missed them.
     #[must_use]
-    pub fn limits(&self, most: usize) -> Vec<Limit> {
+    pub fn recent_limits(&self, most: usize) -> Vec<Limit> {
         let now = clock::now();
         let state = self.lock();
         let Fleet { servers, limited, .. } = &state.fleet;
@@ -155,7 +155,7 @@
     /// all available ones are used up now; `None` if one accepts a request at once or none
     /// is available.
     #[must_use]
-    pub fn throttled(&self, service: &str) -> Option<Duration> {
+    pub fn throttle_wait(&self, service: &str) -> Option<Duration> {
         let now = clock::now();
         let state = self.lock();
         let up = |server: &&Server| {
--- a/crates/relay/src/dispatcher/fleet/notices.rs
+++ b/crates/relay/src/dispatcher/fleet/notices.rs
@@ -68,7 +68,7 @@
 
 impl Dispatcher {
     /// Waits until there are notices to send, and takes them.
-    pub async fn notices(&self) -> Vec<Notice> {
+    pub async fn next_notices(&self) -> Vec<Notice> {
         loop {
             let unsent = std::mem::take(&mut self.lock().notices.unsent);
             if !unsent.is_empty() {
@@ -79,7 +79,7 @@
     }
 
     /// Applies a notice of another instance.
-    pub fn take_notice(&self, notice: Notice) {
+    pub fn apply_notice(&self, notice: Notice) {
         let now = clock::now();
         let mut state = self.lock();
         if let Some(server) = state.fleet.server_by_hash(notice.endpoint) {
--- a/crates/relay/src/dispatcher/fleet/registry.rs
+++ b/crates/relay/src/dispatcher/fleet/registry.rs
@@ -45,7 +45,7 @@
     /// keep requests away from an idle server, or send prompts to a server that no
     /// longer caches their parts. A late registration of an earlier start is ignored:
     /// it would remove a live endpoint, or discard twice what was learned about it.
-    pub fn enlist(&self, endpoint: Endpoint) {
+    pub fn register_endpoint(&self, endpoint: Endpoint) {
         let mut state = self.lock();
         let now = clock::now();
         let kind = RegistrationKind::of(state.fleet.registration(&endpoint.id), &endpoint);
@@ -72,7 +72,7 @@
     }
 
     /// Removes an endpoint whose registration is gone.
-    pub fn delist(&self, id: &str) {
+    pub fn remove_endpoint(&self, id: &str) {
         let fleet = &mut self.lock().fleet;
         if let Some(key) = fleet.by_name.remove(id) {
             fleet.remove(key);
@@ -86,21 +86,21 @@
     /// After an outage its registration may arrive through another instance while
     /// this one still waits for it at the store. Removing it then would take a live
     /// endpoint out of use until its registration changes again.
-    pub fn delist_lapsed(&self, id: &str, since: Duration) -> bool {
+    pub fn remove_lapsed_endpoint(&self, id: &str, since: Duration) -> bool {
         let is_back = {
             let fleet = &self.lock().fleet;
             let server = fleet.by_name.get(id).and_then(|key| fleet.servers.get(*key));
             server.is_none_or(|server| server.last_registered > since)
         };
         if !is_back {
-            self.delist(id);
+            self.remove_endpoint(id);
         }
         !is_back
     }
 
     /// Returns the names of all known endpoints.
     #[must_use]
-    pub fn enlisted(&self) -> Vec<String> {
+    pub fn endpoint_names(&self) -> Vec<String> {
         self.lock().fleet.by_name.keys().cloned().collect()
     }
 
--- a/crates/relay/src/dispatcher/fleet/run.rs
+++ b/crates/relay/src/dispatcher/fleet/run.rs
@@ -81,12 +81,12 @@
 
 impl Run {
     /// Records that the request is sent.
-    pub fn sent(&mut self, content: Content) {
+    pub fn mark_sent(&mut self, content: Content) {
         self.content = Some(content);
     }
 
     /// Records that the first byte was received, so that the prompt has been read.
-    pub fn first_byte(&mut self) {
+    pub fn record_first_byte(&mut self) {
         let now = clock::now();
         let took = clock::millis(now.saturating_sub(self.started));
         let dispatcher = Arc::clone(&self.dispatcher);
@@ -109,7 +109,7 @@
     }
 
     /// Records that more bytes of the answer were received.
-    pub fn more_bytes(&self) {
+    pub fn record_bytes(&self) {
         let now = clock::now();
         if let Some(server) = self.dispatcher.lock().fleet.servers.get_mut(self.key) {
             server.last_received = now;
@@ -135,15 +135,15 @@
     }
 
     /// Records the outcome of the run.
-    pub fn ended(&mut self, how: Ended) {
+    pub fn record_outcome(&mut self, how: Ended) {
         let now = clock::now();
         let dispatcher = Arc::clone(&self.dispatcher);
         let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
         match (how, self.content.take()) {
-            (Ended::Good, Some(content)) => state.note_good_end(content, now),
-            (Ended::Broken, Some(content)) => self.note_unfinished(&mut state, content, now),
-            (Ended::Down, _) => state.note_crash(self.key, now),
+            (Ended::Good, Some(content)) => state.record_good_end(content, now),
+            (Ended::Broken, Some(content)) => self.record_unfinished(&mut state, content, now),
+            (Ended::Down, _) => state.record_crash(self.key, now),
             _ => {}
         }
         self.dispatcher.notify_findings(&state);
@@ -174,14 +174,14 @@
     }
 
     /// Counts the run as a good or bad one of its version.
-    pub fn judge(&self, bad: bool) {
+    pub fn record_verdict(&self, bad: bool) {
         let tally = Tally { runs: 1, bad: u32::from(bad), lateness: self.lateness };
         self.dispatcher.lock().rollouts.count(&self.endpoint.service, self.arm, tally);
     }
 
     /// Records that this instance abandoned the run without an answer; the endpoint may
     /// continue it.
-    fn note_unfinished(&self, state: &mut State, content: Content, now: Duration) {
+    fn record_unfinished(&self, state: &mut State, content: Content, now: Duration) {
         if let Some(server) = state.fleet.server(self.key) {
             server.unfinished_runs().add(now, content, self.started);
         }
@@ -204,7 +204,7 @@
         let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
         if let Some(content) = self.content.take() {
-            self.note_unfinished(&mut state, content, clock::now());
+            self.record_unfinished(&mut state, content, clock::now());
         }
         if let Some(server) = state.fleet.servers.get_mut(self.key) {
             server.runs = server.runs.saturating_sub(1);
--- a/crates/relay/src/dispatcher/flight.rs
+++ b/crates/relay/src/dispatcher/flight.rs
@@ -13,14 +13,14 @@
 
     /// Counts a request as in flight until the returned guard is dropped.
     #[must_use]
-    pub fn enter(self: &Arc<Self>) -> Flight {
+    pub fn count_in_flight(self: &Arc<Self>) -> Flight {
         self.lock().in_flight += 1;
         Flight { dispatcher: Arc::clone(self) }
     }
 
     /// Returns an empty reservation of the memory for request bodies.
     #[must_use]
-    pub fn hold_none(self: &Arc<Self>) -> Held {
+    pub fn reserve_body_memory(self: &Arc<Self>) -> Held {
         Held { dispatcher: Arc::clone(self), bytes: 0 }
     }
 }
--- a/crates/relay/src/dispatcher/peers.rs
+++ b/crates/relay/src/dispatcher/peers.rs
@@ -265,14 +265,14 @@
 
 impl Dispatcher {
     /// Sets this instance's own identity and failure domain among its peers.
-    pub fn settle_in(&self) {
+    pub fn set_identity(&self) {
         let peers = &mut self.lock().peers;
         peers.me = hash::stable(self.settings.instance.as_bytes());
         peers.domain.clone_from(&self.settings.domain);
     }
 
     /// Records an instance and the address at which it receives news.
-    pub fn meet(&self, name: &str, news: SocketAddr) {
+    pub fn discover_peer(&self, name: &str, news: SocketAddr) {
         if name == self.settings.instance || news == self.settings.listeners.news {
             return;
         }
@@ -289,8 +289,8 @@
     }
 
     /// Applies the status that an instance reports in its news.
-    pub fn hear(&self, name: &str, news: SocketAddr, word: Word) {
-        self.meet(name, news);
+    pub fn update_peer(&self, name: &str, news: SocketAddr, word: Word) {
+        self.discover_peer(name, news);
         let now = clock::now();
         let catalog = word.catalog;
         let mut state = self.lock();
@@ -300,21 +300,21 @@
             self.peers_to_greet.notify_one();
         }
         drop(state);
-        self.note_teller(news, catalog);
+        self.record_newer_catalog_peer(news, catalog);
         // The instance that this one synchronizes with may itself be cut off from the
         // store without noticing yet, and prove an old catalog for seconds. The news of any
         // other instance with a newer catalog reveals that.
-        self.note_catalog_version(catalog);
+        self.record_catalog_version(catalog);
     }
 
     /// Forgets an instance that has left.
-    pub fn part(&self, name: &str) {
+    pub fn forget_peer(&self, name: &str) {
         self.lock().peers.forget(name);
     }
 
     /// Whether another live and ready instance has fresh access keys.
     #[must_use]
-    pub fn fresh_elsewhere(&self) -> bool {
+    pub fn is_fresh_elsewhere(&self) -> bool {
         let now = clock::now();
         self.lock().peers.known.values().any(|peer| peer.is_live(now) && peer.word.fresh && peer.word.is_ready())
     }
@@ -322,7 +322,7 @@
     /// Whether this instance's name sorts before those of all other live and ready
     /// instances with fresh access keys.
     #[must_use]
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
         let mut others =
@@ -331,7 +331,7 @@
     }
 
     /// Applies an instance's roll-out reports, which are sent ahead of its news.
-    pub fn take_reports(&self, name: u32, reports: Vec<Report>) {
+    pub fn apply_reports(&self, name: u32, reports: Vec<Report>) {
         let Peers { known, by_hash, .. } = &mut self.lock().peers;
         if let Some(peer) = by_hash.get(&name).and_then(|name| known.get_mut(name)) {
             peer.word.reports = reports;
--- a/crates/relay/src/dispatcher/peers/audience.rs
+++ b/crates/relay/src/dispatcher/peers/audience.rs
@@ -94,7 +94,7 @@
 impl Dispatcher {
     /// Returns the recipients of a notice of a long prompt.
     #[must_use]
-    pub fn notice_audience(&self) -> Audience {
+    pub fn notice_recipients(&self) -> Audience {
         let now = clock::now();
         let state = self.lock();
         if !state.peers.relays.is_empty() {
@@ -105,7 +105,7 @@
 
     /// Returns the news addresses of the live instances in this one's failure domain.
     #[must_use]
-    pub fn neighbours(&self) -> Vec<SocketAddr> {
+    pub fn live_peers_in_domain(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.lock();
         let near = |peer: &&Peer| peer.is_live(now) && peer.word.domain == self.settings.domain;
@@ -113,13 +113,13 @@
     }
 
     /// Waits until an instance becomes alive, for the first time or again.
-    pub async fn greetings(&self) {
+    pub async fn wait_for_new_peers(&self) {
         self.peers_to_greet.notified().await;
     }
 
     /// Takes the news addresses of the instances that became alive since the last call.
     #[must_use]
-    pub fn greeted(&self) -> Vec<SocketAddr> {
+    pub fn take_new_peers(&self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.lock().peers.to_greet)
     }
 
@@ -131,7 +131,7 @@
     /// round takes 1.25 s. With rounds alone, after two seconds most instances did not
     /// know those that watch the store for them, and watched it themselves.
     #[must_use]
-    pub fn strangers(&self) -> Vec<SocketAddr> {
+    pub fn take_extra_recipients(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let peers = &mut self.lock().peers;
         let mut strangers = std::mem::take(&mut peers.to_greet);
@@ -144,7 +144,7 @@
     /// Returns the recipients of the next pieces of news, at most `most`: parts of the known
     /// instances that change with each turn.
     #[must_use]
-    pub fn audience(&self, turn: usize, most: usize) -> Turn {
+    pub fn news_recipients(&self, turn: usize, most: usize) -> Turn {
         let now = clock::now();
         let me = Relay {
             cores: self.settings.cores,
@@ -165,7 +165,7 @@
 
     /// Returns up to `most` instances drawn at random, each with its news address.
     #[must_use]
-    pub fn some_peers(&self, most: usize) -> Vec<(String, SocketAddr)> {
+    pub fn sample_peers(&self, most: usize) -> Vec<(String, SocketAddr)> {
         let state = self.lock();
         let drawn = state.peers.known.iter().choose_multiple(&mut rand::rng(), most);
         drawn.into_iter().map(|(name, peer)| (name.clone(), peer.news)).collect()
--- a/crates/relay/src/dispatcher/peers/fronts.rs
+++ b/crates/relay/src/dispatcher/peers/fronts.rs
@@ -50,9 +50,9 @@
     /// included, restricted to instances with fresh access keys if there are any. If there
     /// are too many, [`fronts::choose`] selects among them for the caller.
     #[must_use]
-    pub fn fronts(&self, asking: &Asking) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self, asking: &Asking) -> Vec<SocketAddr> {
         let now = clock::now();
-        let (me_ready, me_fresh, me_in_touch) = (self.ready(), self.fresh(), self.in_touch());
+        let (me_ready, me_fresh, me_in_touch) = (self.is_ready(), self.is_fresh(), self.is_in_touch_with_store());
         let state = self.lock();
         let mut all: Vec<Front<'_>> = state
             .peers
--- a/crates/relay/src/dispatcher/peers/sightings.rs
+++ b/crates/relay/src/dispatcher/peers/sightings.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns up to `most` recent sightings, drawn at random.
-    fn sightings(&self, most: usize, now: Duration) -> Vec<Sighting> {
+    fn recent_sightings(&self, most: usize, now: Duration) -> Vec<Sighting> {
         let recent = |(name, peer): (&String, &Peer)| {
             let age = now.saturating_sub(peer.last_heard?);
             let leaves = peer.word.phase == Phase::Leaving;
@@ -58,7 +58,7 @@
 
 impl Dispatcher {
     /// Applies sightings by another instance.
-    pub fn take_sightings(&self, sightings: impl IntoIterator<Item = Sighting>) {
+    pub fn apply_sightings(&self, sightings: impl IntoIterator<Item = Sighting>) {
         let now = clock::now();
         let mut state = self.lock();
         for sighting in sightings {
@@ -68,7 +68,7 @@
 
     /// Returns up to `most` recent sightings, drawn at random, to send with news.
     #[must_use]
-    pub fn sightings(&self, most: usize) -> Vec<Sighting> {
-        self.lock().peers.sightings(most, clock::now())
+    pub fn recent_sightings(&self, most: usize) -> Vec<Sighting> {
+        self.lock().peers.recent_sightings(most, clock::now())
     }
 }
--- a/crates/relay/src/dispatcher/rollouts.rs
+++ b/crates/relay/src/dispatcher/rollouts.rs
@@ -215,7 +215,7 @@
 
 impl Dispatcher {
     /// Applies an order or a new status of it.
-    pub fn order(&self, rollout: Rollout) {
+    pub fn apply_order(&self, rollout: Rollout) {
         let mut state = self.lock();
         let service = state.rollouts.services.entry(rollout.service.clone()).or_default();
         let stored_stage = rollout.stage.unwrap_or(Stage::Trial);
@@ -245,7 +245,7 @@
 
     /// Returns the sessions that recently ran on an old version here, to send with news.
     #[must_use]
-    pub fn settled_sessions(&self) -> Vec<u64> {
+    pub fn old_version_sessions(&self) -> Vec<u64> {
         let (now, lifetime) = (clock::now(), self.settings.session);
         let mut state = self.lock();
         state.rollouts.sessions.retain(|_, seen| now < *seen + lifetime);
@@ -254,7 +254,7 @@
 
     /// Returns this instance's state of all roll-outs, to send with news.
     #[must_use]
-    pub fn trial_reports(&self) -> Vec<Report> {
+    pub fn rollout_reports(&self) -> Vec<Report> {
         let now = clock::now();
         let state = self.lock();
         let orders = state.rollouts.services.values().filter_map(|service| service.order.as_ref());
@@ -271,7 +271,7 @@
     /// Advances every roll-out by time, evidence and the reports of other instances. Returns
     /// those whose stage is not in the store yet.
     #[must_use]
-    pub fn advance_trials(&self) -> Vec<(Rollout, Stage)> {
+    pub fn advance_rollouts(&self) -> Vec<(Rollout, Stage)> {
         let now = clock::now();
         let mut state = self.lock();
         let State { rollouts, peers, .. } = &mut *state;
--- a/crates/relay/src/dispatcher/synchronization.rs
+++ b/crates/relay/src/dispatcher/synchronization.rs
@@ -158,12 +158,12 @@
 
 impl Dispatcher {
     /// Records a complete listing of endpoints from the store.
-    pub fn note_listing(&self, revision: u64) {
+    pub fn record_listing(&self, revision: u64) {
         self.lock().synchronization.record_listing(revision);
     }
 
     /// Records changes to endpoints from the store.
-    pub fn note_changes(&self, revision: u64, changes: Vec<Change>) {
+    pub fn record_changes(&self, revision: u64, changes: Vec<Change>) {
         self.lock().synchronization.record_changes(revision, changes);
     }
 
@@ -181,13 +181,13 @@
     }
 
     /// Records that all roll-outs have been listed.
-    pub fn note_orders(&self) {
+    pub fn mark_orders_listed(&self) {
         self.lock().synchronization.orders_known = true;
     }
 
     /// Whether the store may be unreachable, according to the replies of other instances.
     #[must_use]
-    pub fn doubts_store(&self) -> bool {
+    pub fn suspects_store_outage(&self) -> bool {
         self.lock().synchronization.doubts_store
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Records whether this instance's link is slow, so that reading the catalog takes long.
-    pub fn note_narrow(&self, is_narrow: bool) {
+    pub fn set_narrow(&self, is_narrow: bool) {
         let mut state = self.lock();
         if state.is_narrow != is_narrow {
             tracing::info!(is_narrow, "time to read the catalog changed");
@@ -238,9 +238,9 @@
     }
 
     /// Applies a reply to a question that was sent at `asked`.
-    pub fn take_reply(&self, asked: Duration, reply: Reply) {
+    pub fn apply_reply(&self, asked: Duration, reply: Reply) {
         if reply.silence > MAX_STORE_SILENCE {
-            self.note_doubtful_reply(&reply);
+            self.record_doubtful_reply(&reply);
             return;
         }
         // This instance may have read the store itself since it asked. Earlier changes are
@@ -263,21 +263,21 @@
             state.freshness.renew(asked.saturating_sub(reply.proof_age), Proof::Read);
         }
         drop(state);
-        self.note_catalog_version(reply.catalog);
+        self.record_catalog_version(reply.catalog);
     }
 
     /// Applies changes to the known endpoints.
     fn apply_changes(&self, changes: &[Change]) {
         for change in changes {
             match change {
-                Change::Known(endpoint) => self.enlist(endpoint.clone()),
-                Change::Gone(id) => self.delist(id),
+                Change::Known(endpoint) => self.register_endpoint(endpoint.clone()),
+                Change::Gone(id) => self.remove_endpoint(id),
             }
         }
     }
 
     /// Records a reply of a watcher that seems to have lost the store.
-    fn note_doubtful_reply(&self, reply: &Reply) {
+    fn record_doubtful_reply(&self, reply: &Reply) {
         let mut state = self.lock();
         state.synchronization.doubtful_replies += 1;
         if state.synchronization.doubtful_replies >= MAX_DOUBTFUL_REPLIES
@@ -291,11 +291,11 @@
             );
         }
         drop(state);
-        self.note_catalog_version(reply.catalog);
+        self.record_catalog_version(reply.catalog);
     }
 
     /// Records the catalog version of another instance, and requests a newer one to be read.
-    pub(super) fn note_catalog_version(&self, version: u64) {
+    pub(super) fn record_catalog_version(&self, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
@@ -307,7 +307,7 @@
     }
 
     /// Records that another instance has a catalog, so that it can be asked for a newer one.
-    pub fn note_teller(&self, teller: SocketAddr, version: u64) {
+    pub fn record_newer_catalog_peer(&self, teller: SocketAddr, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
@@ -321,7 +321,7 @@
     /// Returns the address of an instance that has a newer catalog than this one, drawn at
     /// random from the latest that announced one.
     #[must_use]
-    pub fn teller(&self) -> Option<SocketAddr> {
+    pub fn newer_catalog_peer(&self) -> Option<SocketAddr> {
         let mut state = self.lock();
         let version = state.catalog.as_ref().map_or(0, |known| known.version);
         state.synchronization.newer_catalog_peers.retain(|(_, announced)| *announced > version);
@@ -333,7 +333,7 @@
     /// the same catalog; once it was read, their announcements must not cause it to be
     /// read again.
     #[must_use]
-    pub fn behind(&self) -> bool {
+    pub fn is_behind(&self) -> bool {
         self.lock().synchronization.succession.is_behind()
     }
 
@@ -346,7 +346,7 @@
         for order in orders {
             let newer = known.iter().any(|mine| mine.service == order.service && mine.revision >= order.revision);
             if !newer {
-                self.order(order.clone());
+                self.apply_order(order.clone());
             }
         }
     }
--- a/crates/relay/src/dispatcher/watchers.rs
+++ b/crates/relay/src/dispatcher/watchers.rs
@@ -60,7 +60,7 @@
     /// Whether this instance is synchronized through another one, so that it need not watch
     /// the store itself.
     #[must_use]
-    pub fn led(&self) -> bool {
+    pub fn is_synchronized(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
         // An instance that is cut off from the store does not count as a watcher.
@@ -71,7 +71,7 @@
     /// Whether this instance is one of the few that probe an unreachable store often; the
     /// others learn from them when it is back.
     #[must_use]
-    pub fn looks_first(&self) -> bool {
+    pub fn probes_store_often(&self) -> bool {
         let state = self.lock();
         self.is_watcher(&state, clock::now(), false)
     }
@@ -93,7 +93,7 @@
     /// `None` if this instance is to watch the store itself. `turn` increases when a
     /// question was not answered.
     #[must_use]
-    pub fn whom_to_ask(&self, turn: usize) -> Option<SocketAddr> {
+    pub fn watcher_to_ask(&self, turn: usize) -> Option<SocketAddr> {
         let now = clock::now();
         let state = self.lock();
         if state.synchronization.revision == 0 || (state.in_touch && self.is_watcher(&state, now, true)) {
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -40,7 +40,7 @@
             refuse(&dispatcher, &exchange.params, &refusal, Some(&exchange))
         }
     };
-    if dispatcher.draining() {
+    if dispatcher.is_draining() {
         response.headers_mut().insert(header::CONNECTION, http::HeaderValue::from_static("close"));
     }
     response
@@ -71,7 +71,7 @@
     );
     metrics::counter!("relay_refusals_total", "status" => refusal.status().as_str().to_owned()).increment(1);
     let mut response = refusal.to_response(rand::random());
-    if matches!(refusal, Refusal::TooLarge | Refusal::Truncated | Refusal::Memory) || dispatcher.draining() {
+    if matches!(refusal, Refusal::TooLarge | Refusal::Truncated | Refusal::Memory) || dispatcher.is_draining() {
         // The rest of the body may still arrive and must not be read as the next request.
         response.headers_mut().insert(header::CONNECTION, http::HeaderValue::from_static("close"));
     }
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -43,11 +43,11 @@
     request: Request<Incoming>,
 ) -> Result<Exchange, (RequestParams, Refusal)> {
     let started = clock::now();
-    let flight = dispatcher.enter();
+    let flight = dispatcher.count_in_flight();
     let (head, body) = request.into_parts();
     let params = RequestParams::read(&head.headers, &dispatcher.dialect.names);
     let host = host(&head.headers, &head.uri);
-    dispatcher.started().await;
+    dispatcher.wait_until_started().await;
     let admission = match check(dispatcher, &host, head.uri.path(), &params) {
         Ok(admission) => admission,
         Err(refusal) => return Err((params, refusal)),
@@ -58,12 +58,12 @@
     if params.tokens.is_some() {
         // Without knowing which engine has the prompt cached, it would be sent to one that
         // has to process it again.
-        dispatcher.caches_known().await;
+        dispatcher.wait_until_caches_known().await;
     }
     let time = params.deadline.unwrap_or(DEFAULT_DEADLINE).min(admission.route.timeout);
     let limit = started + time.saturating_sub(ANSWER_TIME_RESERVE);
     let longest = dispatcher.catalog().map_or(0, |catalog| catalog.limits.body_bytes);
-    let mut memory = dispatcher.hold_none();
+    let mut memory = dispatcher.reserve_body_memory();
     let body = match timeout(time, read_body(body, longest, &mut memory)).await {
         Ok(Ok(body)) => body,
         Ok(Err(refusal)) => return Err((params, refusal)),
@@ -107,19 +107,19 @@
     let catalog = dispatcher.catalog().ok_or(Refusal::NotStarted)?;
     // An operator may have moved or deleted the route. Requests without a key would
     // otherwise be forwarded by the old route indefinitely.
-    if !dispatcher.catalog_holds() {
+    if !dispatcher.is_catalog_valid() {
         return Err(Refusal::Replaced);
     }
     // A newer catalog may have the route or key that this one lacks, and callers that
     // get 404 or 401 do not retry.
-    let or_replaced = |refusal| if dispatcher.behind() { Refusal::Replaced } else { refusal };
+    let or_replaced = |refusal| if dispatcher.is_behind() { Refusal::Replaced } else { refusal };
     let route = catalog.route(host, path).ok_or_else(|| or_replaced(Refusal::NoRoute))?;
     let team = match &catalog.keys {
         Some(keys) if !route.public => {
             // A key may have been revoked while this instance had no contact with the store,
             // so no key is accepted without a recent confirmation.
-            if !dispatcher.fresh() {
-                return Err(Refusal::KeysStale { elsewhere: dispatcher.fresh_elsewhere() });
+            if !dispatcher.is_fresh() {
+                return Err(Refusal::KeysStale { elsewhere: dispatcher.is_fresh_elsewhere() });
             }
             let team = params.key.as_deref().and_then(|key| keys.get(key));
             Some(Arc::clone(team.ok_or_else(|| or_replaced(Refusal::NoKey))?))
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -70,20 +70,20 @@
         if let Some(model) = self.resumed_model(models) {
             return Some(model);
         }
-        if self.dispatcher.suspects(self.content) {
+        if self.dispatcher.is_suspect(self.content) {
             // Trying a smaller model first adds a run, which may crash one more endpoint.
             return Some(models - 1);
         }
         let service = self.admission.route.target(self.target_draw).unwrap_or_default();
         let room = Room {
             attempts: self.admission.route.attempts,
-            allowance: self.dispatcher.affords(service, Purpose::Escalation),
+            allowance: self.dispatcher.allows_extra_dispatch(service, Purpose::Escalation),
         };
         let goal_ms = clock::millis(self.admission.route.goal).max(1.0);
         let time = |model| {
             let job = self.job_at(service, Some(model));
-            let now_ms = self.dispatcher.expect(&job).unwrap_or(f64::INFINITY);
-            Time { idle: self.dispatcher.expect_idle(&job) / goal_ms, now: now_ms / goal_ms }
+            let now_ms = self.dispatcher.expected_ms(&job).unwrap_or(f64::INFINITY);
+            Time { idle: self.dispatcher.expected_idle_ms(&job) / goal_ms, now: now_ms / goal_ms }
         };
         let times: Vec<Time> = (0..models).map(time).collect();
         Some(ladder::start(room, &times))
@@ -97,13 +97,14 @@
     /// and is not asked again.
     fn resumed_model(&self, models: usize) -> Option<usize> {
         self.params.last_event?;
-        self.dispatcher.model_that_read(|model| self.prompt_key(Some(model)), models)
+        self.dispatcher.largest_caching_model(|model| self.prompt_key(Some(model)), models)
     }
 
     /// Returns how long a run may take to its first byte.
     pub(super) fn patience(&self, run: &Run) -> Duration {
         let route = &self.admission.route;
-        let last = self.sent >= route.attempts || !self.dispatcher.affords(&self.service, Purpose::Repair);
+        let last =
+            self.sent >= route.attempts || !self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Repair);
         if last || !route.kind.repeatable() {
             return self.left();
         }
@@ -157,7 +158,7 @@
         }
         let room = Room {
             attempts: self.admission.route.attempts.saturating_sub(self.sent),
-            allowance: self.dispatcher.affords(&self.service, Purpose::Escalation),
+            allowance: self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Escalation),
         };
         let outlooks: Vec<Outlook> = (0..models).map(|model| self.outlook(model)).collect();
         match ladder::step(index, confidence, self.admission.urgency, room, &outlooks) {
@@ -175,14 +176,14 @@
     /// Predicts whether a model's first event would still come in time.
     fn outlook(&self, model: usize) -> Outlook {
         let job = self.job(Some(model));
-        let Some(expected_ms) = self.dispatcher.expect(&job) else { return Outlook::Never };
+        let Some(expected_ms) = self.dispatcher.expected_ms(&job) else { return Outlook::Never };
         let goal_ms = clock::millis(self.admission.route.goal);
         let passed_ms = clock::millis(clock::now().saturating_sub(self.started));
         if passed_ms + expected_ms <= goal_ms {
             Outlook::InTime
         } else if expected_ms > 0.5 * clock::millis(self.left()) {
             Outlook::Never
-        } else if self.dispatcher.expect_idle(&job) <= SHORT_PROMPT_FRACTION * goal_ms {
+        } else if self.dispatcher.expected_idle_ms(&job) <= SHORT_PROMPT_FRACTION * goal_ms {
             Outlook::Crowded
         } else {
             Outlook::Late
--- a/crates/relay/src/exchange/stream.rs
+++ b/crates/relay/src/exchange/stream.rs
@@ -70,13 +70,13 @@
                     Err(_) => Outcome::Unknown("an event is too long".into()),
                 },
                 Received::End if !splitter.is_partial() => {
-                    active.run.ended(Ended::Good);
+                    active.run.record_outcome(Ended::Good);
                     break;
                 }
                 Received::End => Outcome::Broken("the stream ended within an event".into()),
                 Received::Failed(outcome) => outcome,
             };
-            exchange.note_failed_try(&mut active.run, &outcome);
+            exchange.record_failed_try(&mut active.run, &outcome);
             splitter.restart();
             let Some(resumed) = resume(&mut exchange, &active, splitter.last()).await else {
                 tracing::info!(
@@ -110,7 +110,7 @@
             Ok(None) => return Received::End,
             Ok(Some(Err(error))) => return Received::Failed(Outcome::Broken(error.to_string())),
             Ok(Some(Ok(frame))) => {
-                active.run.more_bytes();
+                active.run.record_bytes();
                 return Received::Bytes(frame.into_data().unwrap_or_default());
             }
         }
@@ -131,7 +131,7 @@
         let outcome = exchange.send(&mut run, model, last.or(exchange.params.last_event)).await;
         match outcome {
             Outcome::Answer(answer) if answer.response.status().is_success() => {
-                run.first_byte();
+                run.record_first_byte();
                 tracing::info!(
                     request = exchange.params.id,
                     endpoint = run.endpoint.id,
@@ -143,9 +143,9 @@
             }
             Outcome::Answer(answer) => {
                 let cause = format!("failed with {}", answer.response.status());
-                exchange.note_failed_try(&mut run, &Outcome::Unknown(cause));
+                exchange.record_failed_try(&mut run, &Outcome::Unknown(cause));
             }
-            other => exchange.note_failed_try(&mut run, &other),
+            other => exchange.record_failed_try(&mut run, &other),
         }
     }
 }
--- a/crates/relay/src/exchange/tries.rs
+++ b/crates/relay/src/exchange/tries.rs
@@ -151,7 +151,7 @@
     /// Places the next try at an endpoint, or returns why no further try is possible.
     pub(super) async fn next_run(&mut self, model: Option<usize>) -> Result<Run, Refusal> {
         self.await_crash_check().await;
-        if let Some(left) = self.dispatcher.quarantined(self.content) {
+        if let Some(left) = self.dispatcher.remaining_quarantine(self.content) {
             return Err(self.refusal_for_caller(Refusal::Quarantined { left }));
         }
         // The catalog may have changed since the last check: a revoked key or an old route
@@ -172,9 +172,9 @@
         };
         if self.sent == 0 {
             if self.unreachable == 0 {
-                self.dispatcher.earn(&self.service);
+                self.dispatcher.credit_dispatch(&self.service);
             }
-        } else if !self.dispatcher.spend(&self.service, Purpose::Repair) {
+        } else if !self.dispatcher.take_extra_dispatch(&self.service, Purpose::Repair) {
             return Err(self.refusal_for_caller(Refusal::TurnedAway));
         }
         Ok(run)
@@ -193,7 +193,7 @@
     async fn wait_for_place(&self, model: Option<usize>) -> Result<Run, Refusal> {
         let until = clock::now() + ENDPOINT_WAIT.min(self.left());
         while clock::now() < until {
-            if let Some(after) = self.dispatcher.throttled(&self.service)
+            if let Some(after) = self.dispatcher.throttle_wait(&self.service)
                 && clock::now() + after > until
             {
                 return Err(self.refusal_for_caller(Refusal::Throttled { after }));
@@ -229,15 +229,15 @@
         let answer = match outcome {
             Outcome::Answer(answer) => *answer,
             other => {
-                self.note_failed_try(&mut run, &other);
+                self.record_failed_try(&mut run, &other);
                 return NextStep::Retry;
             }
         };
-        run.first_byte();
+        run.record_first_byte();
         let status = answer.response.status();
         let stream = matches!(self.admission.route.kind, Kind::Stream { .. });
         if status.is_success() && stream {
-            run.judge(false);
+            run.record_verdict(false);
             if let Some(next) = self.escalation(&answer, *model) {
                 tracing::info!(
                     request = self.params.id,
@@ -259,7 +259,7 @@
     }
 
     /// Records a try that gave no usable answer.
-    pub(super) fn note_failed_try(&mut self, run: &mut Run, outcome: &Outcome) {
+    pub(super) fn record_failed_try(&mut self, run: &mut Run, outcome: &Outcome) {
         self.tried.push(run.key);
         let (ended, cause) = match outcome {
             Outcome::Unreachable(Unreachable { cause, is_refused }) => {
@@ -279,12 +279,12 @@
             }
             Outcome::Answer(_) => (Ended::Good, String::new()),
         };
-        self.note_failure(run, ended, cause);
+        self.record_failure(run, ended, cause);
     }
 
     /// Records and logs a failed try.
-    fn note_failure(&mut self, run: &mut Run, ended: Ended, cause: String) {
-        run.ended(ended);
+    fn record_failure(&mut self, run: &mut Run, ended: Ended, cause: String) {
+        run.record_outcome(ended);
         tracing::info!(
             request = self.params.id,
             content = %self.content,
@@ -303,7 +303,7 @@
         let left = self.left();
         let request = self.request(run, model, last_event, left);
         self.sent += 1;
-        run.sent(self.content);
+        run.mark_sent(self.content);
         let patience = self.patience(run).min(left);
         // The deadline may pass and cancel this call while the try is in flight. From here
         // on the caller must not be told that the request did not run.
@@ -311,7 +311,7 @@
         let TryResult { outcome, limit } =
             upstream::send(run.endpoint.address, request, &self.params.id, &self.dispatcher.dialect.names, patience)
                 .await;
-        run.said(limit);
+        run.record_limit(limit);
         if matches!(outcome, Outcome::Unreachable(_) | Outcome::NotRun(_)) {
             self.may_have_run = ran_before;
         }
@@ -325,7 +325,7 @@
         if promises_not_run(status) {
             // A signed answer shows that the request ran. This status would tell the caller
             // that it did not, and changing it would invalidate the signature.
-            self.note_failed_try(
+            self.record_failed_try(
                 &mut run,
                 &Outcome::Unknown(format!("answered {status} without saying that it did not run")),
             );
@@ -335,22 +335,22 @@
         let bytes = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
             Err(error) => {
-                self.note_failed_try(&mut run, &Outcome::Broken(error.to_string()));
+                self.record_failed_try(&mut run, &Outcome::Broken(error.to_string()));
                 return NextStep::Retry;
             }
         };
         let failed = status.is_server_error();
-        run.judge(failed);
+        run.record_verdict(failed);
         let mut response = Response::new(answer::full_body(bytes));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         let (endpoint, choice) = (Arc::clone(&run.endpoint), run.choice);
         if failed {
-            self.note_failure(&mut run, Ended::Failed, format!("failed with {status}"));
+            self.record_failure(&mut run, Ended::Failed, format!("failed with {status}"));
             self.tried.push(run.key);
             return NextStep::Failed(Failure { response, status, endpoint, choice });
         }
-        run.ended(Ended::Good);
+        run.record_outcome(Ended::Good);
         self.log_answer(&endpoint, choice, status, None, None);
         NextStep::Accepted(AcceptedAnswer::Whole(response))
     }
@@ -390,7 +390,7 @@
 /// Reports a crash of an endpoint if it refuses connections.
 async fn check_for_crash(dispatcher: Arc<Dispatcher>, key: Key, address: SocketAddr) {
     if upstream::is_refused(address).await {
-        dispatcher.note_crash(key);
+        dispatcher.record_crash(key);
     }
 }
 
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -135,7 +135,7 @@
 impl Follower {
     /// Makes one call to the store, or waits if none is due.
     async fn step(&mut self) {
-        if self.has_listed && self.dispatcher.led() {
+        if self.has_listed && self.dispatcher.is_synchronized() {
             self.wait_synchronized().await;
             return;
         }
@@ -163,11 +163,11 @@
         };
         self.expire_lapses();
         let Err(fault) = result else {
-            self.note_contact(true);
-            self.note_success();
+            self.record_contact(true);
+            self.record_success();
             return;
         };
-        self.note_contact(false);
+        self.record_contact(false);
         self.revision = None;
         if matches!(fault, Fault::Compacted | Fault::Unreadable) {
             tracing::info!(kind = ?self.kind, %fault, "listing all records again");
@@ -177,12 +177,14 @@
             tracing::warn!(kind = ?self.kind, %fault, "store lost");
             self.lost_since = Some(asked);
         }
-        let wait = if self.dispatcher.looks_first() {
+        let wait = if self.dispatcher.probes_store_often() {
             self.backoff(BACKOFF.1)
         } else {
-            PROBE_PAUSE.max(PROBE_PAUSE_PER_INSTANCE * u32::try_from(self.dispatcher.members()).unwrap_or(u32::MAX))
+            PROBE_PAUSE.max(
+                PROBE_PAUSE_PER_INSTANCE * u32::try_from(self.dispatcher.live_instance_count()).unwrap_or(u32::MAX),
+            )
         };
-        self.note_failure(clock::now());
+        self.record_failure(clock::now());
         sleep(wait.mul_f64(0.7 + 0.6 * rand::random::<f64>())).await;
     }
 
@@ -201,14 +203,16 @@
     /// Returns whether to leave probing of an unreachable store to the catalog's follower:
     /// all kinds are lost and regained together, and each probe is paid for.
     fn defers_to_catalog(&self) -> bool {
-        let is_lost = self.lost_since.is_some() && !self.dispatcher.touched();
-        self.kind != Kind::Catalog && (is_lost || self.dispatcher.doubts_store())
+        let is_lost = self.lost_since.is_some() && !self.dispatcher.last_store_call_succeeded();
+        self.kind != Kind::Catalog && (is_lost || self.dispatcher.suspects_store_outage())
     }
 
     /// Returns whether to wait before probing a store that others seem to have lost. The
     /// whole fleet learns of it at once, and usually the store is lost to all instances.
     fn defers_first_probe(&mut self) -> bool {
-        let doubts = self.kind == Kind::Catalog && self.dispatcher.doubts_store() && !self.dispatcher.looks_first();
+        let doubts = self.kind == Kind::Catalog
+            && self.dispatcher.suspects_store_outage()
+            && !self.dispatcher.probes_store_often();
         let is_first = doubts && !self.has_deferred_probe;
         self.has_deferred_probe = doubts;
         is_first
@@ -220,11 +224,12 @@
         self.revision = None;
         self.expire_lapses();
         self.lapses.clear_removals();
-        let asked_for = timeout(SYNCED_CHECK_PAUSE, self.dispatcher.wanted(self.kind)).await.is_ok();
-        let wanted = asked_for && (self.kind != Kind::Catalog || self.dispatcher.behind());
+        let asked_for = timeout(SYNCED_CHECK_PAUSE, self.dispatcher.wait_for_refresh(self.kind)).await.is_ok();
+        let wanted = asked_for && (self.kind != Kind::Catalog || self.dispatcher.is_behind());
         let asked = clock::now();
-        let probe =
-            self.kind == Kind::Catalog && !self.dispatcher.touched() && asked > self.last_failure + SYNCED_PROBE_PAUSE;
+        let probe = self.kind == Kind::Catalog
+            && !self.dispatcher.last_store_call_succeeded()
+            && asked > self.last_failure + SYNCED_PROBE_PAUSE;
         // The store may reject this instance and serve all others, which then announce the
         // newer catalog sixteen times a second. Without a wait, each announcement causes two
         // more rejected calls, which made up a quarter of the cost of a day's calls.
@@ -255,7 +260,7 @@
     /// This helps when the store rejects this instance and serves the others. The store is
     /// still asked first, because callers are directed to instances in contact with it.
     async fn copy_catalog(&self) -> bool {
-        let Some(teller) = self.dispatcher.teller() else { return false };
+        let Some(teller) = self.dispatcher.newer_catalog_peer() else { return false };
         match share::fetch(teller).await {
             Ok(catalog) => self.dispatcher.install(catalog),
             Err(cause) => {
@@ -285,7 +290,7 @@
         let before = version(&self.dispatcher);
         match self.list(Read::AnyAge, asked).await {
             Err(fault) => {
-                self.note_failed_read(asked, &fault);
+                self.record_failed_read(asked, &fault);
                 self.copy_catalog().await;
             }
             Ok(()) if version(&self.dispatcher) == before => {
@@ -293,7 +298,7 @@
                     self.read_latest(clock::now()).await;
                 }
             }
-            Ok(()) => self.note_success(),
+            Ok(()) => self.record_success(),
         }
     }
 
@@ -301,31 +306,31 @@
     async fn read_latest(&mut self, asked: Duration) {
         match self.list(Read::Latest, asked).await {
             Ok(()) => {
-                self.note_contact(true);
-                self.note_success();
+                self.record_contact(true);
+                self.record_success();
             }
-            Err(fault) => self.note_failed_read(asked, &fault),
+            Err(fault) => self.record_failed_read(asked, &fault),
         }
     }
 
     /// Logs and records a read that failed.
-    fn note_failed_read(&mut self, asked: Duration, fault: &Fault) {
+    fn record_failed_read(&mut self, asked: Duration, fault: &Fault) {
         tracing::info!(kind = ?self.kind, %fault, failures = self.failures, "store not read");
-        self.note_contact(false);
-        self.note_failure(asked);
+        self.record_contact(false);
+        self.record_failure(asked);
     }
 
     /// Records a failed call at time `at`.
-    fn note_failure(&mut self, at: Duration) {
+    fn record_failure(&mut self, at: Duration) {
         self.last_failure = at;
         self.failures += 1;
     }
 
     /// Records whether this instance's calls to the store succeed. Only the catalog's
     /// follower does so, on behalf of all kinds.
-    fn note_contact(&self, succeeded: bool) {
+    fn record_contact(&self, succeeded: bool) {
         if self.kind == Kind::Catalog {
-            self.dispatcher.note_touch(succeeded);
+            self.dispatcher.record_store_call(succeeded);
         }
     }
 
@@ -344,7 +349,7 @@
         let proves = self.kind == Kind::Catalog && read == Read::Latest && is_conclusive;
         if self.kind == Kind::Catalog {
             self.cadence.note(self.progress.transfer(), clock::now());
-            self.dispatcher.note_narrow(self.cadence.is_long());
+            self.dispatcher.set_narrow(self.cadence.is_long());
         }
         self.apply_listing(listing);
         if proves {
@@ -384,7 +389,7 @@
     }
 
     /// Records a successful call, and logs it if the store was lost before.
-    fn note_success(&mut self) {
+    fn record_success(&mut self) {
         self.failures = 0;
         if let Some(since) = self.lost_since.take() {
             tracing::info!(kind = ?self.kind, after_ms = clock::millis(clock::now().saturating_sub(since)), "store regained");
@@ -394,8 +399,8 @@
     /// Removes lapsed endpoints that did not register again in time.
     fn expire_lapses(&mut self) {
         for lapse in self.lapses.expire(clock::now()) {
-            if self.dispatcher.delist_lapsed(&lapse.id, lapse.since) {
-                self.lapses.note_removed(lapse.id);
+            if self.dispatcher.remove_lapsed_endpoint(&lapse.id, lapse.since) {
+                self.lapses.record_removed(lapse.id);
             }
         }
     }
--- a/crates/relay/src/follow/intake.rs
+++ b/crates/relay/src/follow/intake.rs
@@ -32,7 +32,7 @@
         self.first_listed.get_or_insert_with(clock::now);
         match self.kind {
             Kind::Endpoints => self.dispatcher.mark_listed(),
-            Kind::Rollouts => self.dispatcher.note_orders(),
+            Kind::Rollouts => self.dispatcher.mark_orders_listed(),
             Kind::Catalog | Kind::Instances | Kind::Quarantine => {}
         }
     }
@@ -45,7 +45,7 @@
             if revision > self.dispatcher.endpoints_revision() {
                 announced.splice(0..0, self.lapses.take_removals());
             }
-            self.dispatcher.note_changes(revision, announced);
+            self.dispatcher.record_changes(revision, announced);
             if !changes.is_empty() {
                 self.pause = Some(ENDPOINT_CHANGES_PAUSE);
             }
@@ -70,18 +70,18 @@
         let listed_ids: HashSet<&str> =
             listed.iter().map(|other| other.id.as_str()).chain(listing.unreadable.iter().map(String::as_str)).collect();
         let is_missing = |id: &String| !listed_ids.contains(id.as_str());
-        let missing: Vec<String> = self.dispatcher.enlisted().into_iter().filter(is_missing).collect();
+        let missing: Vec<String> = self.dispatcher.endpoint_names().into_iter().filter(is_missing).collect();
         let kept: Vec<&str> = if outage { missing.iter().map(String::as_str).collect() } else { Vec::new() };
         if self.dispatcher.endpoints_revision() == 0 {
-            self.dispatcher.note_listing(listing.revision);
+            self.dispatcher.record_listing(listing.revision);
         } else {
-            self.dispatcher.note_changes(listing.revision, self.dispatcher.differences(&listed, &kept));
+            self.dispatcher.record_changes(listing.revision, self.dispatcher.differences(&listed, &kept));
         }
         for id in missing {
             if outage {
                 self.lapses.add(id, now);
             } else {
-                self.dispatcher.delist(&id);
+                self.dispatcher.remove_endpoint(&id);
             }
         }
     }
@@ -93,16 +93,16 @@
                 self.dispatcher.install(*catalog);
             }
             Some(Record::Endpoint(endpoint)) => {
-                self.lapses.note_registered(&endpoint.id);
-                self.dispatcher.enlist(endpoint);
+                self.lapses.record_registered(&endpoint.id);
+                self.dispatcher.register_endpoint(endpoint);
             }
-            Some(Record::Rollout(rollout)) => self.dispatcher.order(rollout),
-            Some(Record::Instance(instance)) => self.dispatcher.meet(&instance.name, instance.news),
-            Some(Record::Refused(refused)) => self.dispatcher.restore_refused([refused]),
+            Some(Record::Rollout(rollout)) => self.dispatcher.apply_order(rollout),
+            Some(Record::Instance(instance)) => self.dispatcher.discover_peer(&instance.name, instance.news),
+            Some(Record::Refused(refused)) => self.dispatcher.restore_quarantine([refused]),
             None => match self.kind {
-                Kind::Endpoints => self.dispatcher.delist(&change.name),
+                Kind::Endpoints => self.dispatcher.remove_endpoint(&change.name),
                 Kind::Rollouts => self.dispatcher.withdraw_order(&change.name),
-                Kind::Instances => self.dispatcher.part(&change.name),
+                Kind::Instances => self.dispatcher.forget_peer(&change.name),
                 Kind::Quarantine => {}
                 Kind::Catalog => tracing::warn!("catalog deleted in the store; the last one stays in force"),
             },
--- a/crates/relay/src/follow/lapses.rs
+++ b/crates/relay/src/follow/lapses.rs
@@ -49,7 +49,7 @@
     ///
     /// Drops a pending removal of it as well: the instances that are synchronized from
     /// here would stop sending requests to an endpoint that is alive.
-    pub fn note_registered(&mut self, id: &str) {
+    pub fn record_registered(&mut self, id: &str) {
         self.waiting.retain(|lapse| lapse.id != id);
         self.removals.retain(|change| !matches!(change, Change::Gone(other) if other == id));
     }
@@ -60,7 +60,7 @@
     }
 
     /// Records that an endpoint was removed, for other instances.
-    pub fn note_removed(&mut self, id: String) {
+    pub fn record_removed(&mut self, id: String) {
         self.removals.push(Change::Gone(id));
     }
 
--- a/crates/relay/src/follow/lapses/tests.rs
+++ b/crates/relay/src/follow/lapses/tests.rs
@@ -14,7 +14,7 @@
     assert!(lapses.expire(OUTAGE_ENDS).is_empty());
     let gone = lapses.expire(OUTAGE_ENDS + REREGISTRATION_TIME);
     assert_eq!(gone, [Lapse { id: "e0".into(), since: OUTAGE_ENDS }]);
-    lapses.note_removed("e0".into());
+    lapses.record_removed("e0".into());
     lapses
 }
 
@@ -33,8 +33,8 @@
 fn endpoint_that_registered_again_is_not_announced_as_gone() {
     let mut lapses = lapses_with_removal();
     lapses.add("e1".into(), OUTAGE_ENDS + REREGISTRATION_TIME);
-    lapses.note_registered("e0");
-    lapses.note_registered("e1");
+    lapses.record_registered("e0");
+    lapses.record_registered("e1");
     assert!(!lapses.has_lapses());
     assert_eq!(lapses.take_removals(), []);
 }
--- a/crates/relay/src/handle.rs
+++ b/crates/relay/src/handle.rs
@@ -76,7 +76,7 @@
         news: socket.local_addr().unwrap_or(at.news),
     };
     let dispatcher = Dispatcher::new(settings, dialect);
-    dispatcher.settle_in();
+    dispatcher.set_identity();
     let mut tasks = JoinSet::new();
     let shared = Arc::clone(&dispatcher);
     tasks.spawn(front::accept(front_listener, move |request| exchange::serve(Arc::clone(&shared), request)));
@@ -110,7 +110,7 @@
     pub async fn shutdown(mut self) {
         let started = Instant::now();
         let grace = self.dispatcher.settings.grace.saturating_sub(EXIT_TIME);
-        self.dispatcher.drain();
+        self.dispatcher.start_draining();
         tracing::info!(in_flight = self.dispatcher.in_flight(), "leaving");
         let name = self.dispatcher.settings.instance.clone();
         match timeout(QUIET_TIME, self.source.deregister(&name)).await {
--- a/crates/relay/src/join.rs
+++ b/crates/relay/src/join.rs
@@ -42,7 +42,7 @@
     }
     loop {
         sleep(with_jitter(LIST_PAUSE)).await;
-        let members = u32::try_from(dispatcher.members()).unwrap_or(u32::MAX);
+        let members = u32::try_from(dispatcher.live_instance_count()).unwrap_or(u32::MAX);
         // On average one instance of the fleet lists; each decides at random.
         if rand::random_ratio(1, members) {
             list(&dispatcher, &*source, Read::AnyAge, &progress).await;
@@ -69,10 +69,10 @@
 /// instances. That saves a listing by each instance, which takes one call per fifty
 /// instances.
 async fn discovered_by_seeds(dispatcher: &Dispatcher) -> bool {
-    while dispatcher.awaits_seeds() && dispatcher.members() == 1 {
+    while dispatcher.awaits_seeds() && dispatcher.live_instance_count() == 1 {
         sleep(SEED_CHECK_PAUSE).await;
     }
-    dispatcher.members() > 1 && !dispatcher.settings.seeds.is_empty()
+    dispatcher.live_instance_count() > 1 && !dispatcher.settings.seeds.is_empty()
 }
 
 /// Lists the instances and adds them to the known ones; returns whether it succeeded.
@@ -81,7 +81,7 @@
         Ok(listing) => {
             for change in listing.records {
                 if let Some(Record::Instance(instance)) = change.record {
-                    dispatcher.meet(&instance.name, instance.news);
+                    dispatcher.discover_peer(&instance.name, instance.news);
                 }
             }
             true
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -113,7 +113,7 @@
 async fn ask_watchers(dispatcher: &Dispatcher, socket: &UdpSocket, last_question: &LastQuestion) {
     let (mut number, mut turn) = (rand::random(), 0);
     loop {
-        if let Some(watcher) = dispatcher.whom_to_ask(turn) {
+        if let Some(watcher) = dispatcher.watcher_to_ask(turn) {
             number += 1;
             let last = last_question.lock().unwrap_or_else(PoisonError::into_inner).replace((number, clock::now()));
             if last.is_some() {
@@ -132,7 +132,7 @@
 /// In a large fleet each instance sees only a few runs of a bad version. By news alone it
 /// takes many seconds until any instance has seen enough of them.
 fn send_evidence(dispatcher: &Dispatcher, socket: &UdpSocket) {
-    let orders: Vec<RolloutEvidence> = dispatcher.trial_reports().iter().map(RolloutEvidence::from).collect();
+    let orders: Vec<RolloutEvidence> = dispatcher.rollout_reports().iter().map(RolloutEvidence::from).collect();
     if orders.is_empty() {
         return;
     }
@@ -153,13 +153,13 @@
     }
     let mut turn = 0;
     loop {
-        let Turn { near, far } = dispatcher.audience(turn, MAX_RECEIVERS);
+        let Turn { near, far } = dispatcher.news_recipients(turn, MAX_RECEIVERS);
         let time_to_next = NEWS_PAUSE * u32::try_from(near.rounds).unwrap_or(u32::MAX);
         let bytes = encode(&Packet::News(news_message(dispatcher, run, time_to_next, MAX_NAMED)));
         // Random, because with a counter the same instances would miss the reminders in each
         // round.
         let reminders = if rand::random_ratio(1, REMINDER_RATIO) { reminders(dispatcher) } else { Vec::new() };
-        for receiver in near.news.into_iter().chain(dispatcher.strangers()) {
+        for receiver in near.news.into_iter().chain(dispatcher.take_extra_recipients()) {
             send_news(socket, receiver, &bytes, &reminders);
         }
         if !far.news.is_empty() {
@@ -174,8 +174,8 @@
         loop {
             tokio::select! {
                 () = &mut pause => break,
-                () = dispatcher.hurry() => break,
-                () = dispatcher.greetings() => greet(dispatcher, socket, run, time_to_next).await,
+                () = dispatcher.wait_for_urgent_news() => break,
+                () = dispatcher.wait_for_new_peers() => greet(dispatcher, socket, run, time_to_next).await,
             }
         }
     }
@@ -187,7 +187,7 @@
     sleep(GREETING_DELAY).await;
     let bytes = encode(&Packet::News(news_message(dispatcher, run, pause, MAX_NAMED_IN_GREETING)));
     let reminders = reminders(dispatcher);
-    for receiver in dispatcher.greeted() {
+    for receiver in dispatcher.take_new_peers() {
         send_news(socket, receiver, &bytes, &reminders);
     }
 }
@@ -196,7 +196,7 @@
 /// that missed them or started later; empty if there are none.
 fn reminders(dispatcher: &Dispatcher) -> Vec<Vec<u8>> {
     let findings: Vec<Finding> = dispatcher.refused_requests(MAX_BATCH).into_iter().map(Finding::from).collect();
-    let limits: Vec<Limit> = dispatcher.limits(MAX_REMINDER_LIMITS).into_iter().map(Limit::from).collect();
+    let limits: Vec<Limit> = dispatcher.recent_limits(MAX_REMINDER_LIMITS).into_iter().map(Limit::from).collect();
     let findings = (!findings.is_empty()).then_some(Packet::Findings(findings));
     let limits = (!limits.is_empty()).then_some(Packet::Limits(limits));
     findings.iter().chain(&limits).map(encode).collect()
@@ -220,12 +220,12 @@
 fn take_notices(dispatcher: &Dispatcher, notices: Vec<Notice>) {
     let me = short_hash(&dispatcher.settings.instance);
     for notice in notices.into_iter().filter(|notice| notice.origin != me) {
-        dispatcher.take_notice(notice.into());
+        dispatcher.apply_notice(notice.into());
     }
 }
 
 fn take_findings(dispatcher: &Dispatcher, findings: &[Finding]) {
-    dispatcher.take_findings(findings.iter().copied().map(quarantine::Finding::from));
+    dispatcher.apply_findings(findings.iter().copied().map(quarantine::Finding::from));
 }
 
 /// Receives datagrams, applies them and answers questions.
@@ -243,13 +243,13 @@
         match postcard::from_bytes(&buffer[..length]) {
             Ok(Packet::News(message)) => {
                 for (name, news) in &message.named {
-                    dispatcher.meet(name, *news);
+                    dispatcher.discover_peer(name, *news);
                 }
-                dispatcher.take_sightings(message.sightings.iter().map(Sighting::from));
-                dispatcher.hear(&message.name, from, Word::from(&message));
+                dispatcher.apply_sightings(message.sightings.iter().map(Sighting::from));
+                dispatcher.update_peer(&message.name, from, Word::from(&message));
             }
             Ok(Packet::Evidence(name, orders)) => {
-                dispatcher.take_reports(name, orders.iter().map(Report::from).collect())
+                dispatcher.apply_reports(name, orders.iter().map(Report::from).collect())
             }
             Ok(Packet::Notices(notices)) => take_notices(dispatcher, notices),
             Ok(Packet::PassOn(notices)) => {
@@ -261,9 +261,9 @@
                 broadcasts.findings.enqueue(findings.clone());
                 take_findings(dispatcher, &findings);
             }
-            Ok(Packet::Limits(limits)) => dispatcher.take_limits(limits.iter().map(fleet::Limit::from)),
+            Ok(Packet::Limits(limits)) => dispatcher.apply_limits(limits.iter().map(fleet::Limit::from)),
             Ok(Packet::PassOnLimits(limits)) => {
-                dispatcher.take_limits(limits.iter().map(fleet::Limit::from));
+                dispatcher.apply_limits(limits.iter().map(fleet::Limit::from));
                 broadcasts.limits.enqueue(limits);
             }
             Ok(Packet::Question(question)) => {
@@ -278,8 +278,8 @@
                 // older than computed from the last question's time.
                 if let Some((_, at)) = last_question.take_if(|(number, _)| *number == reply.number) {
                     drop(last_question);
-                    dispatcher.note_teller(from, reply.catalog);
-                    dispatcher.take_reply(at, reply.into());
+                    dispatcher.record_newer_catalog_peer(from, reply.catalog);
+                    dispatcher.apply_reply(at, reply.into());
                 }
             }
             Err(error) => tracing::warn!(%from, %error, "invalid datagram; instances of another build?"),
@@ -295,21 +295,21 @@
         run,
         front: dispatcher.settings.listeners.front,
         phase: dispatcher.phase().into(),
-        fresh: dispatcher.fresh(),
-        in_touch: dispatcher.in_touch(),
+        fresh: dispatcher.is_fresh(),
+        in_touch: dispatcher.is_in_touch_with_store(),
         narrow: dispatcher.is_narrow(),
         centicores: dispatcher.settings.cores.0,
         domain: dispatcher.settings.domain.clone(),
         pause_ms: millis_u32(pause),
-        named: dispatcher.some_peers(named),
-        sightings: sightings(dispatcher, pause),
+        named: dispatcher.sample_peers(named),
+        sightings: recent_sightings(dispatcher, pause),
         loads: dispatcher
             .own_loads()
             .into_iter()
             .map(|(hash, load)| (hash, clamp_to_u16(load.runs), clamp_to_u16(load.backlog_ms)))
             .collect(),
-        sessions: dispatcher.settled_sessions(),
-        orders: dispatcher.trial_reports().iter().map(RolloutEvidence::from).collect(),
+        sessions: dispatcher.old_version_sessions(),
+        orders: dispatcher.rollout_reports().iter().map(RolloutEvidence::from).collect(),
         catalog: dispatcher.catalog().map_or(0, |catalog| catalog.version),
     }
 }
@@ -321,11 +321,11 @@
 
 /// Returns when other instances were last heard from, if a round of news takes several
 /// messages.
-fn sightings(dispatcher: &Dispatcher, pause: Duration) -> Vec<SerializedSighting> {
+fn recent_sightings(dispatcher: &Dispatcher, pause: Duration) -> Vec<SerializedSighting> {
     if pause <= NEWS_PAUSE {
         return Vec::new();
     }
-    dispatcher.sightings(MAX_SIGHTINGS).into_iter().map(SerializedSighting::from).collect()
+    dispatcher.recent_sightings(MAX_SIGHTINGS).into_iter().map(SerializedSighting::from).collect()
 }
 
 fn encode(packet: &Packet) -> Vec<u8> {
--- a/crates/relay/src/news/spread.rs
+++ b/crates/relay/src/news/spread.rs
@@ -60,7 +60,7 @@
         let origin = short_hash(&dispatcher.settings.instance);
         loop {
             let notices: Vec<Notice> =
-                dispatcher.notices().await.into_iter().map(|notice| Notice::new(notice, origin)).collect();
+                dispatcher.next_notices().await.into_iter().map(|notice| Notice::new(notice, origin)).collect();
             metrics::counter!("relay_notices_total").increment(u64::try_from(notices.len()).unwrap_or_default());
             self.notices.send_to_all(dispatcher, socket, &notices);
         }
@@ -68,14 +68,14 @@
 
     async fn send_findings(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         loop {
-            let findings: Vec<Finding> = dispatcher.findings().await.into_iter().map(Finding::from).collect();
+            let findings: Vec<Finding> = dispatcher.next_findings().await.into_iter().map(Finding::from).collect();
             self.findings.send_to_all(dispatcher, socket, &findings);
         }
     }
 
     async fn send_limits(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         loop {
-            let limits: Vec<Limit> = dispatcher.limits_to_tell().await.into_iter().map(Limit::from).collect();
+            let limits: Vec<Limit> = dispatcher.next_limits().await.into_iter().map(Limit::from).collect();
             self.limits.send_to_all(dispatcher, socket, &limits);
         }
     }
@@ -105,7 +105,7 @@
     fn send_to_all(&self, dispatcher: &Dispatcher, socket: &UdpSocket, items: &[T]) {
         let me = dispatcher.settings.listeners.news;
         for items in items.chunks(MAX_BATCH) {
-            let (audience, packet) = match dispatcher.notice_audience() {
+            let (audience, packet) = match dispatcher.notice_recipients() {
                 Audience::All(all) => (all, (self.to_all)(items.to_vec())),
                 Audience::Relays(relays) => {
                     if relays.contains(&me) {
@@ -125,7 +125,7 @@
     async fn pass_on(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         loop {
             let items = self.next_batch().await;
-            let neighbours = dispatcher.neighbours();
+            let neighbours = dispatcher.live_peers_in_domain();
             for items in items.chunks(MAX_BATCH) {
                 let bytes = encode(&(self.to_all)(items.to_vec()));
                 for receiver in &neighbours {
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -48,17 +48,17 @@
         Some(Record::Refused(refused)) => Some(refused),
         _ => None,
     });
-    dispatcher.restore_refused(refused);
+    dispatcher.restore_quarantine(refused);
 }
 
 async fn write_changes(dispatcher: &Dispatcher, source: &dyn Source) {
     loop {
-        let change = dispatcher.quarantine_change().await;
+        let change = dispatcher.next_quarantine_change().await;
         let mut retry_pause = RETRY_PAUSE;
         while let Err(fault) = write_change(source, change).await {
             tracing::info!(%fault, ?change, "writing quarantine change failed; retrying");
             back_off(&mut retry_pause).await;
-            if !dispatcher.is_due(change) {
+            if !dispatcher.is_change_current(change) {
                 break;
             }
         }
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -22,14 +22,14 @@
     let mut unreported_checks = 0;
     loop {
         sleep(CHECK_PAUSE).await;
-        let unreported = dispatcher.advance_trials();
+        let unreported = dispatcher.advance_rollouts();
         if unreported.is_empty() {
             unreported_checks = 0;
             continue;
         }
         unreported_checks += 1;
         // Instances that watch the store have the most evidence and see a stage end first.
-        if !dispatcher.leads() && !dispatcher.watches_store() && unreported_checks < FALLBACK_CHECKS {
+        if !dispatcher.is_leader() && !dispatcher.watches_store() && unreported_checks < FALLBACK_CHECKS {
             continue;
         }
         for (rollout, stage) in unreported {
--- a/crates/relay/tests/it/crashes.rs
+++ b/crates/relay/tests/it/crashes.rs
@@ -48,7 +48,7 @@
         sites.push(start_instance(name, contents, &sites).await);
     }
     for site in &sites {
-        while site.relay.dispatcher().members() < sites.len() {
+        while site.relay.dispatcher().live_instance_count() < sites.len() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
@@ -137,7 +137,7 @@
     }
     let before = deadly_request_count(&servers);
     sites.push(start_instance("late", &contents, &sites).await);
-    while sites[2].relay.dispatcher().members() < 3 {
+    while sites[2].relay.dispatcher().live_instance_count() < 3 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -191,7 +191,7 @@
     while !site.store.refused().is_empty() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(site.relay.dispatcher().quarantined(refused.content), None);
+    assert_eq!(site.relay.dispatcher().remaining_quarantine(refused.content), None);
 }
 
 /// Half of the endpoints crash at once while they run many identical requests, which did not
@@ -235,21 +235,21 @@
     let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(1, vec![route("/s/", RESUMABLE)]));
     for id in 0..3 {
-        instance.enlist(endpoint(&format!("e{id}"), ([127, 0, 0, 1], 9 + id).into()));
+        instance.register_endpoint(endpoint(&format!("e{id}"), ([127, 0, 0, 1], 9 + id).into()));
     }
     let content = Content { team: 1, work: 2 };
     let mut keys = Vec::new();
     for _ in 0..3 {
         let mut run =
             instance.place(&Job { tried: &keys, ..prompt_job(None, 100) }).expect("an endpoint should take the job");
-        run.sent(content);
+        run.mark_sent(content);
         keys.push(run.key);
     }
     for key in &keys {
-        instance.note_crash(*key);
+        instance.record_crash(*key);
     }
-    assert!(instance.suspects(content));
-    assert_eq!(instance.quarantined(content), None);
+    assert!(instance.is_suspect(content));
+    assert_eq!(instance.remaining_quarantine(content), None);
 }
 
 /// A non-idempotent request crashes its endpoint before any response. The relay may not retry
@@ -334,7 +334,7 @@
 async fn list_only(site: &Site, only: relay::source::Endpoint) {
     let id = only.id.clone();
     site.store.change(|contents| contents.endpoints = vec![only]);
-    while site.relay.dispatcher().enlisted() != [id.as_str()] {
+    while site.relay.dispatcher().endpoint_names() != [id.as_str()] {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/relay/tests/it/large_pool.rs
+++ b/crates/relay/tests/it/large_pool.rs
@@ -26,7 +26,11 @@
         let version = if number % 100 == 99 { "v2" } else { "v1" };
         let domain = if number % 6 == 0 { "tartu-a" } else { "voru" };
         let registered = endpoint(&format!("e{number}"), ([127, 0, 0, 1], 1_000 + number).into());
-        instance.enlist(relay::source::Endpoint { version: version.into(), domain: domain.into(), ..registered });
+        instance.register_endpoint(relay::source::Endpoint {
+            version: version.into(),
+            domain: domain.into(),
+            ..registered
+        });
     }
     instance
 }
@@ -50,7 +54,7 @@
     let instance = instance_with_large_pool();
     for number in [7, 198, 311] {
         let endpoint = format!("e{number}");
-        instance.take_notice(Notice { endpoint: short_hash(&endpoint), reading_ms: 0.0, part: Some(number) });
+        instance.apply_notice(Notice { endpoint: short_hash(&endpoint), reading_ms: 0.0, part: Some(number) });
         let run = instance.place(&prompt_job(Some(number.into()), 100)).unwrap();
         assert!(run.endpoint.id == endpoint && run.choice.preferred);
     }
@@ -61,7 +65,7 @@
 fn rare_version_is_found_in_a_large_pool() {
     let instance = instance_with_large_pool();
     let over = Duration::from_mins(1);
-    instance.order(Rollout { service: SERVICE.into(), target: "v1".into(), over, stage: None, revision: 1 });
+    instance.apply_order(Rollout { service: SERVICE.into(), target: "v1".into(), over, stage: None, revision: 1 });
     for session in 0..50 {
         let run = instance.place(&Job { session, ..prompt_job(None, 10) }).unwrap();
         assert_eq!(run.endpoint.version, "v2");
@@ -85,11 +89,16 @@
 fn leaving_endpoint_is_not_chosen() {
     let instance = instance_with_large_pool();
     let part = prompt_job(Some(3), 100);
-    instance.take_notice(Notice { endpoint: short_hash("e5"), reading_ms: 0.0, part: Some(3) });
+    instance.apply_notice(Notice { endpoint: short_hash("e5"), reading_ms: 0.0, part: Some(3) });
     assert_eq!(instance.place(&part).unwrap().endpoint.id, "e5");
     let registered = endpoint("e5", ([127, 0, 0, 1], 1_005).into());
-    instance.enlist(relay::source::Endpoint { draining: true, cold: Duration::ZERO, revision: 9, ..registered });
+    instance.register_endpoint(relay::source::Endpoint {
+        draining: true,
+        cold: Duration::ZERO,
+        revision: 9,
+        ..registered
+    });
     assert_ne!(instance.place(&part).unwrap().endpoint.id, "e5");
-    instance.delist("e5");
+    instance.remove_endpoint("e5");
     assert_ne!(instance.place(&part).unwrap().endpoint.id, "e5");
 }
--- a/crates/relay/tests/it/limits.rs
+++ b/crates/relay/tests/it/limits.rs
@@ -41,7 +41,7 @@
         sites.push(site.await);
     }
     for site in &sites {
-        while site.relay.dispatcher().members() < count {
+        while site.relay.dispatcher().live_instance_count() < count {
             sleep(Duration::from_millis(2)).await;
         }
     }
@@ -163,7 +163,7 @@
     let seeds = vec![sites[0].relay.dispatcher().settings.listeners.news];
     sites.push(Site::start_on(store, relay::Settings { instance: "late".into(), seeds, ..settings() }).await);
     let instance = sites[1].relay.dispatcher();
-    while instance.limits(1).is_empty() {
+    while instance.recent_limits(1).is_empty() {
         sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/relay/tests/it/notices.rs
+++ b/crates/relay/tests/it/notices.rs
@@ -29,9 +29,13 @@
     let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
     for (id, port) in ENDPOINTS.into_iter().zip(9..) {
-        instance.enlist(endpoint(id, ([127, 0, 0, 1], port).into()));
+        instance.register_endpoint(endpoint(id, ([127, 0, 0, 1], port).into()));
     }
-    instance.hear("other", ([127, 0, 0, 1], 1).into(), Word { pause: Duration::from_mins(1), ..Word::default() });
+    instance.update_peer(
+        "other",
+        ([127, 0, 0, 1], 1).into(),
+        Word { pause: Duration::from_mins(1), ..Word::default() },
+    );
     instance
 }
 
@@ -59,10 +63,10 @@
 async fn requests_avoid_an_endpoint_with_a_long_prompt_of_another_instance() {
     let (here, there) = (instance_with_endpoints(), instance_with_endpoints());
     let run = here.place(&prompt_job(None, 10_000)).unwrap();
-    let notices = here.notices().await;
+    let notices = here.next_notices().await;
     assert_eq!(notices.len(), 1);
     for notice in notices {
-        there.take_notice(notice);
+        there.apply_notice(notice);
     }
     for _ in 0..50 {
         assert_ne!(there.place(&prompt_job(None, 100)).unwrap().endpoint.id, run.endpoint.id);
@@ -75,7 +79,7 @@
 async fn load_announced_by_a_notice_is_left_out_of_status_updates() {
     let instance = instance_with_endpoints();
     let long = instance.place(&prompt_job(None, 10_000)).unwrap();
-    assert_eq!(instance.notices().await.len(), 1);
+    assert_eq!(instance.next_notices().await.len(), 1);
     let short = instance.place(&prompt_job(None, 100)).unwrap();
     let loads = instance.own_loads();
     let load_of = |id: &str| loads.iter().find(|(hash, _)| *hash == short_hash(id)).unwrap().1;
@@ -92,7 +96,7 @@
     for id in ENDPOINTS {
         let instance = instance_with_endpoints();
         let part = Some(7);
-        instance.take_notice(Notice { endpoint: short_hash(id), reading_ms: 0.0, part });
+        instance.apply_notice(Notice { endpoint: short_hash(id), reading_ms: 0.0, part });
         let run = instance.place(&prompt_job(part.map(u64::from), 100)).unwrap();
         assert!(run.endpoint.id == id && run.choice.preferred);
     }
@@ -102,7 +106,7 @@
 #[tokio::test]
 async fn notice_of_an_unknown_endpoint_is_harmless() {
     let instance = instance_with_endpoints();
-    instance.take_notice(Notice { endpoint: 1, reading_ms: 300.0, part: Some(7) });
+    instance.apply_notice(Notice { endpoint: 1, reading_ms: 300.0, part: Some(7) });
     assert!(instance.place(&prompt_job(Some(7), 100)).is_some());
 }
 
@@ -119,7 +123,7 @@
     assert_eq!(caller::call(site.front(), "POST", "/a/x", headers, "prompt").await.status, 200);
     let holder = usize::from(servers[0].requests().is_empty());
     let busy = Notice { endpoint: short_hash(&format!("e{holder}")), reading_ms: 10_000.0, part: None };
-    site.relay.dispatcher().take_notice(busy);
+    site.relay.dispatcher().apply_notice(busy);
     assert_eq!(caller::call(site.front(), "POST", "/a/x", headers, "prompt").await.status, 200);
     let requests = servers[1 - holder].requests();
     assert_eq!(header(&requests[0], "x-fetch"), Some(addresses[holder].to_string()));
@@ -133,11 +137,11 @@
         for number in 0..per_domain {
             let cores = Cores(if number == 0 { 50 } else { 12 });
             let update = Word { domain: domain.into(), cores, pause: Duration::from_mins(1), ..Word::default() };
-            instance.hear(&format!("{domain}-{number}"), news, update);
+            instance.update_peer(&format!("{domain}-{number}"), news, update);
         }
     }
     // Forwarding instances are selected with each round of status updates.
-    let _ = instance.audience(0, 16);
+    let _ = instance.news_recipients(0, 16);
 }
 
 /// A notice of each long prompt went to each of 294 other instances: fifty thousand datagrams a
@@ -147,8 +151,8 @@
     let (small, large) = (instance_with_endpoints(), instance_with_endpoints());
     add_instances(&small, 20, ([127, 0, 0, 1], 2).into());
     add_instances(&large, 98, ([127, 0, 0, 1], 2).into());
-    assert!(matches!(small.notice_audience(), Audience::All(all) if all.len() == 61));
-    assert!(matches!(large.notice_audience(), Audience::Relays(relays) if relays.len() == 4));
+    assert!(matches!(small.notice_recipients(), Audience::All(all) if all.len() == 61));
+    assert!(matches!(large.notice_recipients(), Audience::Relays(relays) if relays.len() == 4));
 }
 
 /// A forwarding instance passes a notice on to its neighbours, and counts the load itself.
@@ -171,12 +175,12 @@
     };
     let (here, relay) = (start("a", Cores(12)).await, start("b", Cores(400)).await);
     let update = Word { domain: "tartu-a".into(), cores: Cores(400), pause: Duration::from_mins(1), ..Word::default() };
-    here.relay.dispatcher().hear("b", relay.relay.dispatcher().settings.listeners.news, update);
+    here.relay.dispatcher().update_peer("b", relay.relay.dispatcher().settings.listeners.news, update);
     for site in [&here, &relay] {
         add_instances(site.relay.dispatcher(), 40, address);
     }
     let job = prompt_job(None, 10_000);
-    let before = relay.relay.dispatcher().expect(&job).unwrap();
+    let before = relay.relay.dispatcher().expected_ms(&job).unwrap();
     let _run = here.relay.dispatcher().place(&job).unwrap();
     let passed_on = async {
         let mut buffer = [0; 2_048];
@@ -185,5 +189,5 @@
         }
     };
     timeout(Duration::from_secs(5), passed_on).await.expect("the notice should reach the neighbours");
-    assert!(relay.relay.dispatcher().expect(&job).unwrap() > before + 100.0);
+    assert!(relay.relay.dispatcher().expected_ms(&job).unwrap() > before + 100.0);
 }
--- a/crates/relay/tests/it/proofs.rs
+++ b/crates/relay/tests/it/proofs.rs
@@ -54,13 +54,13 @@
     let started_at = Instant::now();
     while started_at.elapsed() < TEST_TIME {
         if let Some(reply) = watcher.reply(other.question(), 60) {
-            other.take_reply(clock::now(), reply);
-            assert!(other.led(), "not synchronized after {:?}", started_at.elapsed());
-            assert!(other.fresh(), "no proof of access keys after {:?}", started_at.elapsed());
+            other.apply_reply(clock::now(), reply);
+            assert!(other.is_synchronized(), "not synchronized after {:?}", started_at.elapsed());
+            assert!(other.is_fresh(), "no proof of access keys after {:?}", started_at.elapsed());
         }
         sleep(QUESTION_PAUSE).await;
     }
-    assert!(other.led());
+    assert!(other.is_synchronized());
 }
 
 /// Reads of the catalog as proofs must leave most of the link to callers.
@@ -82,11 +82,11 @@
     let name = |place: &str| names[place.parse::<usize>().unwrap()];
     let settings = relay::Settings { instance: name(here).into(), ..settings() };
     let instance = Dispatcher::new(settings, dialect());
-    instance.note_narrow(is_narrow);
+    instance.set_narrow(is_narrow);
     for (place, is_narrow) in others {
         let update =
             Word { run: 1, phase: Phase::Ready, in_touch: true, is_narrow, pause: UPDATE_PAUSE, ..Word::default() };
-        instance.hear(name(place), ([127, 0, 0, 7], 7).into(), update);
+        instance.update_peer(name(place), ([127, 0, 0, 7], 7).into(), update);
     }
     assert_eq!(instance.watches_store(), watches);
 }
--- a/crates/relay/tests/it/restarts.rs
+++ b/crates/relay/tests/it/restarts.rs
@@ -32,12 +32,12 @@
 fn instance_with_endpoints() -> Arc<Dispatcher> {
     let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
-    instance.enlist(registration("e0", 9, 100, 5));
-    instance.enlist(registration("e1", 10, 100, 6));
-    instance.note_listing(10);
-    instance.note_orders();
+    instance.register_endpoint(registration("e0", 9, 100, 5));
+    instance.register_endpoint(registration("e1", 10, 100, 6));
+    instance.record_listing(10);
+    instance.mark_orders_listed();
     instance.mark_listed();
-    instance.hear("other", ([127, 0, 0, 1], 1).into(), update(HashMap::new()));
+    instance.update_peer("other", ([127, 0, 0, 1], 1).into(), update(HashMap::new()));
     instance
 }
 
@@ -70,13 +70,13 @@
 async fn restarted_endpoint_has_no_load() {
     let instance = instance_with_endpoints();
     let runs = place_long_prompts(&instance);
-    instance.enlist(registration("e0", 9, 200, 20));
+    instance.register_endpoint(registration("e0", 9, 200, 20));
     let loads: HashMap<u32, Load> = instance.own_loads().into_iter().collect();
     assert!(!loads.contains_key(&start_hash(&registration("e0", 9, 200, 20))));
     assert_eq!(placements(&instance), ["e0"]);
     // The ends of those runs say nothing about the new start either.
     for mut run in runs {
-        run.ended(Ended::Unreachable);
+        run.record_outcome(Ended::Unreachable);
     }
     assert_eq!(placements(&instance), ["e0"]);
 }
@@ -88,15 +88,19 @@
     let instance = instance_with_endpoints();
     let old = start_hash(&registration("e0", 9, 100, 5));
     let load = |hash| HashMap::from([(hash, Load { runs: 40.0, backlog_ms: 9_000.0 })]);
-    instance.enlist(registration("e0", 9, 200, 20));
-    instance.hear("other", ([127, 0, 0, 1], 1).into(), update(load(old)));
-    instance.take_notice(Notice { endpoint: old, reading_ms: 9_000.0, part: None });
+    instance.register_endpoint(registration("e0", 9, 200, 20));
+    instance.update_peer("other", ([127, 0, 0, 1], 1).into(), update(load(old)));
+    instance.apply_notice(Notice { endpoint: old, reading_ms: 9_000.0, part: None });
     let _busy = instance.place(&Job { tried: &[], ..prompt_job(None, 10_000) });
     assert_eq!(placements(&instance).len(), 1, "one endpoint should be busy and the other free");
     // A status update on the new start counts.
     let instance = instance_with_endpoints();
-    instance.enlist(registration("e0", 9, 200, 20));
-    instance.hear("other", ([127, 0, 0, 1], 1).into(), update(load(start_hash(&registration("e0", 9, 200, 20)))));
+    instance.register_endpoint(registration("e0", 9, 200, 20));
+    instance.update_peer(
+        "other",
+        ([127, 0, 0, 1], 1).into(),
+        update(load(start_hash(&registration("e0", 9, 200, 20)))),
+    );
     assert_eq!(placements(&instance), ["e1"]);
 }
 
@@ -105,7 +109,7 @@
 #[tokio::test]
 async fn restarted_endpoint_has_no_cached_parts() {
     let instance = instance_with_endpoints();
-    instance.take_notice(Notice {
+    instance.apply_notice(Notice {
         endpoint: start_hash(&registration("e0", 9, 100, 5)),
         reading_ms: 0.0,
         part: Some(7),
@@ -113,14 +117,14 @@
     let run = instance.place(&prompt_job(Some(7), 10_000)).expect("an endpoint should take the job");
     assert!(run.choice.preferred && run.endpoint.id == "e0");
     drop(run);
-    instance.notices().await;
-    instance.enlist(registration("e0", 9, 200, 20));
+    instance.next_notices().await;
+    instance.register_endpoint(registration("e0", 9, 200, 20));
     let run = instance.place(&prompt_job(Some(7), 10_000)).expect("an endpoint should take the job");
     assert_eq!(run.source, None);
     // The expected load includes reading the part again.
     let backlog: f64 = instance.own_loads().iter().map(|(_, load)| load.backlog_ms).sum();
-    let announced: f64 = instance.notices().await.iter().map(|notice| notice.reading_ms).sum();
-    let whole = instance.expect_idle(&Job { own_tokens: 15_000, shared_tokens: 0, ..prompt_job(Some(7), 10_000) });
+    let announced: f64 = instance.next_notices().await.iter().map(|notice| notice.reading_ms).sum();
+    let whole = instance.expected_idle_ms(&Job { own_tokens: 15_000, shared_tokens: 0, ..prompt_job(Some(7), 10_000) });
     assert!(
         backlog + announced > 0.8 * whole,
         "backlog of {backlog} ms and {announced} ms announced, {whole} ms expected"
@@ -132,8 +136,8 @@
 #[tokio::test]
 async fn late_registration_of_an_earlier_start_is_ignored() {
     let instance = instance_with_endpoints();
-    instance.enlist(registration("e0", 9, 200, 20));
-    instance.enlist(Endpoint { draining: true, ..registration("e0", 9, 100, 15) });
+    instance.register_endpoint(registration("e0", 9, 200, 20));
+    instance.register_endpoint(Endpoint { draining: true, ..registration("e0", 9, 100, 15) });
     let known = instance.known_endpoints();
     let e0 = known.iter().find(|endpoint| endpoint.id == "e0").expect("e0 should be known");
     assert_eq!((e0.born, e0.draining), (Some(200), false));
@@ -145,7 +149,7 @@
 async fn start_with_an_earlier_clock_time_counts_as_a_restart() {
     let instance = instance_with_endpoints();
     let _runs = place_long_prompts(&instance);
-    instance.enlist(registration("e0", 9, 50, 20));
+    instance.register_endpoint(registration("e0", 9, 50, 20));
     assert_eq!(placements(&instance), ["e0"]);
 }
 
@@ -156,13 +160,13 @@
     let (watcher, other) = (instance_with_endpoints(), instance_with_endpoints());
     let _runs = place_long_prompts(&other);
     watcher.renew(clock::now(), Proof::Read);
-    watcher.note_changes(20, vec![Change::Known(registration("e0", 9, 200, 20))]);
+    watcher.record_changes(20, vec![Change::Known(registration("e0", 9, 200, 20))]);
     let asked = other.question();
     let reply = watcher.reply(asked, 60).expect("the watcher should be able to reply");
     let late = Reply { changes: vec![Change::Gone("e0".into())], revision: 18, ..reply.clone() };
-    other.take_reply(clock::now(), reply);
+    other.apply_reply(clock::now(), reply);
     assert_eq!(placements(&other), ["e0"]);
-    other.take_reply(clock::now(), late);
+    other.apply_reply(clock::now(), late);
     assert_eq!(placements(&other), ["e0"]);
 }
 
--- a/crates/relay/tests/it/rollouts.rs
+++ b/crates/relay/tests/it/rollouts.rs
@@ -133,15 +133,15 @@
 #[test]
 fn evidence_of_many_instances_reverts_a_version() {
     let instance = instance_with_catalog(1);
-    instance.order(rollout());
-    let order = instance.trial_reports().remove(0).order;
+    instance.apply_order(rollout());
+    let order = instance.rollout_reports().remove(0).order;
     let tally = |runs, bad| Tally { runs, bad, lateness: Lateness::default() };
     for number in 0..30_u16 {
         let name = format!("i{number}");
-        instance.hear(&name, ([127, 0, 0, 1], 2_000 + number).into(), Word::default());
+        instance.update_peer(&name, ([127, 0, 0, 1], 2_000 + number).into(), Word::default());
         let own = Tallies { new: tally(3, 2), old: tally(40, 1) };
         let report = Report { order, stage: Stage::Trial, elapsed: Duration::from_secs(3), own };
-        instance.take_reports(short_hash(&name), vec![report]);
+        instance.apply_reports(short_hash(&name), vec![report]);
     }
-    assert!(instance.advance_trials().iter().any(|(_, stage)| *stage == Stage::Reverted));
+    assert!(instance.advance_rollouts().iter().any(|(_, stage)| *stage == Stage::Reverted));
 }
--- a/crates/relay/tests/it/site.rs
+++ b/crates/relay/tests/it/site.rs
@@ -263,7 +263,7 @@
     pub async fn start_on(store: Arc<Store>, settings: Settings) -> Self {
         let source: Arc<dyn Source> = store.clone();
         let relay = relay::spawn(settings, dialect(), source).await.expect("free ports can be bound");
-        while !relay.dispatcher().ready() {
+        while !relay.dispatcher().is_ready() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         Self { relay, store }
--- a/crates/relay/tests/it/stale_catalog.rs
+++ b/crates/relay/tests/it/stale_catalog.rs
@@ -54,7 +54,7 @@
         catalog: version,
         ..Word::default()
     };
-    instance.hear("there", ([127, 0, 0, 7], 7).into(), update);
+    instance.update_peer("there", ([127, 0, 0, 7], 7).into(), update);
 }
 
 /// Sends requests until one has a status other than 200. Returns that response and the time
@@ -133,9 +133,9 @@
     let other = Site::start_with(newer, |settings| settings.instance = "there".into()).await;
     let update = Word { run: 1, phase: Phase::Ready, pause: REPLACE_LIMIT, catalog: 2, ..Word::default() };
     let instance = site.relay.dispatcher();
-    instance.hear("there", other.relay.dispatcher().settings.listeners.news, update);
+    instance.update_peer("there", other.relay.dispatcher().settings.listeners.news, update);
     let copied = async {
-        while instance.behind() || instance.catalog().is_none_or(|catalog| catalog.version < 2) {
+        while instance.is_behind() || instance.catalog().is_none_or(|catalog| catalog.version < 2) {
             // Only a synchronized instance waits until another one announces a newer catalog.
             synchronize(instance);
             sleep(Duration::from_millis(20)).await;
@@ -151,5 +151,5 @@
     let watcher = instance_with_catalog(2);
     watcher.renew(clock::now(), Proof::Read);
     let reply = watcher.reply(Question { revision: 10 }, 60).expect("the watcher should be able to reply");
-    instance.take_reply(clock::now(), reply);
+    instance.apply_reply(clock::now(), reply);
 }
--- a/crates/relay/tests/it/startup.rs
+++ b/crates/relay/tests/it/startup.rs
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn other_instances_are_learned_from_a_seed() {
     let (_seed, started) = start_with_seed(true).await;
-    while started.relay.dispatcher().members() < 2 {
+    while started.relay.dispatcher().live_instance_count() < 2 {
         sleep(Duration::from_millis(10)).await;
     }
     sleep(Duration::from_secs(1)).await;
@@ -80,5 +80,5 @@
     while started.store.instance_reads.load(Ordering::Relaxed) == 0 {
         sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(started.relay.dispatcher().members(), 1);
+    assert_eq!(started.relay.dispatcher().live_instance_count(), 1);
 }
--- a/crates/relay/tests/it/synchronization.rs
+++ b/crates/relay/tests/it/synchronization.rs
@@ -26,15 +26,15 @@
 pub fn instance_with_catalog(version: u64) -> Arc<Dispatcher> {
     let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(version, vec![route("/a/", Kind::Idempotent)]));
-    instance.enlist(endpoint("e0", ([127, 0, 0, 1], 9).into()));
-    instance.note_listing(10);
-    instance.note_orders();
+    instance.register_endpoint(endpoint("e0", ([127, 0, 0, 1], 9).into()));
+    instance.record_listing(10);
+    instance.mark_orders_listed();
     instance.mark_listed();
     instance
 }
 
 fn endpoint_ids(instance: &Dispatcher) -> Vec<String> {
-    let mut names = instance.enlisted();
+    let mut names = instance.endpoint_names();
     names.sort();
     names
 }
@@ -44,10 +44,10 @@
     let (watcher, other) = (instance_with_catalog(1), instance_with_catalog(1));
     watcher.renew(clock::now(), Proof::Read);
     let e1 = endpoint("e1", ([127, 0, 0, 1], 10).into());
-    watcher.note_changes(12, vec![Change::Known(e1), Change::Gone("e0".into())]);
+    watcher.record_changes(12, vec![Change::Known(e1), Change::Gone("e0".into())]);
     let reply = watcher.reply(other.question(), 60).unwrap();
     assert!(!reply.gap);
-    other.take_reply(clock::now(), reply);
+    other.apply_reply(clock::now(), reply);
     assert_eq!(endpoint_ids(&other), ["e1"]);
     assert_eq!(other.question(), Question { revision: 12 });
 }
@@ -65,8 +65,8 @@
     let site = Site::start_with(contents, |_| {}).await;
     let instance = site.relay.dispatcher();
     let newer = Change::Known(endpoint("e1", ([127, 0, 0, 1], 10).into()));
-    instance.enlist(endpoint("e1", ([127, 0, 0, 1], 10).into()));
-    instance.note_changes(1_000, vec![newer]);
+    instance.register_endpoint(endpoint("e1", ([127, 0, 0, 1], 10).into()));
+    instance.record_changes(1_000, vec![newer]);
     let reads = || site.store.endpoint_reads.load(Ordering::Relaxed);
     let before = reads();
     site.store.change(|contents| contents.catalog = Some(catalog(2, vec![route("/a/", Kind::Idempotent)])));
@@ -84,10 +84,10 @@
 fn gap_is_reported_and_requires_a_listing() {
     let (watcher, other) = (instance_with_catalog(1), instance_with_catalog(1));
     watcher.renew(clock::now(), Proof::Read);
-    watcher.note_listing(40);
+    watcher.record_listing(40);
     let reply = watcher.reply(other.question(), 60).unwrap();
     assert!(reply.gap);
-    other.take_reply(clock::now(), reply);
+    other.apply_reply(clock::now(), reply);
     assert_eq!(other.question(), Question { revision: 10 });
 }
 
@@ -101,16 +101,16 @@
     let registered = |n: u16| Change::Known(endpoint(&format!("n{n:02}"), ([127, 0, 0, 1], 100 + n).into()));
     // Each revision has two changes.
     for n in (0..50).step_by(2) {
-        watcher.note_changes(u64::from(20 + n), vec![registered(n), registered(n + 1)]);
+        watcher.record_changes(u64::from(20 + n), vec![registered(n), registered(n + 1)]);
     }
     let mut replies = 0;
     while other.endpoints_revision() < watcher.endpoints_revision() {
         let reply = watcher.reply(other.question(), 15).unwrap();
         assert!(!reply.gap && reply.changes.len() <= 16, "{reply:?}");
-        other.take_reply(clock::now(), reply);
+        other.apply_reply(clock::now(), reply);
         replies += 1;
     }
-    assert_eq!((other.enlisted().len(), replies), (51, 4));
+    assert_eq!((other.endpoint_names().len(), replies), (51, 4));
 }
 
 /// The store compacts its history, and the watcher has to list again. It derives the changes
@@ -155,7 +155,7 @@
         loads: HashMap::from([(short_hash("e0"), load)]),
         ..Word::default()
     };
-    here.hear("there", ([127, 0, 0, 9], 7).into(), update);
+    here.update_peer("there", ([127, 0, 0, 9], 7).into(), update);
     let job = Job {
         service: SERVICE,
         model: None,
@@ -169,16 +169,16 @@
         tried: &[],
         version: None,
     };
-    let busy_ms = here.expect(&job).unwrap();
-    assert!(here.fronts(&Asking::default()).contains(&front));
-    assert_eq!(here.members(), 2);
+    let busy_ms = here.expected_ms(&job).unwrap();
+    assert!(here.caller_addresses(&Asking::default()).contains(&front));
+    assert_eq!(here.live_instance_count(), 2);
 
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    assert!(!here.fronts(&Asking::default()).contains(&front));
-    assert_eq!(here.members(), 1);
+    assert!(!here.caller_addresses(&Asking::default()).contains(&front));
+    assert_eq!(here.live_instance_count(), 1);
     // Loads are recomputed with the next status update from any instance.
-    here.hear("else", ([127, 0, 0, 8], 7).into(), Word { pause: Duration::from_millis(250), ..Word::default() });
-    assert!(here.expect(&job).unwrap() < busy_ms);
+    here.update_peer("else", ([127, 0, 0, 8], 7).into(), Word { pause: Duration::from_millis(250), ..Word::default() });
+    assert!(here.expected_ms(&job).unwrap() < busy_ms);
 }
 
 /// A key is revoked after the question was sent, and the reply takes long to arrive. The proof
@@ -189,7 +189,7 @@
     let asked = clock::now();
     std::thread::sleep(Duration::from_millis(30));
     watcher.renew(clock::now(), Proof::Read);
-    other.take_reply(asked, watcher.reply(other.question(), 60).unwrap());
+    other.apply_reply(asked, watcher.reply(other.question(), 60).unwrap());
     assert!(other.keys_age().unwrap() >= Duration::from_millis(30));
 }
 
@@ -199,9 +199,9 @@
 fn older_catalog_is_not_proven() {
     let (watcher, other) = (instance_with_catalog(2), instance_with_catalog(1));
     watcher.renew(clock::now(), Proof::Read);
-    other.take_reply(clock::now(), watcher.reply(other.question(), 60).unwrap());
+    other.apply_reply(clock::now(), watcher.reply(other.question(), 60).unwrap());
     assert_eq!(other.keys_age(), None);
-    assert!(!other.fresh());
+    assert!(!other.is_fresh());
 }
 
 /// An endpoint's lease expired during an outage of the store, and the endpoint is kept for a
@@ -214,11 +214,11 @@
     watcher.renew(clock::now(), Proof::Read);
     let lapsed = clock::now();
     std::thread::sleep(Duration::from_millis(1));
-    watcher.note_changes(12, vec![Change::Known(endpoint("e0", ([127, 0, 0, 1], 9).into()))]);
-    other.take_reply(clock::now(), watcher.reply(other.question(), 60).unwrap());
-    assert!(!other.delist_lapsed("e0", lapsed));
+    watcher.record_changes(12, vec![Change::Known(endpoint("e0", ([127, 0, 0, 1], 9).into()))]);
+    other.apply_reply(clock::now(), watcher.reply(other.question(), 60).unwrap());
+    assert!(!other.remove_lapsed_endpoint("e0", lapsed));
     assert_eq!(endpoint_ids(&other), ["e0"]);
-    assert!(other.delist_lapsed("e0", clock::now()));
+    assert!(other.remove_lapsed_endpoint("e0", clock::now()));
     assert!(endpoint_ids(&other).is_empty());
 }
 
@@ -236,7 +236,7 @@
     let counts = || [&site.store.catalog_reads, &site.store.any_age_catalog_reads].map(|n| n.load(Ordering::Relaxed));
     let synchronize = || {
         watcher.renew(clock::now(), Proof::Read);
-        instance.take_reply(clock::now(), watcher.reply(Question { revision: 10 }, 60).unwrap());
+        instance.apply_reply(clock::now(), watcher.reply(Question { revision: 10 }, 60).unwrap());
     };
     // Kept synchronized for as long as one of its own calls to the store may take.
     for _ in 0..10 {
@@ -289,23 +289,23 @@
     };
     let synchronize = || {
         for (name, port) in [(names[0], 7), (names[1], 8)] {
-            instance.hear(name, ([127, 0, 0, 7], port).into(), update(1));
+            instance.update_peer(name, ([127, 0, 0, 7], port).into(), update(1));
         }
         cut_off.renew(clock::now(), Proof::Read);
-        instance.take_reply(clock::now(), cut_off.reply(Question { revision: 10 }, 60).unwrap());
+        instance.apply_reply(clock::now(), cut_off.reply(Question { revision: 10 }, 60).unwrap());
     };
     for _ in 0..15 {
         synchronize();
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(instance.led());
+    assert!(instance.is_synchronized());
     site.store.change(|contents| contents.catalog = Some(catalog(2, routes())));
     for _ in 0..5 {
         synchronize();
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(instance.catalog().unwrap().version, 1);
-    instance.hear(names[2], ([127, 0, 0, 7], 9).into(), update(2));
+    instance.update_peer(names[2], ([127, 0, 0, 7], 9).into(), update(2));
     let read = async {
         while instance.catalog().unwrap().version < 2 {
             synchronize();
@@ -321,8 +321,8 @@
     let (watcher, other) = (instance_with_catalog(1), instance_with_catalog(1));
     assert!(watcher.reply(other.question(), 60).is_none());
     watcher.renew(clock::now().saturating_sub(Duration::from_secs(4)), Proof::Read);
-    other.take_reply(clock::now(), watcher.reply(other.question(), 60).unwrap());
-    assert!(!other.led());
+    other.apply_reply(clock::now(), watcher.reply(other.question(), 60).unwrap());
+    assert!(!other.is_synchronized());
     assert_eq!(other.keys_age(), None);
 }
 
@@ -347,14 +347,14 @@
                 catalog: 2,
                 ..Word::default()
             };
-            instance.hear(name, ([127, 0, 0, 7], port).into(), update);
+            instance.update_peer(name, ([127, 0, 0, 7], port).into(), update);
         }
         watcher.renew(clock::now(), Proof::Read);
-        instance.take_reply(clock::now(), watcher.reply(Question { revision: 10 }, 60).unwrap());
+        instance.apply_reply(clock::now(), watcher.reply(Question { revision: 10 }, 60).unwrap());
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
     site.store.change(|contents| contents.refuses = true);
-    while !instance.led() {
+    while !instance.is_synchronized() {
         synchronize().await;
     }
     let reads = || site.store.catalog_reads.load(Ordering::Relaxed);
@@ -385,10 +385,10 @@
 fn instance_without_a_catalog_keeps_others_synchronized() {
     let empty = || {
         let instance = Dispatcher::new(settings(), dialect());
-        instance.note_listing(10);
-        instance.note_orders();
+        instance.record_listing(10);
+        instance.mark_orders_listed();
         instance.mark_listed();
-        instance.note_touch(true);
+        instance.record_store_call(true);
         instance
     };
     let (watcher, other) = (empty(), empty());
@@ -400,11 +400,11 @@
     assert!(reply.proof_age >= Duration::from_millis(20));
     for (name, port) in [("a", 7), ("b", 8)] {
         let update = Word { in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
-        other.hear(name, ([127, 0, 0, 7], port).into(), update);
+        other.update_peer(name, ([127, 0, 0, 7], port).into(), update);
     }
-    other.take_reply(clock::now(), reply);
-    assert!(!other.ready() && !other.behind());
-    assert!(other.whom_to_ask(0).is_some() || !other.led());
+    other.apply_reply(clock::now(), reply);
+    assert!(!other.is_ready() && !other.is_behind());
+    assert!(other.watcher_to_ask(0).is_some() || !other.is_synchronized());
 }
 
 /// Instances that are leaving keep no others synchronized: they end within seconds.
@@ -412,10 +412,10 @@
 fn leaving_instance_is_not_asked() {
     let instance = instance_with_catalog(1);
     let update = |phase| Word { phase, in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
-    instance.hear("a", ([127, 0, 0, 7], 7).into(), update(Phase::Leaving));
-    assert_eq!(instance.whom_to_ask(0), None);
-    instance.hear("b", ([127, 0, 0, 7], 8).into(), update(Phase::Starting));
-    assert_eq!(instance.whom_to_ask(0), Some(([127, 0, 0, 7], 8).into()));
+    instance.update_peer("a", ([127, 0, 0, 7], 7).into(), update(Phase::Leaving));
+    assert_eq!(instance.watcher_to_ask(0), None);
+    instance.update_peer("b", ([127, 0, 0, 7], 8).into(), update(Phase::Starting));
+    assert_eq!(instance.watcher_to_ask(0), Some(([127, 0, 0, 7], 8).into()));
 }
 
 /// Many instances start at once. Each finds some of the others in the store and is found by
@@ -425,15 +425,15 @@
 fn new_instances_are_sent_status_updates_at_once() {
     let instance = instance_with_catalog(1);
     let (found, heard) = (([127, 0, 0, 7], 7).into(), ([127, 0, 0, 7], 8).into());
-    instance.meet("found", found);
-    assert_eq!(instance.strangers(), [found]);
+    instance.discover_peer("found", found);
+    assert_eq!(instance.take_extra_recipients(), [found]);
     let update = || Word { pause: Duration::from_millis(250), ..Word::default() };
-    instance.hear("heard", heard, update());
-    assert_eq!(instance.strangers(), [heard, found]);
-    instance.hear("heard", heard, update());
-    instance.hear("found", found, update());
-    assert_eq!(instance.strangers(), [found]);
-    assert!(instance.strangers().is_empty());
+    instance.update_peer("heard", heard, update());
+    assert_eq!(instance.take_extra_recipients(), [heard, found]);
+    instance.update_peer("heard", heard, update());
+    instance.update_peer("found", found, update());
+    assert_eq!(instance.take_extra_recipients(), [found]);
+    assert!(instance.take_extra_recipients().is_empty());
 }
 
 /// Delivers replies of two instances that watch the store, with the times for which they say the
@@ -443,15 +443,15 @@
     let update =
         || Word { run: 1, phase: Phase::Ready, in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
     for (name, port) in [("a", 7), ("b", 8)] {
-        instance.hear(name, ([127, 0, 0, 7], port).into(), update());
+        instance.update_peer(name, ([127, 0, 0, 7], port).into(), update());
     }
     for silence in silences_ms {
         watcher.renew(clock::now(), Proof::Read);
         let reply = watcher.reply(instance.question(), 60).unwrap();
         let silence = Duration::from_millis(*silence);
-        instance.take_reply(clock::now(), Reply { proof_age: silence, silence, ..reply });
+        instance.apply_reply(clock::now(), Reply { proof_age: silence, silence, ..reply });
     }
-    assert_eq!(instance.led(), is_synchronized);
+    assert_eq!(instance.is_synchronized(), is_synchronized);
 }
 
 macro_rules! proof_ages {
@@ -475,14 +475,14 @@
     let update =
         || Word { run: 1, phase: Phase::Ready, in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
     for (name, port) in [("a", 7), ("b", 8)] {
-        instance.hear(name, ([127, 0, 0, 7], port).into(), update());
+        instance.update_peer(name, ([127, 0, 0, 7], port).into(), update());
     }
     watcher.renew(clock::now(), Proof::Read);
-    let first = instance.whom_to_ask(0).unwrap();
+    let first = instance.watcher_to_ask(0).unwrap();
     let reply = watcher.reply(instance.question(), 60).unwrap();
     let silence = Duration::from_millis(1_500);
-    instance.take_reply(clock::now(), Reply { proof_age: silence, silence, ..reply });
-    assert_ne!(instance.whom_to_ask(0).unwrap(), first);
+    instance.apply_reply(clock::now(), Reply { proof_age: silence, silence, ..reply });
+    assert_ne!(instance.watcher_to_ask(0).unwrap(), first);
 }
 
 /// `lost` of the other four instances have lost the store, and callers are told of `fronts`
@@ -490,7 +490,7 @@
 fn check_fronts(lost: u16, fronts: usize) {
     let here = instance_with_catalog(1);
     here.renew(clock::now(), Proof::Read);
-    here.note_touch(true);
+    here.record_store_call(true);
     for number in 0..4_u16 {
         let update = Word {
             front: Some(([127, 0, 0, 9], 80 + number).into()),
@@ -500,9 +500,9 @@
             pause: Duration::from_mins(1),
             ..Word::default()
         };
-        here.hear(&format!("i{number}"), ([127, 0, 0, 9], 7 + number).into(), update);
+        here.update_peer(&format!("i{number}"), ([127, 0, 0, 9], 7 + number).into(), update);
     }
-    assert_eq!(here.fronts(&Asking::default()).len(), fronts);
+    assert_eq!(here.caller_addresses(&Asking::default()).len(), fronts);
 }
 
 /// Callers were sent to instances that depend on the proofs of others, though most instances
@@ -527,24 +527,24 @@
     let (instance, watcher) = (site.relay.dispatcher(), instance_with_catalog(1));
     let update = || Word { cores: Cores(400), in_touch: true, pause: Duration::from_mins(1), ..Word::default() };
     for (name, port) in [("a", 7), ("b", 8)] {
-        instance.hear(name, ([127, 0, 0, 7], port).into(), update());
+        instance.update_peer(name, ([127, 0, 0, 7], port).into(), update());
     }
     let reply = || {
         watcher.renew(clock::now(), Proof::Read);
         watcher.reply(instance.question(), 60).unwrap()
     };
     for _ in 0..10 {
-        instance.take_reply(clock::now(), reply());
+        instance.apply_reply(clock::now(), reply());
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(instance.led());
+    assert!(instance.is_synchronized());
     site.store.change(|contents| contents.refuses = true);
     let before = site.store.latest_reads.load(Ordering::Relaxed);
     let silence = Duration::from_secs(2);
     for _ in 0..2 {
-        instance.take_reply(clock::now(), Reply { silence, ..reply() });
+        instance.apply_reply(clock::now(), Reply { silence, ..reply() });
     }
-    assert!(!instance.led());
+    assert!(!instance.is_synchronized());
     tokio::time::sleep(Duration::from_millis(1_900)).await;
     let listings = site.store.latest_reads.load(Ordering::Relaxed) - before;
     assert!(listings <= 2, "{listings} listings");
--- a/crates/relay/tests/it/unreadable_registrations.rs
+++ b/crates/relay/tests/it/unreadable_registrations.rs
@@ -36,7 +36,7 @@
         contents.refuses = false;
     });
     let removed = async {
-        while instance.enlisted() != ["e1"] {
+        while instance.endpoint_names() != ["e1"] {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
--- a/crates/route/src/relay/quarantine.rs
+++ b/crates/route/src/relay/quarantine.rs
@@ -121,7 +121,7 @@
 
     /// Returns whether an endpoint crashed under a request that has not completed since.
     #[must_use]
-    pub fn suspects(&self, now: Duration, content: Content) -> bool {
+    pub fn is_suspect(&self, now: Duration, content: Content) -> bool {
         self.suspect(now, content).is_some()
     }
 
--- a/crates/route/tests/relay/quarantine.rs
+++ b/crates/route/tests/relay/quarantine.rs
@@ -159,8 +159,8 @@
 #[test]
 fn suspicion_expires() {
     let (mut quarantine, last) = after(&[crash(ONE, 1), crash(ONE, 2)]);
-    assert!(quarantine.suspects(last, ONE));
-    assert!(!quarantine.suspects(last + LASTS, ONE));
+    assert!(quarantine.is_suspect(last, ONE));
+    assert!(!quarantine.is_suspect(last + LASTS, ONE));
     assert_eq!(quarantine.take(last + LASTS, crash(ONE, 3)), Effect::Counted);
     assert!(quarantine.refuses(last + LASTS, ONE).is_none());
 }
