--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -16,7 +16,7 @@
     dispatcher::{
         Dispatcher,
         fleet::{Job, Load, Notice, short_hash},
-        peers::{Asking, Phase, Sighting, Word},
+        peers::{Caller, Phase, Sighting, Status},
         synchronization::Change,
     },
     settings::Cores,
@@ -47,13 +47,13 @@
             dispatcher.update_peer(
                 &name(number % instances),
                 news(number % instances),
-                word(number % instances, number, 200),
+                status(number % instances, number, 200),
             );
         });
         let sightings = measure(|| dispatcher.apply_sightings((0..40).map(|n| sighting(n % instances))));
         let audience = measure(|| black_box(dispatcher.news_recipients(number as usize, 16)));
-        let asking = Asking { domain: Some(domain(0)), from: None };
-        let fronts = measure(|| black_box(dispatcher.caller_addresses(&asking)));
+        let caller = Caller { domain: Some(domain(0)), from: None };
+        let fronts = measure(|| black_box(dispatcher.caller_addresses(&caller)));
         let led = measure(|| black_box(dispatcher.is_synchronized()));
         println!("{instances} | {heard:.1} | {sightings:.1} | {audience:.1} | {fronts:.1} | {led:.1}");
     }
@@ -97,14 +97,14 @@
     (0..endpoints).for_each(|number| dispatcher.register_endpoint(endpoint(number)));
     dispatcher.record_listing(1);
     dispatcher.renew(clock::now(), Proof::Read);
-    (0..instances).for_each(|number| dispatcher.update_peer(&name(number), news(number), word(number, 0, endpoints)));
+    (0..instances).for_each(|number| dispatcher.update_peer(&name(number), news(number), status(number, 0, endpoints)));
     dispatcher
 }
 
-fn word(instance: u32, run: u32, endpoints: u32) -> Word {
+fn status(instance: u32, run: u32, endpoints: u32) -> Status {
     let load = Load { runs: 2.0, backlog_ms: 30.0 };
     let loaded = (0..LOADED).map(|n| (short_hash(&format!("e{}", (instance * LOADED + n + run) % endpoints)), load));
-    Word {
+    Status {
         front: Some(news(instance)),
         run: u64::from(run),
         phase: Phase::Ready,
@@ -114,7 +114,7 @@
         cores: Cores(if instance.is_multiple_of(16) { 50 } else { 12 }),
         pause: Duration::from_mins(1),
         loads: loaded.collect::<HashMap<_, _>>(),
-        ..Word::default()
+        ..Status::default()
     }
 }
 
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     answer::{self, Body},
-    dispatcher::{Dispatcher, peers::Asking},
+    dispatcher::{Dispatcher, peers::Caller},
     front::CallerIp,
 };
 
@@ -23,7 +23,7 @@
     if request.uri().path() != dispatcher.dialect.addresses_path {
         return answer::empty_response(StatusCode::NOT_FOUND);
     }
-    let fronts = dispatcher.caller_addresses(&asking_caller(dispatcher, request));
+    let fronts = dispatcher.caller_addresses(&parse_caller(dispatcher, request));
     if fronts.is_empty() {
         return answer::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -43,7 +43,7 @@
 }
 
 /// Returns the failure domain and IP address of the caller, as far as known.
-fn asking_caller(dispatcher: &Dispatcher, request: &Request<Incoming>) -> Asking {
+fn parse_caller(dispatcher: &Dispatcher, request: &Request<Incoming>) -> Caller {
     let domain = request.uri().query().and_then(dispatcher.dialect.asking_domain);
-    Asking { domain, from: request.extensions().get().map(|CallerIp(address)| *address) }
+    Caller { domain, from: request.extensions().get().map(|CallerIp(address)| *address) }
 }
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -12,7 +12,7 @@
 
 mod crashes;
 pub mod fleet;
-mod flight;
+mod in_flight;
 pub mod peers;
 pub mod rollouts;
 pub mod synchronization;
@@ -32,7 +32,7 @@
 
 use tokio::sync::Notify;
 
-pub use self::flight::{Flight, Held};
+pub use self::in_flight::{InFlight, Reservation};
 use self::peers::Phase;
 use crate::{
     catalog::Catalog,
--- a/crates/relay/src/dispatcher/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -30,9 +30,9 @@
 
 pub use self::{
     caches::affinity,
-    limits::{Limit, Said},
+    limits::{Announcement, Limit},
     notices::{Notice, Notices},
-    run::{Ended, Run},
+    run::{Run, RunOutcome},
 };
 use self::{
     decaying_mean::DecayingMean,
@@ -176,7 +176,7 @@
         let server = state.fleet.servers.get_mut(key)?;
         let backlog_ms = pace.reading_ms(units);
         server.runs += 1;
-        server.throttle.spend(now);
+        server.throttle.take_token(now);
         server.backlog_ms += backlog_ms;
         let endpoint = Arc::clone(&server.endpoint);
         let is_announced = state.queue_notice(key, job, backlog_ms, now);
--- a/crates/relay/src/dispatcher/fleet/limits.rs
+++ b/crates/relay/src/dispatcher/fleet/limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rand::seq::IteratorRandom;
-use route::relay::throttle::{self, Share, Word};
+use route::relay::throttle::{self, Share};
 
 use super::{Fleet, Key, Run, Server};
 use crate::{
@@ -24,7 +24,7 @@
 
 /// What an attempt at an endpoint revealed about its rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Said {
+pub enum Announcement {
     /// Nothing: no answer was received, or a refusal that states no limit.
     Nothing,
     /// The answer states a limit, in requests a second from all instances together.
@@ -56,17 +56,17 @@
 
 impl Run {
     /// Records what the endpoint said about its limit, and queues a change for the other instances.
-    pub fn record_limit(&self, said: Said) {
+    pub fn record_limit(&self, announced: Announcement) {
         let now = clock::now();
-        let word = match said {
-            Said::Nothing => return,
-            Said::Limit(per_s) => Word { per_s: Some(per_s), at: now },
-            Said::NoLimit => Word { per_s: None, at: self.started },
+        let announcement = match announced {
+            Announcement::Nothing => return,
+            Announcement::Limit(per_s) => throttle::Announcement { per_s: Some(per_s), at: now },
+            Announcement::NoLimit => throttle::Announcement { per_s: None, at: self.started },
         };
         let mut state = self.dispatcher.lock();
-        if state.apply_limit(self.key, word, now) {
+        if state.apply_limit(self.key, announcement, now) {
             let start = state.fleet.servers[self.key].hash;
-            let limit = Limit { start, per_s: word.per_s, age: now.saturating_sub(word.at) };
+            let limit = Limit { start, per_s: announcement.per_s, age: now.saturating_sub(announcement.at) };
             let unsent = &mut state.fleet.limited.unsent;
             if unsent.len() < MAX_UNSENT_UPDATES {
                 unsent.push(limit);
@@ -78,13 +78,18 @@
 
 impl State {
     /// Applies an endpoint's announcement, and returns whether it changed the limit.
-    fn apply_limit(&mut self, key: Key, word: Word, now: Duration) -> bool {
+    fn apply_limit(&mut self, key: Key, announcement: throttle::Announcement, now: Duration) -> bool {
         let Some(server) = self.fleet.servers.get_mut(key) else { return false };
         let before = server.throttle.limit(now);
-        if !server.throttle.hear(now, word) {
+        if !server.throttle.record(now, announcement) {
             return false;
         }
-        tracing::info!(endpoint = server.endpoint.id, per_s = word.per_s, before, "rate limit of endpoint changed");
+        tracing::info!(
+            endpoint = server.endpoint.id,
+            per_s = announcement.per_s,
+            before,
+            "rate limit of endpoint changed"
+        );
         if !self.fleet.limited.keys.contains(&key) {
             self.fleet.limited.keys.push(key);
         }
@@ -108,7 +113,7 @@
             let others = self.peers.serving(now);
             let share =
                 if is_sender { throttle::share(per_s, server.hash, self.peers.me, others) } else { Share::default() };
-            server.throttle.share(now, share);
+            server.throttle.set_share(now, share);
         }
     }
 }
@@ -131,7 +136,7 @@
         let mut state = self.lock();
         for Limit { start, per_s, age } in limits {
             if let Some(key) = state.fleet.key_of(start) {
-                state.apply_limit(key, Word { per_s, at: now.saturating_sub(age) }, now);
+                state.apply_limit(key, throttle::Announcement { per_s, at: now.saturating_sub(age) }, now);
             }
         }
     }
@@ -144,9 +149,9 @@
         let Fleet { servers, limited, .. } = &state.fleet;
         let recent = limited.keys.iter().filter_map(|key| {
             let server = servers.get(*key)?;
-            let word = server.throttle.word()?;
-            let age = now.saturating_sub(word.at);
-            (age < MAX_REPEATED_AGE).then_some(Limit { start: server.hash, per_s: word.per_s, age })
+            let announcement = server.throttle.last_announcement()?;
+            let age = now.saturating_sub(announcement.at);
+            (age < MAX_REPEATED_AGE).then_some(Limit { start: server.hash, per_s: announcement.per_s, age })
         });
         recent.choose_multiple(&mut rand::rng(), most)
     }
@@ -163,7 +168,7 @@
         };
         let mut least = None;
         for server in state.fleet.servers.values().filter(up) {
-            if server.throttle.takes(now) {
+            if server.throttle.may_send(now) {
                 return None;
             }
             let wait = server.throttle.wait(now);
@@ -176,6 +181,7 @@
 impl Server {
     /// Whether the endpoint announces a limit or has ended one recently.
     fn is_limited(&self, now: Duration) -> bool {
-        self.throttle.limit(now).is_some() || self.throttle.word().is_some_and(|word| now < word.at + MAX_REPEATED_AGE)
+        self.throttle.limit(now).is_some()
+            || self.throttle.last_announcement().is_some_and(|announcement| now < announcement.at + MAX_REPEATED_AGE)
     }
 }
--- a/crates/relay/src/dispatcher/fleet/run.rs
+++ b/crates/relay/src/dispatcher/fleet/run.rs
@@ -62,7 +62,7 @@
 
 /// Outcome of a run, for the endpoint's statistics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum RunOutcome {
     /// A good answer.
     Good,
     /// An answer that reports a failure of the server.
@@ -135,31 +135,31 @@
     }
 
     /// Records the outcome of the run.
-    pub fn record_outcome(&mut self, how: Ended) {
+    pub fn record_outcome(&mut self, how: RunOutcome) {
         let now = clock::now();
         let dispatcher = Arc::clone(&self.dispatcher);
         let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
         match (how, self.content.take()) {
-            (Ended::Good, Some(content)) => state.record_good_end(content, now),
-            (Ended::Broken, Some(content)) => self.record_unfinished(&mut state, content, now),
-            (Ended::Down, _) => state.record_crash(self.key, now),
+            (RunOutcome::Good, Some(content)) => state.record_good_end(content, now),
+            (RunOutcome::Broken, Some(content)) => self.record_unfinished(&mut state, content, now),
+            (RunOutcome::Down, _) => state.record_crash(self.key, now),
             _ => {}
         }
         self.dispatcher.notify_findings(&state);
         let Some(server) = state.fleet.servers.get_mut(self.key) else { return };
         match how {
-            Ended::Good => {
+            RunOutcome::Good => {
                 server.failure_rate.observe(0.0, 0.0, now);
                 server.failed_connections = 0;
             }
-            Ended::Failed | Ended::Broken => server.failure_rate.observe(1.0, 0.0, now),
-            Ended::Full => server.full_until = now + FULL_PERIOD,
+            RunOutcome::Failed | RunOutcome::Broken => server.failure_rate.observe(1.0, 0.0, now),
+            RunOutcome::Full => server.full_until = now + FULL_PERIOD,
             // A request for a model that does not exist is refused in the same way, so a
             // single refusal may be the caller's fault. A first byte or a good answer
             // in between shows that the endpoint is alive.
-            Ended::Replaced if server.failed_connections == 0 => server.failed_connections = 1,
-            Ended::Unreachable | Ended::Down | Ended::Replaced => {
+            RunOutcome::Replaced if server.failed_connections == 0 => server.failed_connections = 1,
+            RunOutcome::Unreachable | RunOutcome::Down | RunOutcome::Replaced => {
                 let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(server.failed_connections.min(6));
                 server.failed_connections += 1;
                 server.backoff_until = now + backoff.min(MAX_BACKOFF);
--- a/crates/relay/src/dispatcher/fleet/selection.rs
+++ b/crates/relay/src/dispatcher/fleet/selection.rs
@@ -155,7 +155,7 @@
     /// of them are.
     pub(super) fn available(&self, service: &str, now: Duration) -> Vec<(Key, &Server)> {
         let takes = |server: &Server| {
-            server.endpoint.service == service && !server.endpoint.draining && server.throttle.takes(now)
+            server.endpoint.service == service && !server.endpoint.draining && server.throttle.may_send(now)
         };
         let all = || self.servers.iter().filter(|(_, server)| takes(server));
         let available: Vec<_> = all().filter(|(_, server)| server.backoff_until <= now).collect();
--- a/crates/relay/src/dispatcher/flight.rs
+++ b/crates/relay/src/dispatcher/in_flight.rs
@@ -13,25 +13,25 @@
 
     /// Counts a request as in flight until the returned guard is dropped.
     #[must_use]
-    pub fn count_in_flight(self: &Arc<Self>) -> Flight {
+    pub fn count_in_flight(self: &Arc<Self>) -> InFlight {
         self.lock().in_flight += 1;
-        Flight { dispatcher: Arc::clone(self) }
+        InFlight { dispatcher: Arc::clone(self) }
     }
 
     /// Returns an empty reservation of the memory for request bodies.
     #[must_use]
-    pub fn reserve_body_memory(self: &Arc<Self>) -> Held {
-        Held { dispatcher: Arc::clone(self), bytes: 0 }
+    pub fn reserve_body_memory(self: &Arc<Self>) -> Reservation {
+        Reservation { dispatcher: Arc::clone(self), bytes: 0 }
     }
 }
 
 /// A guard that counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlight {
     dispatcher: Arc<Dispatcher>,
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.dispatcher.lock().in_flight -= 1;
     }
@@ -39,12 +39,12 @@
 
 /// Memory reserved for a request's body; dropping it releases the memory.
 #[derive(Debug)]
-pub struct Held {
+pub struct Reservation {
     dispatcher: Arc<Dispatcher>,
     bytes: usize,
 }
 
-impl Held {
+impl Reservation {
     /// Reserves `bytes` more and returns true, or returns false if the limit would be exceeded.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let mut state = self.dispatcher.lock();
@@ -57,7 +57,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.dispatcher.lock().held_body_bytes -= self.bytes;
     }
--- a/crates/relay/src/dispatcher/peers.rs
+++ b/crates/relay/src/dispatcher/peers.rs
@@ -3,8 +3,8 @@
 //! Each instance sends news about itself to the others in rounds. An instance is alive
 //! until it has been silent for too long.
 
-mod audience;
 mod fronts;
+mod recipients;
 mod sightings;
 mod sums;
 #[cfg(test)]
@@ -20,8 +20,8 @@
 
 use self::sums::Sums;
 pub use self::{
-    audience::{Audience, Part, Turn},
-    fronts::Asking,
+    fronts::Caller,
+    recipients::{NewsRecipients, NoticeRecipients, Recipients},
     sightings::Sighting,
 };
 use super::{
@@ -84,7 +84,7 @@
     /// Whether it counts as alive, as of the last [`Peers::update_live`].
     counts_as_live: bool,
     /// Its latest news.
-    word: Word,
+    status: Status,
 }
 
 /// Phase of an instance's life.
@@ -101,7 +101,7 @@
 
 /// Status of an instance, as it reports it in its news.
 #[derive(Debug, Clone, Default)]
-pub struct Word {
+pub struct Status {
     /// Address at which it serves callers.
     pub front: Option<SocketAddr>,
     /// Identifies its start; the status of a later start replaces that of an earlier one.
@@ -130,7 +130,7 @@
     pub catalog: u64,
 }
 
-impl Word {
+impl Status {
     fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
@@ -153,21 +153,21 @@
             }
             peer.counts_as_live = false;
             self.live_count -= 1;
-            self.sums.subtract(&peer.word.loads);
+            self.sums.subtract(&peer.status.loads);
         }
     }
 
     /// Applies the status that an instance reports.
-    fn update(&mut self, name: &str, word: Word, now: Duration) {
+    fn update(&mut self, name: &str, status: Status, now: Duration) {
         self.update_live(now);
         let Some(peer) = self.known.get_mut(name) else { return };
         // A start that looks older is accepted once the known one counts as gone: the
         // clock that orders them may have been set back.
-        if peer.counts_as_live && word.run < peer.word.run {
+        if peer.counts_as_live && status.run < peer.status.run {
             return;
         }
         if peer.counts_as_live {
-            self.sums.subtract(&peer.word.loads);
+            self.sums.subtract(&peer.status.loads);
         } else {
             tracing::info!(instance = name, "instance alive");
             self.to_greet.push(peer.news);
@@ -175,8 +175,8 @@
             self.live_count += 1;
         }
         peer.last_heard = Some(now);
-        peer.word = word;
-        self.sums.add(&peer.word.loads);
+        peer.status = status;
+        self.sums.add(&peer.status.loads);
         self.next_expiry = self.next_expiry.min(peer.expires_at());
     }
 
@@ -197,7 +197,7 @@
         self.by_hash.remove(&short_hash(name));
         if peer.counts_as_live {
             self.live_count -= 1;
-            self.sums.subtract(&peer.word.loads);
+            self.sums.subtract(&peer.status.loads);
         }
     }
 
@@ -209,7 +209,7 @@
 
     /// Returns the hashes of the names of the other instances that serve callers.
     pub(super) fn serving(&self, now: Duration) -> impl Iterator<Item = u64> {
-        self.known.values().filter(move |peer| peer.is_live(now) && peer.word.is_ready()).map(|peer| peer.hash)
+        self.known.values().filter(move |peer| peer.is_live(now) && peer.status.is_ready()).map(|peer| peer.hash)
     }
 
     /// Returns the live instances that may watch the store: all, or with `in_touch` only
@@ -218,24 +218,24 @@
         // Not only ready ones: before an operator has written the first catalog no
         // instance is ready, and each of a whole fleet would watch the store itself.
         let able = move |peer: &&Peer| {
-            peer.is_live(now) && peer.word.phase != Phase::Leaving && (peer.word.in_touch || !in_touch)
+            peer.is_live(now) && peer.status.phase != Phase::Leaving && (peer.status.in_touch || !in_touch)
         };
         self.known.values().filter(able).map(|peer| Watcher {
             news: peer.news,
-            rank: Rank::new(peer.word.is_narrow, peer.word.cores, peer.hash),
-            is_near: peer.word.domain == self.domain,
+            rank: Rank::new(peer.status.is_narrow, peer.status.cores, peer.hash),
+            is_near: peer.status.domain == self.domain,
         })
     }
 
     /// Whether a session ran on an old version at another instance within `lifetime`.
     pub(super) fn ran_on_old_version(&self, session: u64, now: Duration, lifetime: Duration) -> bool {
         let is_recent = |peer: &Peer| peer.last_heard.is_some_and(|last_heard| now < last_heard + lifetime);
-        self.known.values().any(|peer| is_recent(peer) && peer.word.sessions.contains(&session))
+        self.known.values().any(|peer| is_recent(peer) && peer.status.sessions.contains(&session))
     }
 
     /// Returns the reports of other instances, including gone ones, about a roll-out.
     pub(super) fn reports(&self, order: u32) -> impl Iterator<Item = &Report> {
-        self.known.values().flat_map(|peer| &peer.word.reports).filter(move |report| report.order == order)
+        self.known.values().flat_map(|peer| &peer.status.reports).filter(move |report| report.order == order)
     }
 }
 
@@ -246,7 +246,7 @@
 
     /// Returns the time at which it counts as gone unless it is heard from before.
     fn expires_at(&self) -> Duration {
-        let silent = MIN_SILENCE.max((self.word.pause * MAX_MISSING_NEWS).min(MAX_SILENCE));
+        let silent = MIN_SILENCE.max((self.status.pause * MAX_MISSING_NEWS).min(MAX_SILENCE));
         self.last_heard.map_or(Duration::ZERO, |last_heard| last_heard + silent)
     }
 }
@@ -283,18 +283,18 @@
             by_hash.insert(short_hash(name), name.to_owned());
             tracing::info!(instance = name, %news, "instance discovered");
             let hash = hash::stable(name.as_bytes());
-            Peer { hash, news, found_at: now, last_heard: None, counts_as_live: false, word: Word::default() }
+            Peer { hash, news, found_at: now, last_heard: None, counts_as_live: false, status: Status::default() }
         });
         peer.news = news;
     }
 
     /// Applies the status that an instance reports in its news.
-    pub fn update_peer(&self, name: &str, news: SocketAddr, word: Word) {
+    pub fn update_peer(&self, name: &str, news: SocketAddr, status: Status) {
         self.discover_peer(name, news);
         let now = clock::now();
-        let catalog = word.catalog;
+        let catalog = status.catalog;
         let mut state = self.lock();
-        state.peers.update(name, word, now);
+        state.peers.update(name, status, now);
         state.update_peer_loads(now);
         if !state.peers.to_greet.is_empty() {
             self.peers_to_greet.notify_one();
@@ -316,7 +316,7 @@
     #[must_use]
     pub fn is_fresh_elsewhere(&self) -> bool {
         let now = clock::now();
-        self.lock().peers.known.values().any(|peer| peer.is_live(now) && peer.word.fresh && peer.word.is_ready())
+        self.lock().peers.known.values().any(|peer| peer.is_live(now) && peer.status.fresh && peer.status.is_ready())
     }
 
     /// Whether this instance's name sorts before those of all other live and ready
@@ -325,8 +325,11 @@
     pub fn is_leader(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
-        let mut others =
-            state.peers.known.iter().filter(|(_, peer)| peer.is_live(now) && peer.word.is_ready() && peer.word.fresh);
+        let mut others = state
+            .peers
+            .known
+            .iter()
+            .filter(|(_, peer)| peer.is_live(now) && peer.status.is_ready() && peer.status.fresh);
         others.all(|(name, _)| *name > self.settings.instance)
     }
 
@@ -334,7 +337,7 @@
     pub fn apply_reports(&self, name: u32, reports: Vec<Report>) {
         let Peers { known, by_hash, .. } = &mut self.lock().peers;
         if let Some(peer) = by_hash.get(&name).and_then(|name| known.get_mut(name)) {
-            peer.word.reports = reports;
+            peer.status.reports = reports;
         }
     }
 }
--- a/crates/relay/src/dispatcher/peers/fronts.rs
+++ b/crates/relay/src/dispatcher/peers/fronts.rs
@@ -13,15 +13,15 @@
 
 /// A caller that asks for the addresses of instances.
 #[derive(Debug, Clone, Default)]
-pub struct Asking {
+pub struct Caller {
     /// Its failure domain, if it states one.
     pub domain: Option<String>,
     /// IP address from which it asks.
     pub from: Option<IpAddr>,
 }
 
-impl Asking {
-    fn caller(&self) -> fronts::Caller<'_> {
+impl Caller {
+    fn hashed(&self) -> fronts::Caller<'_> {
         let domain = self.domain.as_deref();
         let from = self.from.map(|from| from.to_string()).unwrap_or_default();
         let key = hash::stable(domain.unwrap_or_default().as_bytes());
@@ -40,8 +40,14 @@
 impl<'a> Front<'a> {
     /// Returns `None` if the instance has not reported an address for callers.
     fn of(peer: &'a Peer) -> Option<Self> {
-        let candidate = fronts::Candidate { hash: peer.hash, domain: &peer.word.domain, cores: peer.word.cores.get() };
-        Some(Self { address: peer.word.front?, is_fresh: peer.word.fresh, is_in_touch: peer.word.in_touch, candidate })
+        let candidate =
+            fronts::Candidate { hash: peer.hash, domain: &peer.status.domain, cores: peer.status.cores.get() };
+        Some(Self {
+            address: peer.status.front?,
+            is_fresh: peer.status.fresh,
+            is_in_touch: peer.status.in_touch,
+            candidate,
+        })
     }
 }
 
@@ -50,7 +56,7 @@
     /// included, restricted to instances with fresh access keys if there are any. If there
     /// are too many, [`fronts::choose`] selects among them for the caller.
     #[must_use]
-    pub fn caller_addresses(&self, asking: &Asking) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self, caller: &Caller) -> Vec<SocketAddr> {
         let now = clock::now();
         let (me_ready, me_fresh, me_in_touch) = (self.is_ready(), self.is_fresh(), self.is_in_touch_with_store());
         let state = self.lock();
@@ -58,7 +64,7 @@
             .peers
             .known
             .values()
-            .filter(|peer| peer.is_live(now) && peer.word.is_ready())
+            .filter(|peer| peer.is_live(now) && peer.status.is_ready())
             .filter_map(Front::of)
             .collect();
         if me_ready {
@@ -85,7 +91,7 @@
             all.retain(|front| front.is_in_touch);
         }
         let candidates: Vec<fronts::Candidate<'_>> = all.iter().map(|front| front.candidate).collect();
-        let chosen = fronts::choose(&candidates, asking.caller(), MOST_ADDRESSES);
+        let chosen = fronts::choose(&candidates, caller.hashed(), MOST_ADDRESSES);
         let mut addresses: Vec<SocketAddr> = chosen.into_iter().map(|index| all[index].address).collect();
         addresses.sort_unstable();
         addresses
--- a/crates/relay/src/dispatcher/peers/audience.rs
+++ b/crates/relay/src/dispatcher/peers/recipients.rs
@@ -22,25 +22,25 @@
 
 /// Recipients of the next pieces of news.
 #[derive(Debug, Clone, Default)]
-pub struct Turn {
+pub struct NewsRecipients {
     /// Recipients among all instances; in a large fleet, among those of the own failure domain.
-    pub near: Part,
+    pub near: Recipients,
     /// Recipients among the other instances of a large fleet. They receive no loads, which
     /// would be outdated long before the next update, and bytes between failure domains
     /// are billed.
-    pub far: Part,
+    pub far: Recipients,
 }
 
 /// A part of a set of instances, for one turn.
 #[derive(Debug, Clone, Default)]
-pub struct Part {
+pub struct Recipients {
     /// Their news addresses.
     pub news: Vec<SocketAddr>,
     /// Number of turns until all instances of the set have been recipients once.
     pub rounds: usize,
 }
 
-impl Part {
+impl Recipients {
     /// Selects the recipients of a turn, at most `most`.
     fn of<'a>(peers: impl Iterator<Item = &'a Peer> + Clone, turn: usize, most: usize) -> Self {
         let rounds = peers.clone().count().div_ceil(most).max(1);
@@ -50,7 +50,7 @@
 
 /// Recipients of a notice of a long prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Audience {
+pub enum NoticeRecipients {
     /// Every live instance.
     All(Vec<SocketAddr>),
     /// One instance for each failure domain, which forwards the notice to the others there.
@@ -81,10 +81,10 @@
             return;
         }
         let mut relays: BTreeMap<&str, Relay> = BTreeMap::from([(self.domain.as_str(), me)]);
-        let stays = |peer: &&Peer| peer.is_live(now) && peer.word.phase != Phase::Leaving;
+        let stays = |peer: &&Peer| peer.is_live(now) && peer.status.phase != Phase::Leaving;
         for peer in self.known.values().filter(stays) {
-            let other = Relay { cores: peer.word.cores, hash: peer.hash, news: peer.news };
-            let relay = relays.entry(&peer.word.domain).or_insert(other);
+            let other = Relay { cores: peer.status.cores, hash: peer.hash, news: peer.news };
+            let relay = relays.entry(&peer.status.domain).or_insert(other);
             *relay = (*relay).max(other);
         }
         self.relays.extend(relays.values().map(|relay| relay.news));
@@ -94,13 +94,15 @@
 impl Dispatcher {
     /// Returns the recipients of a notice of a long prompt.
     #[must_use]
-    pub fn notice_recipients(&self) -> Audience {
+    pub fn notice_recipients(&self) -> NoticeRecipients {
         let now = clock::now();
         let state = self.lock();
         if !state.peers.relays.is_empty() {
-            return Audience::Relays(state.peers.relays.clone());
+            return NoticeRecipients::Relays(state.peers.relays.clone());
         }
-        Audience::All(state.peers.known.values().filter(|peer| peer.is_live(now)).map(|peer| peer.news).collect())
+        NoticeRecipients::All(
+            state.peers.known.values().filter(|peer| peer.is_live(now)).map(|peer| peer.news).collect(),
+        )
     }
 
     /// Returns the news addresses of the live instances in this one's failure domain.
@@ -108,7 +110,7 @@
     pub fn live_peers_in_domain(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.lock();
-        let near = |peer: &&Peer| peer.is_live(now) && peer.word.domain == self.settings.domain;
+        let near = |peer: &&Peer| peer.is_live(now) && peer.status.domain == self.settings.domain;
         state.peers.known.values().filter(near).map(|peer| peer.news).collect()
     }
 
@@ -134,17 +136,17 @@
     pub fn take_extra_recipients(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let peers = &mut self.lock().peers;
-        let mut strangers = std::mem::take(&mut peers.to_greet);
+        let mut recipients = std::mem::take(&mut peers.to_greet);
         let silent =
             peers.known.values().filter(|peer| peer.last_heard.is_none() && now < peer.found_at + GREETING_PERIOD);
-        strangers.extend(silent.map(|peer| peer.news));
-        strangers
+        recipients.extend(silent.map(|peer| peer.news));
+        recipients
     }
 
     /// Returns the recipients of the next pieces of news, at most `most`: parts of the known
     /// instances that change with each turn.
     #[must_use]
-    pub fn news_recipients(&self, turn: usize, most: usize) -> Turn {
+    pub fn news_recipients(&self, turn: usize, most: usize) -> NewsRecipients {
         let now = clock::now();
         let me = Relay {
             cores: self.settings.cores,
@@ -155,12 +157,15 @@
         peers.forget_long_silent(now);
         peers.choose_relays(me, now);
         if peers.live_count <= MAX_DIRECT_RECIPIENTS {
-            return Turn { near: Part::of(peers.known.values(), turn, most), far: Part::default() };
+            return NewsRecipients {
+                near: Recipients::of(peers.known.values(), turn, most),
+                far: Recipients::default(),
+            };
         }
-        let is_near = |peer: &&Peer| peer.word.domain == peers.domain;
-        let near = Part::of(peers.known.values().filter(is_near), turn, most / 2);
-        let far = Part::of(peers.known.values().filter(|peer| !is_near(peer)), turn, most / 2);
-        Turn { near, far }
+        let is_near = |peer: &&Peer| peer.status.domain == peers.domain;
+        let near = Recipients::of(peers.known.values().filter(is_near), turn, most / 2);
+        let far = Recipients::of(peers.known.values().filter(|peer| !is_near(peer)), turn, most / 2);
+        NewsRecipients { near, far }
     }
 
     /// Returns up to `most` instances drawn at random, each with its news address.
--- a/crates/relay/src/dispatcher/peers/sightings.rs
+++ b/crates/relay/src/dispatcher/peers/sightings.rs
@@ -41,7 +41,7 @@
         }
         peer.last_heard = Some(at);
         if sighting.leaves {
-            peer.word.phase = Phase::Leaving;
+            peer.status.phase = Phase::Leaving;
         }
     }
 
@@ -49,7 +49,7 @@
     fn recent_sightings(&self, most: usize, now: Duration) -> Vec<Sighting> {
         let recent = |(name, peer): (&String, &Peer)| {
             let age = now.saturating_sub(peer.last_heard?);
-            let leaves = peer.word.phase == Phase::Leaving;
+            let leaves = peer.status.phase == Phase::Leaving;
             (age < MAX_SENT_AGE).then(|| Sighting { name: short_hash(name), age, leaves })
         };
         self.known.iter().filter_map(recent).choose_multiple(&mut rand::rng(), most)
--- a/crates/relay/src/dispatcher/peers/tests.rs
+++ b/crates/relay/src/dispatcher/peers/tests.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use super::{Peer, Peers, Phase, Sighting, Word};
+use super::{Peer, Peers, Phase, Sighting, Status};
 use crate::dispatcher::fleet::{Load, short_hash};
 
 const INSTANCES: u32 = 6;
@@ -31,7 +31,7 @@
     ([127, 0, 0, 1], u16::try_from(1_000 + instance).unwrap()).into()
 }
 
-fn receive(peers: &mut Peers, instance: u32, word: Word, now: Duration) {
+fn receive(peers: &mut Peers, instance: u32, status: Status, now: Duration) {
     let name = format!("i{instance}");
     let peer = Peer {
         hash: 0,
@@ -39,22 +39,22 @@
         found_at: now,
         last_heard: None,
         counts_as_live: false,
-        word: Word::default(),
+        status: Status::default(),
     };
     peers.known.entry(name.clone()).or_insert(peer);
-    peers.update(&name, word, now);
+    peers.update(&name, status, now);
 }
 
-fn status(run: u64, loads: &[(u32, u16)]) -> Word {
+fn status(run: u64, loads: &[(u32, u16)]) -> Status {
     let load = |runs| Load { runs: f64::from(runs), backlog_ms: 3.0 * f64::from(runs) };
     let loads = loads.iter().map(|(endpoint, runs)| (*endpoint, load(*runs))).collect();
-    Word { run, pause: Duration::from_millis(250), loads, ..Word::default() }
+    Status { run, pause: Duration::from_millis(250), loads, ..Status::default() }
 }
 
 /// Sums the loads of all live instances on an endpoint from scratch.
 fn expected_sum(peers: &Peers, endpoint: u32, now: Duration) -> Load {
     let live = peers.known.values().filter(|peer| peer.is_live(now));
-    let loads = live.filter_map(|peer| peer.word.loads.get(&endpoint));
+    let loads = live.filter_map(|peer| peer.status.loads.get(&endpoint));
     loads.fold(Load::default(), |sum, load| Load {
         runs: sum.runs + load.runs,
         backlog_ms: sum.backlog_ms + load.backlog_ms,
@@ -91,10 +91,10 @@
     let loads: HashMap<u32, Load> = status(1, &[(1, 2), (2, 4), (3, 6)]).loads;
     for instance in 0..300 {
         let own = loads.iter().map(|(endpoint, load)| (endpoint + 3 * instance, *load)).collect();
-        receive(&mut peers, instance, Word { loads: own, ..status(1, &[]) }, now);
+        receive(&mut peers, instance, Status { loads: own, ..status(1, &[]) }, now);
     }
     peers.sums.take_changed();
-    receive(&mut peers, 7, Word { loads, ..status(2, &[]) }, now);
+    receive(&mut peers, 7, Status { loads, ..status(2, &[]) }, now);
     assert_eq!(peers.sums.take_changed().len(), 6);
 }
 
@@ -105,7 +105,7 @@
 /// Returns peers with one instance that sent news at the start, in rounds of `pause_ms`.
 fn peers_with_one(pause_ms: u64) -> Peers {
     let mut peers = Peers::default();
-    receive(&mut peers, 0, Word { pause: Duration::from_millis(pause_ms), ..status(1, &[(1, 5)]) }, at(0));
+    receive(&mut peers, 0, Status { pause: Duration::from_millis(pause_ms), ..status(1, &[(1, 5)]) }, at(0));
     peers.by_hash.insert(short_hash("i0"), "i0".into());
     peers
 }
@@ -152,7 +152,7 @@
 fn sighting_reports_that_an_instance_leaves() {
     let mut peers = peers_with_one(4_750);
     peers.apply_sighting(sighting(10, true), at(500));
-    assert_eq!(peers.known["i0"].word.phase, Phase::Leaving);
+    assert_eq!(peers.known["i0"].status.phase, Phase::Leaving);
 }
 
 /// Guards against ignoring an instance for good if its machine's clock is reset by a loss of
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -14,7 +14,7 @@
     answer::Refusal,
     catalog::{Route, Team},
     clock,
-    dispatcher::{Dispatcher, Held},
+    dispatcher::{Dispatcher, Reservation},
     request_params::{RequestParams, end_to_end},
 };
 
@@ -43,7 +43,7 @@
     request: Request<Incoming>,
 ) -> Result<Exchange, (RequestParams, Refusal)> {
     let started = clock::now();
-    let flight = dispatcher.count_in_flight();
+    let in_flight = dispatcher.count_in_flight();
     let (head, body) = request.into_parts();
     let params = RequestParams::read(&head.headers, &dispatcher.dialect.names);
     let host = host(&head.headers, &head.uri);
@@ -78,7 +78,7 @@
     }
     Ok(Exchange {
         dispatcher: Arc::clone(dispatcher),
-        flight: Some(flight),
+        in_flight: Some(in_flight),
         _body_memory: memory,
         content,
         service: String::new(),
@@ -137,8 +137,8 @@
     host.split(':').next().unwrap_or_default().to_ascii_lowercase()
 }
 
-/// Reads a body of up to `longest` bytes and accounts for its memory in `held`.
-async fn read_body(mut body: Incoming, longest: usize, held: &mut Held) -> Result<Bytes, Refusal> {
+/// Reads a body of up to `longest` bytes and accounts for its memory in `reservation`.
+async fn read_body(mut body: Incoming, longest: usize, reservation: &mut Reservation) -> Result<Bytes, Refusal> {
     if body.size_hint().lower() > u64::try_from(longest).unwrap_or(u64::MAX) {
         return Err(Refusal::TooLarge);
     }
@@ -150,7 +150,7 @@
         }
         // Thousands of slow callers with long bodies could otherwise use up the memory and
         // get the process killed, with all requests in flight.
-        if !held.grow(data.len()) {
+        if !reservation.grow(data.len()) {
             return Err(Refusal::Memory);
         }
         whole.extend_from_slice(&data);
--- a/crates/relay/src/exchange/stream.rs
+++ b/crates/relay/src/exchange/stream.rs
@@ -11,7 +11,7 @@
     forwarded_headers,
     tries::{ActiveStream, Exchange},
 };
-use crate::{answer::Body, catalog::Kind, clock, dispatcher::fleet::Ended, events::Splitter, upstream::Outcome};
+use crate::{answer::Body, catalog::Kind, clock, dispatcher::fleet::RunOutcome, events::Splitter, upstream::Outcome};
 
 /// A run has stalled after this many times the route's target pause between events.
 const STALL_FACTOR: f64 = 2.0;
@@ -70,7 +70,7 @@
                     Err(_) => Outcome::Unknown("an event is too long".into()),
                 },
                 Received::End if !splitter.is_partial() => {
-                    active.run.record_outcome(Ended::Good);
+                    active.run.record_outcome(RunOutcome::Good);
                     break;
                 }
                 Received::End => Outcome::Broken("the stream ended within an event".into()),
@@ -93,7 +93,7 @@
             };
             active = resumed;
         }
-        drop(exchange.flight.take());
+        drop(exchange.in_flight.take());
     }
 }
 
--- a/crates/relay/src/exchange/tries.rs
+++ b/crates/relay/src/exchange/tries.rs
@@ -17,8 +17,8 @@
     catalog::Kind,
     clock,
     dispatcher::{
-        Dispatcher, Flight, Held,
-        fleet::{Ended, Key, Run},
+        Dispatcher, InFlight, Reservation,
+        fleet::{Key, Run, RunOutcome},
     },
     request_params::RequestParams,
     source::Endpoint,
@@ -50,8 +50,8 @@
 #[derive(Debug)]
 pub struct Exchange {
     pub(super) dispatcher: Arc<Dispatcher>,
-    pub(super) flight: Option<Flight>,
-    pub(super) _body_memory: Held,
+    pub(super) in_flight: Option<InFlight>,
+    pub(super) _body_memory: Reservation,
     pub(super) content: Content,
     pub(super) params: RequestParams,
     pub(super) admission: Admission,
@@ -265,25 +265,25 @@
             Outcome::Unreachable(Unreachable { cause, is_refused }) => {
                 self.unreachable += 1;
                 self.sent -= 1;
-                (if *is_refused { Ended::Down } else { Ended::Unreachable }, cause.clone())
+                (if *is_refused { RunOutcome::Down } else { RunOutcome::Unreachable }, cause.clone())
             }
             Outcome::NotRun(StatusCode::MISDIRECTED_REQUEST) => {
-                (Ended::Replaced, "another server stands at its address".to_owned())
+                (RunOutcome::Replaced, "another server stands at its address".to_owned())
             }
-            Outcome::NotRun(status) => (Ended::Full, format!("turned away with {status}")),
-            Outcome::Unknown(cause) => (Ended::Broken, cause.clone()),
+            Outcome::NotRun(status) => (RunOutcome::Full, format!("turned away with {status}")),
+            Outcome::Unknown(cause) => (RunOutcome::Broken, cause.clone()),
             Outcome::Broken(cause) => {
                 self.crash_check =
                     Some(tokio::spawn(check_for_crash(Arc::clone(&self.dispatcher), run.key, run.endpoint.address)));
-                (Ended::Broken, cause.clone())
+                (RunOutcome::Broken, cause.clone())
             }
-            Outcome::Answer(_) => (Ended::Good, String::new()),
+            Outcome::Answer(_) => (RunOutcome::Good, String::new()),
         };
         self.record_failure(run, ended, cause);
     }
 
     /// Records and logs a failed try.
-    fn record_failure(&mut self, run: &mut Run, ended: Ended, cause: String) {
+    fn record_failure(&mut self, run: &mut Run, ended: RunOutcome, cause: String) {
         run.record_outcome(ended);
         tracing::info!(
             request = self.params.id,
@@ -346,11 +346,11 @@
         *response.headers_mut() = headers;
         let (endpoint, choice) = (Arc::clone(&run.endpoint), run.choice);
         if failed {
-            self.record_failure(&mut run, Ended::Failed, format!("failed with {status}"));
+            self.record_failure(&mut run, RunOutcome::Failed, format!("failed with {status}"));
             self.tried.push(run.key);
             return NextStep::Failed(Failure { response, status, endpoint, choice });
         }
-        run.record_outcome(Ended::Good);
+        run.record_outcome(RunOutcome::Good);
         self.log_answer(&endpoint, choice, status, None, None);
         NextStep::Accepted(AcceptedAnswer::Whole(response))
     }
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -27,7 +27,7 @@
     dispatcher::{
         Dispatcher,
         fleet::{self, short_hash},
-        peers::{Sighting, Turn, Word},
+        peers::{NewsRecipients, Sighting, Status},
         rollouts::Report,
         synchronization,
     },
@@ -153,7 +153,7 @@
     }
     let mut turn = 0;
     loop {
-        let Turn { near, far } = dispatcher.news_recipients(turn, MAX_RECEIVERS);
+        let NewsRecipients { near, far } = dispatcher.news_recipients(turn, MAX_RECEIVERS);
         let time_to_next = NEWS_PAUSE * u32::try_from(near.rounds).unwrap_or(u32::MAX);
         let bytes = encode(&Packet::News(news_message(dispatcher, run, time_to_next, MAX_NAMED)));
         // Random, because with a counter the same instances would miss the reminders in each
@@ -246,7 +246,7 @@
                     dispatcher.discover_peer(name, *news);
                 }
                 dispatcher.apply_sightings(message.sightings.iter().map(Sighting::from));
-                dispatcher.update_peer(&message.name, from, Word::from(&message));
+                dispatcher.update_peer(&message.name, from, Status::from(&message));
             }
             Ok(Packet::Evidence(name, orders)) => {
                 dispatcher.apply_reports(name, orders.iter().map(Report::from).collect())
--- a/crates/relay/src/news/spread.rs
+++ b/crates/relay/src/news/spread.rs
@@ -15,7 +15,7 @@
     encode, send,
     wire::{Finding, Limit, Notice, Packet},
 };
-use crate::dispatcher::{Dispatcher, fleet::short_hash, peers::Audience};
+use crate::dispatcher::{Dispatcher, fleet::short_hash, peers::NoticeRecipients};
 
 /// Time for which a relay collects items before it passes them on.
 const BATCH_DELAY: Duration = Duration::from_millis(30);
@@ -106,8 +106,8 @@
         let me = dispatcher.settings.listeners.news;
         for items in items.chunks(MAX_BATCH) {
             let (audience, packet) = match dispatcher.notice_recipients() {
-                Audience::All(all) => (all, (self.to_all)(items.to_vec())),
-                Audience::Relays(relays) => {
+                NoticeRecipients::All(all) => (all, (self.to_all)(items.to_vec())),
+                NoticeRecipients::Relays(relays) => {
                     if relays.contains(&me) {
                         self.enqueue(items.iter().cloned());
                     }
--- a/crates/relay/src/news/wire.rs
+++ b/crates/relay/src/news/wire.rs
@@ -12,7 +12,7 @@
 use crate::{
     dispatcher::{
         fleet::{self, Load},
-        peers::{self, Sighting, Word},
+        peers::{self, Sighting, Status},
         rollouts::{Report, Tallies},
         synchronization,
     },
@@ -449,7 +449,7 @@
     }
 }
 
-impl From<&NewsMessage> for Word {
+impl From<&NewsMessage> for Status {
     fn from(message: &NewsMessage) -> Self {
         let load = |&(hash, runs, backlog): &(u32, u16, u16)| {
             (hash, Load { runs: f64::from(runs), backlog_ms: f64::from(backlog) })
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::{dialect::Names, dispatcher::fleet::Said};
+use crate::{dialect::Names, dispatcher::fleet::Announcement};
 
 /// Time limit for connecting: many round trips, and well below the time after which TCP
 /// resends a lost first packet.
@@ -43,13 +43,13 @@
     /// Outcome of the try.
     pub outcome: Outcome,
     /// What the endpoint said about its rate limit.
-    pub limit: Said,
+    pub limit: Announcement,
 }
 
 impl From<Outcome> for TryResult {
     /// Converts the outcome of a try in which the endpoint said nothing about its limit.
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, limit: Said::Nothing }
+        Self { outcome, limit: Announcement::Nothing }
     }
 }
 
@@ -106,10 +106,10 @@
     let per_s = parse_limit(&response, names);
     let outcome = check_answer(response, id, names, connection);
     let limit = match (per_s, &outcome) {
-        (Some(per_s), _) => Said::Limit(per_s),
-        (None, Outcome::Answer(_)) => Said::NoLimit,
+        (Some(per_s), _) => Announcement::Limit(per_s),
+        (None, Outcome::Answer(_)) => Announcement::NoLimit,
         // An endpoint that rejects a request need not name its limit.
-        (None, _) => Said::Nothing,
+        (None, _) => Announcement::Nothing,
     };
     TryResult { outcome, limit }
 }
--- a/crates/relay/tests/it/notices.rs
+++ b/crates/relay/tests/it/notices.rs
@@ -7,7 +7,7 @@
     dispatcher::{
         Dispatcher,
         fleet::{Job, Notice, short_hash},
-        peers::{Audience, Word},
+        peers::{NoticeRecipients, Status},
     },
     settings::Cores,
 };
@@ -34,7 +34,7 @@
     instance.update_peer(
         "other",
         ([127, 0, 0, 1], 1).into(),
-        Word { pause: Duration::from_mins(1), ..Word::default() },
+        Status { pause: Duration::from_mins(1), ..Status::default() },
     );
     instance
 }
@@ -136,7 +136,7 @@
     for domain in ["tartu-a", "tartu-b", "voru"] {
         for number in 0..per_domain {
             let cores = Cores(if number == 0 { 50 } else { 12 });
-            let update = Word { domain: domain.into(), cores, pause: Duration::from_mins(1), ..Word::default() };
+            let update = Status { domain: domain.into(), cores, pause: Duration::from_mins(1), ..Status::default() };
             instance.update_peer(&format!("{domain}-{number}"), news, update);
         }
     }
@@ -151,8 +151,8 @@
     let (small, large) = (instance_with_endpoints(), instance_with_endpoints());
     add_instances(&small, 20, ([127, 0, 0, 1], 2).into());
     add_instances(&large, 98, ([127, 0, 0, 1], 2).into());
-    assert!(matches!(small.notice_recipients(), Audience::All(all) if all.len() == 61));
-    assert!(matches!(large.notice_recipients(), Audience::Relays(relays) if relays.len() == 4));
+    assert!(matches!(small.notice_recipients(), NoticeRecipients::All(all) if all.len() == 61));
+    assert!(matches!(large.notice_recipients(), NoticeRecipients::Relays(relays) if relays.len() == 4));
 }
 
 /// A forwarding instance passes a notice on to its neighbours, and counts the load itself.
@@ -174,7 +174,8 @@
         site.await
     };
     let (here, relay) = (start("a", Cores(12)).await, start("b", Cores(400)).await);
-    let update = Word { domain: "tartu-a".into(), cores: Cores(400), pause: Duration::from_mins(1), ..Word::default() };
+    let update =
+        Status { domain: "tartu-a".into(), cores: Cores(400), pause: Duration::from_mins(1), ..Status::default() };
     here.relay.dispatcher().update_peer("b", relay.relay.dispatcher().settings.listeners.news, update);
     for site in [&here, &relay] {
         add_instances(site.relay.dispatcher(), 40, address);
--- a/crates/relay/tests/it/proofs.rs
+++ b/crates/relay/tests/it/proofs.rs
@@ -10,7 +10,7 @@
     clock,
     dispatcher::{
         Dispatcher,
-        peers::{Phase, Word},
+        peers::{Phase, Status},
     },
 };
 use tokio::time::sleep;
@@ -85,7 +85,7 @@
     instance.set_narrow(is_narrow);
     for (place, is_narrow) in others {
         let update =
-            Word { run: 1, phase: Phase::Ready, in_touch: true, is_narrow, pause: UPDATE_PAUSE, ..Word::default() };
+            Status { run: 1, phase: Phase::Ready, in_touch: true, is_narrow, pause: UPDATE_PAUSE, ..Status::default() };
         instance.update_peer(name(place), ([127, 0, 0, 7], 7).into(), update);
     }
     assert_eq!(instance.watches_store(), watches);
--- a/crates/relay/tests/it/restarts.rs
+++ b/crates/relay/tests/it/restarts.rs
@@ -7,8 +7,8 @@
     clock,
     dispatcher::{
         Dispatcher,
-        fleet::{Ended, Job, Load, Notice, start_hash},
-        peers::Word,
+        fleet::{Job, Load, Notice, RunOutcome, start_hash},
+        peers::Status,
         synchronization::{Change, Reply},
     },
     source::Endpoint,
@@ -41,8 +41,8 @@
     instance
 }
 
-fn update(loads: HashMap<u32, Load>) -> Word {
-    Word { pause: Duration::from_mins(1), loads, ..Word::default() }
+fn update(loads: HashMap<u32, Load>) -> Status {
+    Status { pause: Duration::from_mins(1), loads, ..Status::default() }
 }
 
 /// Returns the distinct endpoints that fifty short prompts are placed on, one after the other.
@@ -76,7 +76,7 @@
     assert_eq!(placements(&instance), ["e0"]);
     // The ends of those runs say nothing about the new start either.
     for mut run in runs {
-        run.record_outcome(Ended::Unreachable);
+        run.record_outcome(RunOutcome::Unreachable);
     }
     assert_eq!(placements(&instance), ["e0"]);
 }
--- a/crates/relay/tests/it/rollouts.rs
+++ b/crates/relay/tests/it/rollouts.rs
@@ -9,7 +9,7 @@
     catalog::Kind,
     dispatcher::{
         fleet::short_hash,
-        peers::Word,
+        peers::Status,
         rollouts::{Report, Tallies},
     },
     rollout::Rollout,
@@ -138,7 +138,7 @@
     let tally = |runs, bad| Tally { runs, bad, lateness: Lateness::default() };
     for number in 0..30_u16 {
         let name = format!("i{number}");
-        instance.update_peer(&name, ([127, 0, 0, 1], 2_000 + number).into(), Word::default());
+        instance.update_peer(&name, ([127, 0, 0, 1], 2_000 + number).into(), Status::default());
         let own = Tallies { new: tally(3, 2), old: tally(40, 1) };
         let report = Report { order, stage: Stage::Trial, elapsed: Duration::from_secs(3), own };
         instance.apply_reports(short_hash(&name), vec![report]);
--- a/crates/relay/tests/it/stale_catalog.rs
+++ b/crates/relay/tests/it/stale_catalog.rs
@@ -7,7 +7,7 @@
     clock,
     dispatcher::{
         Dispatcher,
-        peers::{Phase, Word},
+        peers::{Phase, Status},
         synchronization::Question,
     },
 };
@@ -46,13 +46,13 @@
 
 /// Delivers a status update of another instance that has catalog `version`.
 fn announce_catalog(instance: &Dispatcher, version: u64) {
-    let update = Word {
+    let update = Status {
         run: 1,
         phase: Phase::Ready,
         in_touch: true,
         pause: Duration::from_millis(250),
         catalog: version,
-        ..Word::default()
+        ..Status::default()
     };
     instance.update_peer("there", ([127, 0, 0, 7], 7).into(), update);
 }
@@ -131,7 +131,7 @@
     let (_server, site) = start().await;
     let newer = StoreContents { catalog: Some(public_catalog(2, &["/p/", "/q/"])), ..StoreContents::default() };
     let other = Site::start_with(newer, |settings| settings.instance = "there".into()).await;
-    let update = Word { run: 1, phase: Phase::Ready, pause: REPLACE_LIMIT, catalog: 2, ..Word::default() };
+    let update = Status { run: 1, phase: Phase::Ready, pause: REPLACE_LIMIT, catalog: 2, ..Status::default() };
     let instance = site.relay.dispatcher();
     instance.update_peer("there", other.relay.dispatcher().settings.listeners.news, update);
     let copied = async {
--- a/crates/relay/tests/it/synchronization.rs
+++ b/crates/relay/tests/it/synchronization.rs
@@ -12,7 +12,7 @@
     dispatcher::{
         Dispatcher,
         fleet::{Job, Load, short_hash},
-        peers::{Asking, Phase, Word},
+        peers::{Caller, Phase, Status},
         synchronization::{Change, Question, Reply},
     },
     settings::Cores,
@@ -146,14 +146,14 @@
     let here = instance_with_catalog(1);
     let front = ([127, 0, 0, 9], 80).into();
     let load = Load { runs: 40.0, backlog_ms: 900.0 };
-    let update = Word {
+    let update = Status {
         front: Some(front),
         run: 1,
         phase: Phase::Ready,
         fresh: true,
         pause: Duration::from_millis(250),
         loads: HashMap::from([(short_hash("e0"), load)]),
-        ..Word::default()
+        ..Status::default()
     };
     here.update_peer("there", ([127, 0, 0, 9], 7).into(), update);
     let job = Job {
@@ -170,14 +170,18 @@
         version: None,
     };
     let busy_ms = here.expected_ms(&job).unwrap();
-    assert!(here.caller_addresses(&Asking::default()).contains(&front));
+    assert!(here.caller_addresses(&Caller::default()).contains(&front));
     assert_eq!(here.live_instance_count(), 2);
 
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    assert!(!here.caller_addresses(&Asking::default()).contains(&front));
+    assert!(!here.caller_addresses(&Caller::default()).contains(&front));
     assert_eq!(here.live_instance_count(), 1);
     // Loads are recomputed with the next status update from any instance.
-    here.update_peer("else", ([127, 0, 0, 8], 7).into(), Word { pause: Duration::from_millis(250), ..Word::default() });
+    here.update_peer(
+        "else",
+        ([127, 0, 0, 8], 7).into(),
+        Status { pause: Duration::from_millis(250), ..Status::default() },
+    );
     assert!(here.expected_ms(&job).unwrap() < busy_ms);
 }
 
@@ -279,13 +283,13 @@
     names.sort_by_key(|name| hash::stable(name.as_bytes()));
     let site = Site::start_with(contents, |settings| settings.instance = names[3].into()).await;
     let (instance, cut_off) = (site.relay.dispatcher(), instance_with_catalog(1));
-    let update = |catalog| Word {
+    let update = |catalog| Status {
         run: 1,
         phase: Phase::Ready,
         in_touch: true,
         pause: Duration::from_millis(250),
         catalog,
-        ..Word::default()
+        ..Status::default()
     };
     let synchronize = || {
         for (name, port) in [(names[0], 7), (names[1], 8)] {
@@ -339,13 +343,13 @@
     let (instance, watcher) = (site.relay.dispatcher(), instance_with_catalog(2));
     let synchronize = async || {
         for (name, port) in [(names[0], 7), (names[1], 8)] {
-            let update = Word {
+            let update = Status {
                 run: 1,
                 phase: Phase::Ready,
                 in_touch: true,
                 pause: Duration::from_millis(250),
                 catalog: 2,
-                ..Word::default()
+                ..Status::default()
             };
             instance.update_peer(name, ([127, 0, 0, 7], port).into(), update);
         }
@@ -399,7 +403,7 @@
     assert_eq!(reply.catalog, 0);
     assert!(reply.proof_age >= Duration::from_millis(20));
     for (name, port) in [("a", 7), ("b", 8)] {
-        let update = Word { in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
+        let update = Status { in_touch: true, pause: Duration::from_millis(250), ..Status::default() };
         other.update_peer(name, ([127, 0, 0, 7], port).into(), update);
     }
     other.apply_reply(clock::now(), reply);
@@ -411,7 +415,7 @@
 #[test]
 fn leaving_instance_is_not_asked() {
     let instance = instance_with_catalog(1);
-    let update = |phase| Word { phase, in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
+    let update = |phase| Status { phase, in_touch: true, pause: Duration::from_millis(250), ..Status::default() };
     instance.update_peer("a", ([127, 0, 0, 7], 7).into(), update(Phase::Leaving));
     assert_eq!(instance.watcher_to_ask(0), None);
     instance.update_peer("b", ([127, 0, 0, 7], 8).into(), update(Phase::Starting));
@@ -427,7 +431,7 @@
     let (found, heard) = (([127, 0, 0, 7], 7).into(), ([127, 0, 0, 7], 8).into());
     instance.discover_peer("found", found);
     assert_eq!(instance.take_extra_recipients(), [found]);
-    let update = || Word { pause: Duration::from_millis(250), ..Word::default() };
+    let update = || Status { pause: Duration::from_millis(250), ..Status::default() };
     instance.update_peer("heard", heard, update());
     assert_eq!(instance.take_extra_recipients(), [heard, found]);
     instance.update_peer("heard", heard, update());
@@ -440,8 +444,13 @@
 /// store has been silent, and checks whether this instance still counts as synchronized.
 fn check_proof_ages(silences_ms: &[u64], is_synchronized: bool) {
     let (watcher, instance) = (instance_with_catalog(1), instance_with_catalog(1));
-    let update =
-        || Word { run: 1, phase: Phase::Ready, in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
+    let update = || Status {
+        run: 1,
+        phase: Phase::Ready,
+        in_touch: true,
+        pause: Duration::from_millis(250),
+        ..Status::default()
+    };
     for (name, port) in [("a", 7), ("b", 8)] {
         instance.update_peer(name, ([127, 0, 0, 7], port).into(), update());
     }
@@ -472,8 +481,13 @@
 #[test]
 fn instance_with_an_old_proof_is_not_asked_next() {
     let (watcher, instance) = (instance_with_catalog(1), instance_with_catalog(1));
-    let update =
-        || Word { run: 1, phase: Phase::Ready, in_touch: true, pause: Duration::from_millis(250), ..Word::default() };
+    let update = || Status {
+        run: 1,
+        phase: Phase::Ready,
+        in_touch: true,
+        pause: Duration::from_millis(250),
+        ..Status::default()
+    };
     for (name, port) in [("a", 7), ("b", 8)] {
         instance.update_peer(name, ([127, 0, 0, 7], port).into(), update());
     }
@@ -492,17 +506,17 @@
     here.renew(clock::now(), Proof::Read);
     here.record_store_call(true);
     for number in 0..4_u16 {
-        let update = Word {
+        let update = Status {
             front: Some(([127, 0, 0, 9], 80 + number).into()),
             phase: Phase::Ready,
             fresh: true,
             in_touch: number >= lost,
             pause: Duration::from_mins(1),
-            ..Word::default()
+            ..Status::default()
         };
         here.update_peer(&format!("i{number}"), ([127, 0, 0, 9], 7 + number).into(), update);
     }
-    assert_eq!(here.caller_addresses(&Asking::default()).len(), fronts);
+    assert_eq!(here.caller_addresses(&Caller::default()).len(), fronts);
 }
 
 /// Callers were sent to instances that depend on the proofs of others, though most instances
@@ -525,7 +539,7 @@
 async fn lost_store_is_polled_by_few_instances() {
     let site = Site::start(vec![route("/a/", Kind::Idempotent)], &[]).await;
     let (instance, watcher) = (site.relay.dispatcher(), instance_with_catalog(1));
-    let update = || Word { cores: Cores(400), in_touch: true, pause: Duration::from_mins(1), ..Word::default() };
+    let update = || Status { cores: Cores(400), in_touch: true, pause: Duration::from_mins(1), ..Status::default() };
     for (name, port) in [("a", 7), ("b", 8)] {
         instance.update_peer(name, ([127, 0, 0, 7], port).into(), update());
     }
--- a/crates/route/src/relay/throttle.rs
+++ b/crates/route/src/relay/throttle.rs
@@ -7,7 +7,7 @@
 //! instances, selected by rendezvous hashing, share the limit evenly, and the others send
 //! nothing while it is in force.
 //!
-//! A sender's tokens accrue evenly and few can be saved: one if there are as many senders
+//! A sender's tokens accrue evenly and few can be max_tokens: one if there are as many senders
 //! as allowed. Over any window an endpoint thus gets its part of the limit and at most one
 //! request more for each sender that is allowed.
 
@@ -20,7 +20,7 @@
 const USABLE_FRACTION: f64 = 0.9;
 
 /// Number of senders to an endpoint in addition to one for each request per second that it
-/// accepts, and so the number of tokens that all senders may have saved. More senders would
+/// accepts, and so the number of tokens that all senders may have max_tokens. More senders would
 /// send more requests at once than an endpoint with a small limit can take.
 const MIN_SENDERS: usize = 4;
 
@@ -29,7 +29,7 @@
 
 /// A limit that an endpoint announced, or its announcement that there is none.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Word {
+pub struct Announcement {
     /// Requests per second from all instances together; `None` if the endpoint has no
     /// limit.
     pub per_s: Option<f64>,
@@ -45,13 +45,13 @@
     /// Tokens per second; 0 if the instance is not a sender.
     pub rate: f64,
     /// Maximum number of saved tokens.
-    pub saved: f64,
+    pub max_tokens: f64,
 }
 
 /// Token bucket for the requests that this instance may send to one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct Throttle {
-    word: Option<Word>,
+    announcement: Option<Announcement>,
     share: Share,
     tokens: f64,
     /// Time for which `tokens` was last computed.
@@ -61,8 +61,8 @@
 impl Throttle {
     /// Records an announcement unless a later one is known. Returns whether the limit in
     /// force changes.
-    pub fn hear(&mut self, now: Duration, word: Word) -> bool {
-        if self.word.is_some_and(|known| known.at > word.at) {
+    pub fn record(&mut self, now: Duration, announcement: Announcement) -> bool {
+        if self.announcement.is_some_and(|known| known.at > announcement.at) {
             return false;
         }
         let limit_before = self.limit(now);
@@ -70,7 +70,7 @@
             self.tokens = 1.0;
             self.filled = now;
         }
-        self.word = Some(word);
+        self.announcement = Some(announcement);
         limit_before != self.limit(now)
     }
 
@@ -78,17 +78,17 @@
     /// expired.
     #[must_use]
     pub fn limit(&self, now: Duration) -> Option<f64> {
-        self.word.filter(|word| now < word.at + LIMIT_LIFETIME)?.per_s
+        self.announcement.filter(|announcement| now < announcement.at + LIMIT_LIFETIME)?.per_s
     }
 
     /// Returns the endpoint's last announcement, even if it ended a limit or has expired.
     #[must_use]
-    pub fn word(&self) -> Option<Word> {
-        self.word
+    pub fn last_announcement(&self) -> Option<Announcement> {
+        self.announcement
     }
 
     /// Sets this instance's part of the limit.
-    pub fn share(&mut self, now: Duration, share: Share) {
+    pub fn set_share(&mut self, now: Duration, share: Share) {
         self.tokens = self.tokens_at(now);
         self.filled = now;
         self.share = share;
@@ -96,12 +96,12 @@
 
     /// Returns whether a request may be sent now.
     #[must_use]
-    pub fn takes(&self, now: Duration) -> bool {
+    pub fn may_send(&self, now: Duration) -> bool {
         self.limit(now).is_none() || (self.share.rate > 0.0 && self.tokens_at(now) >= 1.0)
     }
 
     /// Takes a token for a request that is sent.
-    pub fn spend(&mut self, now: Duration) {
+    pub fn take_token(&mut self, now: Duration) {
         self.tokens = self.tokens_at(now) - 1.0;
         self.filled = now;
     }
@@ -119,7 +119,7 @@
 
     fn tokens_at(&self, now: Duration) -> f64 {
         let passed = now.saturating_sub(self.filled).as_secs_f64();
-        (self.tokens + passed * self.share.rate).min(self.share.saved.max(1.0))
+        (self.tokens + passed * self.share.rate).min(self.share.max_tokens.max(1.0))
     }
 }
 
@@ -141,5 +141,5 @@
     }
     #[expect(clippy::cast_precision_loss, reason = "instances are far fewer than 2^53")]
     let (max_senders, active_senders) = (senders as f64, senders.min(count) as f64);
-    Share { rate: USABLE_FRACTION * per_s / active_senders, saved: max_senders / active_senders }
+    Share { rate: USABLE_FRACTION * per_s / active_senders, max_tokens: max_senders / active_senders }
 }
--- a/crates/route/tests/relay/throttle.rs
+++ b/crates/route/tests/relay/throttle.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::{prelude::*, test_runner::RngSeed};
-use route::relay::throttle::{Share, Throttle, Word, share};
+use route::relay::throttle::{Announcement, Share, Throttle, share};
 use world::hash;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -11,8 +11,8 @@
 const STEP: Duration = Duration::from_millis(20);
 const START: Duration = Duration::from_hours(1);
 
-fn announced(per_s: f64, at: Duration) -> Word {
-    Word { per_s: Some(per_s), at }
+fn announced(per_s: f64, at: Duration) -> Announcement {
+    Announcement { per_s: Some(per_s), at }
 }
 
 fn names(count: u64) -> Vec<u64> {
@@ -30,17 +30,17 @@
 fn send_at_capacity(per_s: f64, shares: &[Share], change: impl Fn(Duration) -> Option<Vec<Share>>) -> Vec<Duration> {
     let mut throttles = vec![Throttle::default(); shares.len()];
     for (throttle, share) in throttles.iter_mut().zip(shares) {
-        throttle.hear(START, announced(per_s, START));
-        throttle.share(START, *share);
+        throttle.record(START, announced(per_s, START));
+        throttle.set_share(START, *share);
     }
     let (mut now, mut sent) = (START, Vec::new());
     while now < START + 5 * WINDOW {
         for (throttle, share) in throttles.iter_mut().zip(change(now.saturating_sub(START)).unwrap_or_default()) {
-            throttle.share(now, share);
+            throttle.set_share(now, share);
         }
         for throttle in &mut throttles {
-            if throttle.takes(now) {
-                throttle.spend(now);
+            if throttle.may_send(now) {
+                throttle.take_token(now);
                 sent.push(now);
             }
         }
@@ -106,8 +106,8 @@
 fn endpoint_without_a_limit_allows_everything() {
     let mut throttle = Throttle::default();
     for _ in 0..100 {
-        assert!(throttle.takes(START));
-        throttle.spend(START);
+        assert!(throttle.may_send(START));
+        throttle.take_token(START);
     }
     assert_eq!(throttle.wait(START), Duration::ZERO);
 }
@@ -115,14 +115,14 @@
 #[test]
 fn wait_is_until_the_next_token() {
     let mut throttle = Throttle::default();
-    throttle.hear(START, announced(2.0, START));
-    throttle.share(START, Share { rate: 0.5, saved: 1.0 });
-    assert!(throttle.takes(START));
-    throttle.spend(START);
-    assert!(!throttle.takes(START));
+    throttle.record(START, announced(2.0, START));
+    throttle.set_share(START, Share { rate: 0.5, max_tokens: 1.0 });
+    assert!(throttle.may_send(START));
+    throttle.take_token(START);
+    assert!(!throttle.may_send(START));
     assert_eq!(throttle.wait(START), 2 * SECOND);
     assert_eq!(throttle.wait(START + SECOND), SECOND);
-    assert!(throttle.takes(START + 2 * SECOND));
+    assert!(throttle.may_send(START + 2 * SECOND));
 }
 
 /// An instance without a part tells its callers when another instance may send the next
@@ -130,18 +130,18 @@
 #[test]
 fn wait_without_a_part_is_the_wait_of_the_fleet() {
     let mut throttle = Throttle::default();
-    throttle.hear(START, announced(2.0, START));
-    throttle.share(START, Share::default());
-    assert!(!throttle.takes(START + 30 * SECOND));
+    throttle.record(START, announced(2.0, START));
+    throttle.set_share(START, Share::default());
+    assert!(!throttle.may_send(START + 30 * SECOND));
     assert!((0.5..0.6).contains(&throttle.wait(START).as_secs_f64()));
 }
 
 #[test]
 fn limit_of_zero_allows_nothing() {
     let mut throttle = Throttle::default();
-    throttle.hear(START, announced(0.0, START));
-    throttle.share(START, share(0.0, 1, 2, std::iter::empty()));
-    assert!(!throttle.takes(START));
+    throttle.record(START, announced(0.0, START));
+    throttle.set_share(START, share(0.0, 1, 2, std::iter::empty()));
+    assert!(!throttle.may_send(START));
     assert_eq!(throttle.wait(START), Duration::from_mins(1));
 }
 
@@ -150,10 +150,10 @@
 #[test]
 fn older_announcement_changes_nothing() {
     let mut throttle = Throttle::default();
-    assert!(throttle.hear(START + SECOND, announced(2.0, START + SECOND)));
-    assert!(!throttle.hear(START + SECOND, Word { per_s: None, at: START }));
+    assert!(throttle.record(START + SECOND, announced(2.0, START + SECOND)));
+    assert!(!throttle.record(START + SECOND, Announcement { per_s: None, at: START }));
     assert_eq!(throttle.limit(START + SECOND), Some(2.0));
-    assert!(throttle.hear(START + 3 * SECOND, Word { per_s: None, at: START + 2 * SECOND }));
+    assert!(throttle.record(START + 3 * SECOND, Announcement { per_s: None, at: START + 2 * SECOND }));
     assert_eq!(throttle.limit(START + 3 * SECOND), None);
 }
 
@@ -162,7 +162,7 @@
 #[test]
 fn limit_expires() {
     let mut throttle = Throttle::default();
-    throttle.hear(START, announced(2.0, START));
+    throttle.record(START, announced(2.0, START));
     assert_eq!(throttle.limit(START + 59 * SECOND), Some(2.0));
     assert_eq!(throttle.limit(START + 60 * SECOND), None);
 }
