--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -26,7 +26,7 @@
 
 use route::relay::{
     allowance::{Allowance, Purpose},
-    freshness::{Freshness, Proof},
+    freshness::{Lease, Proof},
     quarantine::{Finding, Quarantine},
 };
 
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 struct State {
     catalog: Option<Arc<Catalog>>,
-    freshness: Freshness,
+    lease: Lease,
     allowances: HashMap<String, Allowance>,
     fleet: fleet::Fleet,
     notices: fleet::Notices,
@@ -145,7 +145,7 @@
     pub fn new(settings: Settings, dialect: Dialect) -> Arc<Self> {
         let state = State {
             catalog: None,
-            freshness: Freshness::new(settings.revoke),
+            lease: Lease::new(settings.revoke),
             allowances: HashMap::new(),
             fleet: fleet::Fleet::default(),
             notices: fleet::Notices::new(clock::now()),
@@ -201,7 +201,7 @@
             routes = catalog.hosts.values().map(Vec::len).sum::<usize>(),
             "catalog in force"
         );
-        state.synchronization.succession.install(catalog.version);
+        state.synchronization.announced_catalogs.install(catalog.version);
         state.catalog = Some(Arc::new(catalog));
         self.startup_progressed.notify_waiters();
         true
@@ -224,7 +224,7 @@
 
     /// Renews the lease on access keys by a proof that was requested at `asked`.
     pub fn renew(&self, asked: Duration, proof: Proof) {
-        self.lock().freshness.renew(asked, proof);
+        self.lock().lease.renew(asked, proof);
     }
 
     /// Whether access keys and the rest of the catalog are fresh enough to serve requests.
@@ -232,7 +232,7 @@
     pub fn is_fresh(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
-        state.freshness.holds(now) && state.synchronization.succession.holds(now)
+        state.lease.is_valid(now) && state.synchronization.announced_catalogs.is_valid(now)
     }
 
     /// Whether requests may be served by the catalog in force.
@@ -240,7 +240,7 @@
     /// This ends a limited time after another instance has announced a newer catalog.
     #[must_use]
     pub fn is_catalog_valid(&self) -> bool {
-        self.lock().synchronization.succession.holds(clock::now())
+        self.lock().synchronization.announced_catalogs.is_valid(clock::now())
     }
 
     /// Records the outcome of this instance's own latest call to the store.
@@ -270,7 +270,7 @@
     #[must_use]
     pub fn is_in_touch_with_store(&self) -> bool {
         let state = self.lock();
-        state.in_touch && state.freshness.holds(clock::now())
+        state.in_touch && state.lease.is_valid(clock::now())
     }
 
     /// Returns the number of instances that are alive, this one included.
@@ -282,7 +282,7 @@
     /// Returns the age of the latest proof that the access keys are current.
     #[must_use]
     pub fn keys_age(&self) -> Option<Duration> {
-        self.lock().freshness.age(clock::now())
+        self.lock().lease.age(clock::now())
     }
 
     /// Records that endpoints and roll-outs have been listed once.
@@ -387,18 +387,18 @@
     }
 
     /// Credits the service's allowance for a request's first dispatch.
-    pub fn credit_dispatch(&self, service: &str) {
-        self.with_allowance(service, |allowance, _| allowance.earn(clock::now()));
+    pub fn record_first_dispatch(&self, service: &str) {
+        self.with_allowance(service, |allowance, _| allowance.record_first_dispatch(clock::now()));
     }
 
     /// Takes an extra dispatch from the service's allowance, and returns whether there was room.
-    pub fn take_extra_dispatch(&self, service: &str, purpose: Purpose) -> bool {
-        self.with_allowance(service, |allowance, members| allowance.spend(clock::now(), members, purpose))
+    pub fn try_extra_dispatch(&self, service: &str, purpose: Purpose) -> bool {
+        self.with_allowance(service, |allowance, members| allowance.try_extra_dispatch(clock::now(), members, purpose))
     }
 
     /// Whether the service's allowance has room for an extra dispatch.
     pub fn allows_extra_dispatch(&self, service: &str, purpose: Purpose) -> bool {
-        self.with_allowance(service, |allowance, members| allowance.left(clock::now(), members, purpose) >= 1.0)
+        self.with_allowance(service, |allowance, members| allowance.remaining(clock::now(), members, purpose) >= 1.0)
     }
 
     fn with_allowance<T>(&self, service: &str, apply: impl FnOnce(&mut Allowance, usize) -> T) -> T {
--- a/crates/relay/src/dispatcher/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -19,7 +19,7 @@
 
 use route::relay::{
     canary::{self, Lateness},
-    holders::Holders,
+    holders::Prefixes,
     notice::Backlog,
     pace::Pace,
     placement::Candidate,
@@ -79,7 +79,7 @@
     /// Mean ratio of actual to expected time to the first byte, by service.
     usual_lateness: HashMap<String, f64>,
     /// Endpoints whose prompt caches hold a part.
-    holders: Holders,
+    holders: Prefixes,
     limited: limits::LimitedEndpoints,
 }
 
@@ -183,7 +183,7 @@
         if is_announced {
             self.notices_ready.notify_one();
         }
-        if job.in_session && arm == Arm::Old && canary::tries_versions(job.session, self.settings.exposure) {
+        if job.in_session && arm == Arm::Old && canary::is_in_trial_group(job.session, self.settings.exposure) {
             state.rollouts.record_session(job.session, now, self.settings.session);
         }
         let pace_key = PaceKey { service: job.service.to_owned(), model: job.model };
--- a/crates/relay/src/dispatcher/fleet/caches.rs
+++ b/crates/relay/src/dispatcher/fleet/caches.rs
@@ -45,7 +45,7 @@
         for Cached { part, model } in cached {
             let Some(index) = model_index(&catalog, model) else { continue };
             let key = part_hash(affinity(hash::stable(part.as_bytes()), Some(index)));
-            state.fleet.holders.note(key, holder, now);
+            state.fleet.holders.record(key, holder, now);
         }
     }
 
@@ -62,7 +62,7 @@
 impl Fleet {
     /// Returns the hashes of the endpoints that probably cache a part.
     pub(super) fn holders_of(&self, affinity: Option<u64>, now: Duration) -> Vec<u32> {
-        affinity.map(|affinity| self.holders.of(part_hash(affinity), now).collect()).unwrap_or_default()
+        affinity.map(|affinity| self.holders.holders_of(part_hash(affinity), now).collect()).unwrap_or_default()
     }
 }
 
--- a/crates/relay/src/dispatcher/fleet/notices.rs
+++ b/crates/relay/src/dispatcher/fleet/notices.rs
@@ -53,7 +53,7 @@
         let Some(server) = self.fleet.servers.get_mut(key) else { return false };
         let part = job.part().filter(|_| job.shared_tokens >= MIN_ANNOUNCED_PART_TOKENS);
         if let Some(part) = part {
-            self.fleet.holders.note(part, server.hash, now);
+            self.fleet.holders.record(part, server.hash, now);
         }
         if self.notices.unsent.len() >= MAX_UNSENT_NOTICES
             || !self.notices.budget.spend(now, reading_ms, part.is_some(), fanout)
@@ -86,7 +86,7 @@
             server.announced_backlog.add(now, notice.reading_ms);
         }
         if let Some(part) = notice.part {
-            state.fleet.holders.note(part, notice.endpoint, now);
+            state.fleet.holders.record(part, notice.endpoint, now);
         }
     }
 }
--- a/crates/relay/src/dispatcher/fleet/run.rs
+++ b/crates/relay/src/dispatcher/fleet/run.rs
@@ -99,7 +99,7 @@
             // make every new endpoint look slow or fast.
             let usual_lateness = fleet.usual_lateness.entry(self.pace_key.service.clone()).or_insert(1.0);
             *usual_lateness += USUAL_LATENESS_WEIGHT * (ratio - *usual_lateness);
-            self.lateness = Lateness::of(ratio);
+            self.lateness = Lateness::from_ratio(ratio);
             server.slowness.observe(ratio / usual_lateness.max(0.1), 1.0, now);
             server.failed_connections = 0;
             server.last_received = now;
--- a/crates/relay/src/dispatcher/fleet/selection.rs
+++ b/crates/relay/src/dispatcher/fleet/selection.rs
@@ -55,7 +55,7 @@
             self.rollouts.ran_on_old_version(session, now, lifetime)
                 || self.peers.ran_on_old_version(session, now, lifetime)
         };
-        let settled = job.in_session && canary::tries_versions(job.session, exposure) && settled();
+        let settled = job.in_session && canary::is_in_trial_group(job.session, exposure) && settled();
         let assignment =
             self.rollouts.assign(job.service, AssignedRequest { session: job.session, settled, exposure }, now);
         let (chosen, slow, failing) = if let Some((pool, chosen)) = self.fleet.sample_endpoints(job, &assignment, now) {
--- a/crates/relay/src/dispatcher/rollouts.rs
+++ b/crates/relay/src/dispatcher/rollouts.rs
@@ -152,7 +152,8 @@
         };
         if let Some(order) = &known.order {
             let elapsed = now.saturating_sub(order.since);
-            let takes_target = canary::meets(order.stage, elapsed, request.session, request.settled, request.exposure);
+            let takes_target =
+                canary::uses_new_version(order.stage, elapsed, request.session, request.settled, request.exposure);
             return Assignment {
                 target: Some(order.rollout.target.clone()),
                 takes_target,
@@ -286,7 +287,7 @@
                 order.stage = furthest(order.stage, report.stage);
             }
             let elapsed = now.saturating_sub(order.since);
-            let next = canary::advance(order.stage, elapsed, order.rollout.over, sum.new, sum.old);
+            let next = canary::next_stage(order.stage, elapsed, order.rollout.over, sum.new, sum.old);
             if next != order.stage {
                 tracing::info!(
                     service = order.rollout.service,
--- a/crates/relay/src/dispatcher/synchronization.rs
+++ b/crates/relay/src/dispatcher/synchronization.rs
@@ -15,7 +15,7 @@
 };
 
 use rand::seq::IteratorRandom;
-use route::relay::freshness::{Proof, Succession};
+use route::relay::freshness::{AnnouncedCatalogs, Proof};
 
 use super::{Dispatcher, Knowledge};
 use crate::{clock, rollout::Rollout, source::Endpoint};
@@ -72,7 +72,7 @@
     /// Whether all roll-outs have been listed.
     orders_known: bool,
     /// Newer catalogs that other instances have announced.
-    pub(super) succession: Succession,
+    pub(super) announced_catalogs: AnnouncedCatalogs,
     /// Instances that have announced newer catalogs, with the versions.
     newer_catalog_peers: VecDeque<(SocketAddr, u64)>,
 }
@@ -108,7 +108,7 @@
     /// Creates the state of an instance that is not synchronized yet. `replace` limits how
     /// long it may serve with a catalog that was replaced.
     pub(super) fn new(replace: Option<Duration>) -> Self {
-        Self { succession: Succession::new(replace), ..Self::default() }
+        Self { announced_catalogs: AnnouncedCatalogs::new(replace), ..Self::default() }
     }
 
     /// Records a complete listing of endpoints.
@@ -260,7 +260,7 @@
         }
         // The proof renews the lease only if this instance has the proven catalog.
         if state.catalog.as_ref().is_some_and(|known| known.version >= reply.catalog) {
-            state.freshness.renew(asked.saturating_sub(reply.proof_age), Proof::Read);
+            state.lease.renew(asked.saturating_sub(reply.proof_age), Proof::Read);
         }
         drop(state);
         self.record_catalog_version(reply.catalog);
@@ -300,7 +300,7 @@
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
         }
-        if state.synchronization.succession.tell(version, clock::now()) {
+        if state.synchronization.announced_catalogs.announce(version, clock::now()) {
             tracing::info!(version, "newer catalog announced");
         }
         self.catalog_wanted.notify_one();
@@ -334,7 +334,7 @@
     /// read again.
     #[must_use]
     pub fn is_behind(&self) -> bool {
-        self.lock().synchronization.succession.is_behind()
+        self.lock().synchronization.announced_catalogs.is_behind()
     }
 
     /// Replaces the known roll-outs by those of a reply, keeping newer revisions.
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use route::relay::{
     allowance::Purpose,
-    ladder::{self, Outlook, Room, Step, Time},
+    ladder::{self, Outlook, RelativeTime, Remaining, Step},
     patience::patience,
 };
 use world::hash;
@@ -75,7 +75,7 @@
             return Some(models - 1);
         }
         let service = self.admission.route.target(self.target_draw).unwrap_or_default();
-        let room = Room {
+        let remaining = Remaining {
             attempts: self.admission.route.attempts,
             allowance: self.dispatcher.allows_extra_dispatch(service, Purpose::Escalation),
         };
@@ -83,10 +83,10 @@
         let time = |model| {
             let job = self.job_at(service, Some(model));
             let now_ms = self.dispatcher.expected_ms(&job).unwrap_or(f64::INFINITY);
-            Time { idle: self.dispatcher.expected_idle_ms(&job) / goal_ms, now: now_ms / goal_ms }
+            RelativeTime { idle: self.dispatcher.expected_idle_ms(&job) / goal_ms, now: now_ms / goal_ms }
         };
-        let times: Vec<Time> = (0..models).map(time).collect();
-        Some(ladder::start(room, &times))
+        let times: Vec<RelativeTime> = (0..models).map(time).collect();
+        Some(ladder::first_model(remaining, &times))
     }
 
     /// Returns the largest model that has processed the prompt of a stream that the caller
@@ -103,8 +103,7 @@
     /// Returns how long a run may take to its first byte.
     pub(super) fn patience(&self, run: &Run) -> Duration {
         let route = &self.admission.route;
-        let last =
-            self.sent >= route.attempts || !self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Repair);
+        let last = self.sent >= route.attempts || !self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Retry);
         if last || !route.kind.repeatable() {
             return self.left();
         }
@@ -156,12 +155,12 @@
         if self.resumed_model(models) == Some(index) {
             return None;
         }
-        let room = Room {
+        let remaining = Remaining {
             attempts: self.admission.route.attempts.saturating_sub(self.sent),
             allowance: self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Escalation),
         };
         let outlooks: Vec<Outlook> = (0..models).map(|model| self.outlook(model)).collect();
-        match ladder::step(index, confidence, self.admission.urgency, room, &outlooks) {
+        match ladder::next_step(index, confidence, self.admission.urgency, remaining, &outlooks) {
             Step::Keep => None,
             Step::Escalate(next) => Some(next),
         }
@@ -176,17 +175,17 @@
     /// Predicts whether a model's first event would still come in time.
     fn outlook(&self, model: usize) -> Outlook {
         let job = self.job(Some(model));
-        let Some(expected_ms) = self.dispatcher.expected_ms(&job) else { return Outlook::Never };
+        let Some(expected_ms) = self.dispatcher.expected_ms(&job) else { return Outlook::TooLate };
         let goal_ms = clock::millis(self.admission.route.goal);
         let passed_ms = clock::millis(clock::now().saturating_sub(self.started));
         if passed_ms + expected_ms <= goal_ms {
             Outlook::InTime
         } else if expected_ms > 0.5 * clock::millis(self.left()) {
-            Outlook::Never
+            Outlook::TooLate
         } else if self.dispatcher.expected_idle_ms(&job) <= SHORT_PROMPT_FRACTION * goal_ms {
-            Outlook::Crowded
+            Outlook::LateByQueues
         } else {
-            Outlook::Late
+            Outlook::LateByLength
         }
     }
 }
--- a/crates/relay/src/exchange/tries.rs
+++ b/crates/relay/src/exchange/tries.rs
@@ -172,9 +172,9 @@
         };
         if self.sent == 0 {
             if self.unreachable == 0 {
-                self.dispatcher.credit_dispatch(&self.service);
+                self.dispatcher.record_first_dispatch(&self.service);
             }
-        } else if !self.dispatcher.take_extra_dispatch(&self.service, Purpose::Repair) {
+        } else if !self.dispatcher.try_extra_dispatch(&self.service, Purpose::Retry) {
             return Err(self.refusal_for_caller(Refusal::TurnedAway));
         }
         Ok(run)
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -13,7 +13,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use route::relay::freshness::{Cadence, Proof};
+use route::relay::freshness::{Proof, Schedule};
 use tokio::time::{sleep, timeout};
 
 use self::lapses::{Lapses, REREGISTRATION_TIME};
@@ -92,7 +92,7 @@
         source,
         kind,
         progress,
-        cadence: Cadence::default(),
+        schedule: Schedule::default(),
         revision: None,
         has_listed: false,
         lost_since: None,
@@ -114,7 +114,7 @@
     kind: Kind,
     progress: Arc<Progress>,
     /// Decides when the catalog may be read again.
-    cadence: Cadence,
+    schedule: Schedule,
     /// Revision to watch from; `None` if the kind has to be listed.
     revision: Option<u64>,
     has_listed: bool,
@@ -279,7 +279,7 @@
     /// long to transfer is not read twice: that would delay the change by half a second and
     /// fill the link.
     async fn catch_up(&mut self, asked: Duration) {
-        if self.cadence.is_long() {
+        if self.schedule.was_last_read_long() {
             self.read_latest(asked).await;
             if self.failures > 0 {
                 self.copy_catalog().await;
@@ -348,8 +348,8 @@
         let is_conclusive = !listing.records.is_empty() || self.dispatcher.catalog().is_none();
         let proves = self.kind == Kind::Catalog && read == Read::Latest && is_conclusive;
         if self.kind == Kind::Catalog {
-            self.cadence.note(self.progress.transfer(), clock::now());
-            self.dispatcher.set_narrow(self.cadence.is_long());
+            self.schedule.record_read(self.progress.transfer(), clock::now());
+            self.dispatcher.set_narrow(self.schedule.was_last_read_long());
         }
         self.apply_listing(listing);
         if proves {
@@ -365,12 +365,12 @@
         let batch = silence::bounded(&self.progress, wait, call).await?;
         self.apply_batch(batch);
         if self.kind == Kind::Catalog {
-            self.dispatcher.renew(asked, Proof::Quiet);
+            self.dispatcher.renew(asked, Proof::QuietWatch);
             // A watch without changes proves less than a read, since it may have missed
             // one. With a read after each watch, callers are still served for three fifths
             // of the bound on revoked keys once the store is lost; for a long catalog, which
             // is not read after each watch, it is a third.
-            if self.cadence.is_due(clock::now()) {
+            if self.schedule.is_due(clock::now()) {
                 self.revision = None;
             }
         }
@@ -380,7 +380,7 @@
     /// Returns how long the store may hold back its answer to a watch that starts at `asked`.
     fn watch_wait(&self, asked: Duration) -> Duration {
         match self.kind {
-            Kind::Catalog if !self.cadence.is_due(asked + CATALOG_WATCH_WAIT) => LONG_CATALOG_WATCH_WAIT,
+            Kind::Catalog if !self.schedule.is_due(asked + CATALOG_WATCH_WAIT) => LONG_CATALOG_WATCH_WAIT,
             Kind::Catalog => CATALOG_WATCH_WAIT,
             Kind::Endpoints if self.lapses.has_lapses() => LAPSED_WATCH_WAIT,
             Kind::Endpoints => ENDPOINTS_WATCH_WAIT,
--- a/crates/route/src/relay/allowance.rs
+++ b/crates/route/src/relay/allowance.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
     /// Retries a failed dispatch.
-    Repair,
+    Retry,
     /// Asks a larger model. Leaves part of the allowance for retries.
     Escalation,
 }
@@ -61,15 +61,15 @@
     }
 
     /// Counts the first dispatch of a request.
-    pub fn earn(&mut self, now: Duration) {
+    pub fn record_first_dispatch(&mut self, now: Duration) {
         self.current_slice(now).firsts += 1.0;
     }
 
     /// Counts an extra dispatch if the bound allows it, and returns whether it does.
     ///
     /// `members` is the number of instances that are believed to be dispatching.
-    pub fn spend(&mut self, now: Duration, members: usize, purpose: Purpose) -> bool {
-        if self.left(now, members, purpose) < 1.0 {
+    pub fn try_extra_dispatch(&mut self, now: Duration, members: usize, purpose: Purpose) -> bool {
+        if self.remaining(now, members, purpose) < 1.0 {
             return false;
         }
         self.current_slice(now).extras += 1.0;
@@ -78,7 +78,7 @@
 
     /// Returns the number of extra dispatches that the bound still allows.
     #[must_use]
-    pub fn left(&mut self, now: Duration, members: usize, purpose: Purpose) -> f64 {
+    pub fn remaining(&mut self, now: Duration, members: usize, purpose: Purpose) -> f64 {
         self.current_slice(now);
         let firsts: f64 = self.slices.iter().map(|slice| slice.firsts).sum();
         let extras: f64 = self.slices.iter().map(|slice| slice.extras).sum();
@@ -86,7 +86,7 @@
         let members = members.max(1) as f64;
         let bound = USABLE_FRACTION * (self.policy.ratio * firsts + self.policy.reserve / members);
         match purpose {
-            Purpose::Repair => bound - extras,
+            Purpose::Retry => bound - extras,
             Purpose::Escalation => bound * (1.0 - RETRY_RESERVE) - extras,
         }
     }
--- a/crates/route/src/relay/canary.rs
+++ b/crates/route/src/relay/canary.rs
@@ -100,7 +100,7 @@
     /// Creates the statistics of a single run from the ratio of its actual to its expected
     /// time.
     #[must_use]
-    pub fn of(ratio: f64) -> Self {
+    pub fn from_ratio(ratio: f64) -> Self {
         let log = ratio.max(f64::MIN_POSITIVE).ln();
         Self { runs: 1, sum: log, squares: log * log }
     }
@@ -177,7 +177,7 @@
 ///
 /// `elapsed` counts from the order; `total` is the total time for the roll-out.
 #[must_use]
-pub fn advance(stage: Stage, elapsed: Duration, total: Duration, new: Tally, old: Tally) -> Stage {
+pub fn next_stage(stage: Stage, elapsed: Duration, total: Duration, new: Tally, old: Tally) -> Stage {
     match stage {
         Stage::Trial | Stage::Shift if is_regression(new, old) => Stage::Reverted,
         Stage::Trial if elapsed >= total.mul_f64(TRIAL_FRACTION) && is_acceptable(new, old) => Stage::Shift,
@@ -192,7 +192,7 @@
 /// version each of them used before any roll-out is ordered. `exposure` is the share of a
 /// service's requests that a bad version may get.
 #[must_use]
-pub fn tries_versions(session: u64, exposure: f64) -> bool {
+pub fn is_in_trial_group(session: u64, exposure: f64) -> bool {
     fraction(session) < exposure * TRIAL_SHARE_OF_EXPOSURE
 }
 
@@ -202,11 +202,11 @@
 /// (`settled`) stays there during the trial, since callers notice when versions change
 /// within a session.
 #[must_use]
-pub fn meets(stage: Stage, elapsed: Duration, session: u64, settled: bool, exposure: f64) -> bool {
+pub fn uses_new_version(stage: Stage, elapsed: Duration, session: u64, settled: bool, exposure: f64) -> bool {
     match stage {
         Stage::Reverted => false,
         Stage::Shift | Stage::Done => true,
-        Stage::Trial => elapsed >= TRIAL_DELAY && !settled && tries_versions(session, exposure),
+        Stage::Trial => elapsed >= TRIAL_DELAY && !settled && is_in_trial_group(session, exposure),
     }
 }
 
--- a/crates/route/src/relay/freshness.rs
+++ b/crates/route/src/relay/freshness.rs
@@ -9,7 +9,7 @@
 //!
 //! The rest of the catalog remains valid until the instance learns of a newer one, because
 //! no operator can have had a change confirmed without the store. After that, the old
-//! catalog may be used only for the time that operators allow ([`Succession`]).
+//! catalog may be used only for the time that operators allow ([`AnnouncedCatalogs`]).
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     /// A linearizable read.
     Read,
     /// A watch that ended without a change.
-    Quiet,
+    QuietWatch,
 }
 
 /// Maximum time until an instance learns of a newer catalog, deducted from the bound. Other
@@ -56,19 +56,19 @@
 /// leave little of the link to callers. The pause after a long read is therefore
 /// proportional to its transfer time.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Cadence {
+pub struct Schedule {
     /// Time at which the last read completed.
     ended: Duration,
     /// Transfer time of the last read.
     took: Duration,
 }
 
-impl Cadence {
+impl Schedule {
     /// Records a read whose transfer took `took` and completed at `ended`.
     ///
     /// The transfer time does not include the wait for the store's first byte, since the
     /// link is free for callers during it.
-    pub fn note(&mut self, took: Duration, ended: Duration) {
+    pub fn record_read(&mut self, took: Duration, ended: Duration) {
         self.ended = ended;
         self.took = took;
     }
@@ -82,24 +82,24 @@
     /// Returns whether the last transfer took too long to read the catalog after each
     /// watch.
     #[must_use]
-    pub fn is_long(&self) -> bool {
+    pub fn was_last_read_long(&self) -> bool {
         self.took > LONG_READ
     }
 
     /// Returns the pause after the last read.
     fn pause(&self) -> Duration {
-        if self.is_long() { self.took * PAUSE_FACTOR } else { Duration::ZERO }
+        if self.was_last_read_long() { self.took * PAUSE_FACTOR } else { Duration::ZERO }
     }
 }
 
 /// Lease on the knowledge of access keys.
 #[derive(Debug, Clone, Copy)]
-pub struct Freshness {
+pub struct Lease {
     bound: Option<Duration>,
     confirmed_at: Option<Duration>,
 }
 
-impl Freshness {
+impl Lease {
     /// Creates a lease that has never been renewed. `bound` is the longest time for which a
     /// withdrawn key may keep working, or `None` if it is unlimited.
     #[must_use]
@@ -111,14 +111,14 @@
     pub fn renew(&mut self, requested_at: Duration, proof: Proof) {
         let confirmed_at = match proof {
             Proof::Read => requested_at,
-            Proof::Quiet => requested_at.saturating_sub(WATCH_DELAY),
+            Proof::QuietWatch => requested_at.saturating_sub(WATCH_DELAY),
         };
         self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
     }
 
     /// Returns whether a request with a key may be served now.
     #[must_use]
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn is_valid(&self, now: Duration) -> bool {
         match (self.bound, self.confirmed_at) {
             (None, _) => true,
             (Some(_), None) => false,
@@ -135,13 +135,13 @@
 
 /// Catalogs newer than the one in force that other instances have announced.
 #[derive(Debug, Clone, Default)]
-pub struct Succession {
+pub struct AnnouncedCatalogs {
     bound: Option<Duration>,
     /// Announced versions and the time of their first announcement; both increase.
     announced: Vec<(u64, Duration)>,
 }
 
-impl Succession {
+impl AnnouncedCatalogs {
     /// Creates an empty set. `bound` is the longest time for which a catalog may be used
     /// after the operator's confirmation of a newer one, or `None` if it is unlimited.
     #[must_use]
@@ -151,7 +151,7 @@
 
     /// Records the announcement of a version newer than the one in force. Returns whether
     /// the version is new to this instance.
-    pub fn tell(&mut self, version: u64, now: Duration) -> bool {
+    pub fn announce(&mut self, version: u64, now: Duration) -> bool {
         if self.announced.last().is_some_and(|(newest, _)| *newest >= version) {
             return false;
         }
@@ -178,7 +178,7 @@
 
     /// Returns whether requests may be served with the catalog in force.
     #[must_use]
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn is_valid(&self, now: Duration) -> bool {
         match (self.bound, self.announced.first()) {
             (Some(bound), Some((_, announced))) => now < *announced + bound.saturating_sub(ANNOUNCEMENT_DELAY),
             _ => true,
--- a/crates/route/src/relay/holders.rs
+++ b/crates/route/src/relay/holders.rs
@@ -23,7 +23,7 @@
 
 /// Endpoints that hold shared prompt prefixes in their cache.
 #[derive(Debug, Clone, Default)]
-pub struct Holders {
+pub struct Prefixes {
     prefixes: HashMap<u32, Vec<Holder>>,
 }
 
@@ -36,9 +36,9 @@
     at: Duration,
 }
 
-impl Holders {
+impl Prefixes {
     /// Records that a prefix was sent to an endpoint.
-    pub fn note(&mut self, prefix: u32, endpoint: u32, now: Duration) {
+    pub fn record(&mut self, prefix: u32, endpoint: u32, now: Duration) {
         if self.prefixes.len() >= MAX_PREFIXES && !self.prefixes.contains_key(&prefix) {
             self.prefixes.retain(|_, holders| holders.iter().any(|holder| holder.is_current(now)));
         }
@@ -55,7 +55,7 @@
     }
 
     /// Returns the hashes of the endpoints that are assumed to hold a prefix.
-    pub fn of(&self, prefix: u32, now: Duration) -> impl Iterator<Item = u32> {
+    pub fn holders_of(&self, prefix: u32, now: Duration) -> impl Iterator<Item = u32> {
         let holders = self.prefixes.get(&prefix).into_iter().flatten();
         holders.filter(move |holder| holder.is_current(now)).map(|holder| holder.endpoint)
     }
--- a/crates/route/src/relay/ladder.rs
+++ b/crates/route/src/relay/ladder.rs
@@ -71,16 +71,16 @@
     /// Within the route's goal.
     InTime,
     /// After the goal but within the caller's timeout, because of the prompt's length.
-    Late,
+    LateByLength,
     /// After the goal but within the caller's timeout, only because of the current queues.
-    Crowded,
+    LateByQueues,
     /// Too late for the caller.
-    Never,
+    TooLate,
 }
 
 /// Resources left for a further run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
+pub struct Remaining {
     /// Number of dispatches that the route still allows.
     pub attempts: u32,
     /// Whether the retry allowance permits another dispatch.
@@ -98,7 +98,7 @@
 
 /// A model's time to the first event, relative to the time in which one is wanted.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Time {
+pub struct RelativeTime {
     /// Relative time at an idle endpoint.
     pub idle: f64,
     /// Relative time with the current queues.
@@ -120,18 +120,18 @@
 /// overload. So a prompt's length is judged by the time at an idle endpoint, and queues
 /// only ever count against the large model.
 #[must_use]
-pub fn start(room: Room, times: &[Time]) -> usize {
+pub fn first_model(remaining: Remaining, times: &[RelativeTime]) -> usize {
     let last = times.len().saturating_sub(1);
     let (Some(small), Some(large)) = (times.first(), times.last()) else { return last };
-    if room.attempts < 2 {
+    if remaining.attempts < 2 {
         return last;
     }
-    let in_time = |time: &Time| time.now <= MAX_IN_TIME;
+    let in_time = |time: &RelativeTime| time.now <= MAX_IN_TIME;
     if large.idle > MAX_IN_TIME {
         return times.iter().rposition(in_time).unwrap_or(0);
     }
     let after_the_small_one = small.idle + large.idle <= MAX_IN_TIME;
-    if in_time(large) && !(room.allowance && after_the_small_one) { last } else { 0 }
+    if in_time(large) && !(remaining.allowance && after_the_small_one) { last } else { 0 }
 }
 
 /// Decides what to do with the answer of the model at `index`. `outlooks` holds the
@@ -147,16 +147,22 @@
 /// seconds, make other requests late and prolong the overload. Such an answer is not
 /// escalated to the largest model.
 #[must_use]
-pub fn step(index: usize, confidence: Option<u32>, urgency: Urgency, room: Room, outlooks: &[Outlook]) -> Step {
+pub fn next_step(
+    index: usize,
+    confidence: Option<u32>,
+    urgency: Urgency,
+    remaining: Remaining,
+    outlooks: &[Outlook],
+) -> Step {
     let last = outlooks.len().saturating_sub(1);
     let Some(confidence) = confidence.map(|confidence| urgency.adjust(confidence)) else { return Step::Keep };
-    if index >= last || room.attempts == 0 || !room.allowance || confidence >= MIN_CONFIDENCE {
+    if index >= last || remaining.attempts == 0 || !remaining.allowance || confidence >= MIN_CONFIDENCE {
         return Step::Keep;
     }
     let is_replaced = match outlooks[last] {
         Outlook::InTime => true,
-        Outlook::Late => confidence < MIN_CONFIDENCE_IF_LATE,
-        Outlook::Crowded | Outlook::Never => false,
+        Outlook::LateByLength => confidence < MIN_CONFIDENCE_IF_LATE,
+        Outlook::LateByQueues | Outlook::TooLate => false,
     };
     if is_replaced {
         return Step::Escalate(last);
--- a/crates/route/tests/relay/allowance.rs
+++ b/crates/route/tests/relay/allowance.rs
@@ -20,10 +20,10 @@
         for allowance in &mut fleet {
             // A pause halfway: allowance earned before it must not be used after it.
             if step % 3 == 0 && !(2_000..4_000).contains(&step) {
-                allowance.earn(now);
+                allowance.record_first_dispatch(now);
                 firsts.push(now);
             }
-            if allowance.spend(now, instances, Purpose::Repair) {
+            if allowance.try_extra_dispatch(now, instances, Purpose::Retry) {
                 extras.push(now);
             }
         }
@@ -44,10 +44,10 @@
     let mut allowance = Allowance::new(POLICY);
     let now = Duration::from_secs(100);
     for _ in 0..100 {
-        allowance.earn(now);
+        allowance.record_first_dispatch(now);
     }
-    while allowance.spend(now, 7, Purpose::Escalation) {}
-    assert!(allowance.spend(now, 7, Purpose::Repair));
+    while allowance.try_extra_dispatch(now, 7, Purpose::Escalation) {}
+    assert!(allowance.try_extra_dispatch(now, 7, Purpose::Retry));
 }
 
 proptest! {
@@ -59,9 +59,9 @@
         for (pause, first) in steps {
             now += Duration::from_millis(pause);
             if first {
-                allowance.earn(now);
+                allowance.record_first_dispatch(now);
                 firsts.push(now);
-            } else if allowance.spend(now, 1, Purpose::Repair) {
+            } else if allowance.try_extra_dispatch(now, 1, Purpose::Retry) {
                 extras.push(now);
             }
             let within = |all: &[Duration]| all.iter().filter(|at| **at + POLICY.window > now).count();
--- a/crates/route/tests/relay/canary.rs
+++ b/crates/route/tests/relay/canary.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use route::relay::canary::{Lateness, Stage, Tally, advance, is_regression, meets, tries_versions};
+use route::relay::canary::{Lateness, Stage, Tally, is_in_trial_group, is_regression, next_stage, uses_new_version};
 
 const OVER: Duration = Duration::from_secs(24);
 const GOOD: Tally = tally(60, 2);
@@ -18,7 +18,7 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            assert_eq!(advance($from, Duration::from_secs($seconds), OVER, $new, OLD), $to);
+            assert_eq!(next_stage($from, Duration::from_secs($seconds), OVER, $new, OLD), $to);
         }
     )*};
 }
@@ -60,7 +60,7 @@
 /// A bad version that is never detected stays within its share of sessions.
 #[test]
 fn trial_share_stays_far_below_the_exposure_limit() {
-    let met = (0..10_000).filter(|&session| tries_versions(session, 0.15)).count();
+    let met = (0..10_000).filter(|&session| is_in_trial_group(session, 0.15)).count();
     assert!((400..800).contains(&met), "{met}");
 }
 
@@ -69,8 +69,8 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            let session = (0..10_000).find(|&session| tries_versions(session, 0.15)).unwrap();
-            assert_eq!(meets($stage, Duration::from_millis($ms), session, $settled, 0.15), $meets);
+            let session = (0..10_000).find(|&session| is_in_trial_group(session, 0.15)).unwrap();
+            assert_eq!(uses_new_version($stage, Duration::from_millis($ms), session, $settled, 0.15), $meets);
         }
     )*};
 }
@@ -90,7 +90,7 @@
     (0..runs)
         .fold(Tally::default(), |sum, run| {
             let spread = [0.5, 0.7, 1.0, 1.4, 2.0][run as usize % 5];
-            sum.plus(Tally { lateness: Lateness::of(typical * spread), ..Tally::default() })
+            sum.plus(Tally { lateness: Lateness::from_ratio(typical * spread), ..Tally::default() })
         })
         .lateness
 }
--- a/crates/route/tests/relay/freshness.rs
+++ b/crates/route/tests/relay/freshness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use route::relay::freshness::{Cadence, Freshness, Proof, Succession};
+use route::relay::freshness::{AnnouncedCatalogs, Lease, Proof, Schedule};
 
 const BOUND: Duration = Duration::from_secs(5);
 
@@ -15,9 +15,9 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            let mut freshness = Freshness::new(Some(BOUND));
-            freshness.renew(at(10_000), $proof);
-            assert_eq!(freshness.holds(at($now)), $holds);
+            let mut lease = Lease::new(Some(BOUND));
+            lease.renew(at(10_000), $proof);
+            assert_eq!(lease.is_valid(at($now)), $holds);
         }
     )*};
 }
@@ -27,25 +27,25 @@
     within_the_bound: Proof::Read, at 14_500 => true;
     at_the_bound: Proof::Read, at 15_000 => false;
     // A watch may miss changes for a second before it is cut.
-    quiet_watch_confirms_an_earlier_state: Proof::Quiet, at 13_500 => true;
-    quiet_watch_past_its_bound: Proof::Quiet, at 13_700 => false;
+    quiet_watch_confirms_an_earlier_state: Proof::QuietWatch, at 13_500 => true;
+    quiet_watch_past_its_bound: Proof::QuietWatch, at 13_700 => false;
     // The instance was suspended during the withdrawal and resumes.
     after_a_suspension: Proof::Read, at 60_000 => false;
 }
 
 #[test]
 fn lease_is_invalid_before_the_first_proof() {
-    assert!(!Freshness::new(Some(BOUND)).holds(at(0)));
-    assert!(Freshness::new(None).holds(at(0)));
+    assert!(!Lease::new(Some(BOUND)).is_valid(at(0)));
+    assert!(Lease::new(None).is_valid(at(0)));
 }
 
 /// An answer that was delayed arrives after a newer one and must not shorten the lease.
 #[test]
 fn late_answer_does_not_shorten_the_lease() {
-    let mut freshness = Freshness::new(Some(BOUND));
-    freshness.renew(at(10_000), Proof::Read);
-    freshness.renew(at(7_000), Proof::Read);
-    assert_eq!(freshness.age(at(11_000)), Some(at(1_000)));
+    let mut lease = Lease::new(Some(BOUND));
+    lease.renew(at(10_000), Proof::Read);
+    lease.renew(at(7_000), Proof::Read);
+    assert_eq!(lease.age(at(11_000)), Some(at(1_000)));
 }
 
 macro_rules! read_schedules {
@@ -53,10 +53,10 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            let mut cadence = Cadence::default();
-            assert!(cadence.is_due(at(0)));
-            cadence.note(at($took), at(10_000 + $took));
-            assert_eq!(cadence.is_due(at(10_000 + $took + $passed)), $is_due);
+            let mut schedule = Schedule::default();
+            assert!(schedule.is_due(at(0)));
+            schedule.record_read(at($took), at(10_000 + $took));
+            assert_eq!(schedule.is_due(at(10_000 + $took + $passed)), $is_due);
         }
     )*};
 }
@@ -74,12 +74,12 @@
 /// Checks whether the catalog in force may be used at `now`, after announcements of
 /// versions at given times and the installation of one version.
 fn check_succession(announced: &[(u64, u64)], installed: u64, now: u64, holds: bool) {
-    let mut succession = Succession::new(Some(BOUND));
+    let mut announced_catalogs = AnnouncedCatalogs::new(Some(BOUND));
     for (version, announced_at) in announced {
-        succession.tell(*version, at(*announced_at));
+        announced_catalogs.announce(*version, at(*announced_at));
     }
-    succession.install(installed);
-    assert_eq!(succession.holds(at(now)), holds);
+    announced_catalogs.install(installed);
+    assert_eq!(announced_catalogs.is_valid(at(now)), holds);
 }
 
 macro_rules! successions {
@@ -111,12 +111,12 @@
 /// There are more changes than are stored separately; none may be lost.
 #[test]
 fn many_announcements_are_not_lost() {
-    let mut succession = Succession::new(Some(BOUND));
+    let mut announced_catalogs = AnnouncedCatalogs::new(Some(BOUND));
     for version in 2..500 {
-        assert!(succession.tell(version, at(10_000)));
+        assert!(announced_catalogs.announce(version, at(10_000)));
     }
-    succession.install(498);
-    assert!(succession.is_behind() && !succession.holds(at(15_000)));
-    succession.install(499);
-    assert!(!succession.is_behind());
+    announced_catalogs.install(498);
+    assert!(announced_catalogs.is_behind() && !announced_catalogs.is_valid(at(15_000)));
+    announced_catalogs.install(499);
+    assert!(!announced_catalogs.is_behind());
 }
