--- a/crates/relay/src/dispatcher/crashes.rs
+++ b/crates/relay/src/dispatcher/crashes.rs
@@ -5,7 +5,7 @@
 
 use route::relay::{
     content::Content,
-    quarantine::{Effect, Finding, LASTS},
+    quarantine::{Effect, Finding, REFUSAL_PERIOD},
 };
 
 use super::{Dispatcher, State, fleet::Key};
@@ -69,7 +69,7 @@
         tracing::warn!(endpoint = endpoint.id, requests = runs.len(), "endpoint crashed");
         metrics::counter!("relay_crashes_total", "service" => endpoint.service.clone()).increment(1);
         for UnfinishedRun { content, sent_at, .. } in runs {
-            if self.quarantine.is_further(now, content, sent_at) {
+            if self.quarantine.is_new_evidence(now, content, sent_at) {
                 self.record_finding(Finding::Crash { content, start }, now);
             }
         }
@@ -113,7 +113,7 @@
 
     /// Applies a finding to the quarantine and returns its effect.
     fn apply_finding(&mut self, finding: Finding, now: Duration) -> Effect {
-        let effect = self.quarantine.take(now, finding);
+        let effect = self.quarantine.apply(now, finding);
         let content = finding.content();
         match effect {
             Effect::Held => {
@@ -135,7 +135,7 @@
     /// `None` if it is not quarantined.
     #[must_use]
     pub fn remaining_quarantine(&self, content: Content) -> Option<Duration> {
-        self.lock().quarantine.refuses(clock::now(), content)
+        self.lock().quarantine.refusal_left(clock::now(), content)
     }
 
     /// Whether an endpoint has crashed while running a request that was not answered
@@ -194,7 +194,7 @@
         let mut state = self.lock();
         for refused in refused {
             let age = Duration::from_millis(unix_now.saturating_sub(refused.since));
-            if age < LASTS {
+            if age < REFUSAL_PERIOD {
                 state.apply_finding(Finding::Held { content: refused.content, age }, now);
             } else if rand::random_ratio(1, members) {
                 // Expired: on average one of the starting instances removes it from the store.
@@ -238,7 +238,7 @@
     /// missed the findings.
     #[must_use]
     pub fn refused_requests(&self, most: usize) -> Vec<Finding> {
-        self.lock().quarantine.held(clock::now(), most)
+        self.lock().quarantine.refused(clock::now(), most)
     }
 }
 
--- a/crates/relay/src/dispatcher/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -20,8 +20,8 @@
 use route::relay::{
     canary::{self, Lateness},
     holders::Prefixes,
+    latency,
     notice::Backlog,
-    pace::Pace,
     placement::Candidate,
     throttle::Throttle,
 };
@@ -75,7 +75,7 @@
     revision: u64,
     /// Pools of endpoints by service.
     pools: HashMap<String, pool::Pool>,
-    paces: HashMap<PaceKey, Pace>,
+    latencies: HashMap<LatencyKey, latency::Estimate>,
     /// Mean ratio of actual to expected time to the first byte, by service.
     usual_lateness: HashMap<String, f64>,
     /// Endpoints whose prompt caches hold a part.
@@ -85,7 +85,7 @@
 
 /// Service and model whose pace is learned.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct PaceKey {
+struct LatencyKey {
     service: String,
     model: Option<usize>,
 }
@@ -172,9 +172,9 @@
         state.fleet.refresh_pool(job.service, &self.settings.domain, now);
         let selection = state.select_endpoint(job, now, self.settings.exposure)?;
         let (nominal_ms, expected_ms) = (selection.nominal_ms(), selection.expected_ms());
-        let Selection { key, arm, choice, pace, units, source, .. } = selection;
+        let Selection { key, arm, choice, latency, units, source, .. } = selection;
         let server = state.fleet.servers.get_mut(key)?;
-        let backlog_ms = pace.reading_ms(units);
+        let backlog_ms = latency.processing_ms(units);
         server.runs += 1;
         server.throttle.take_token(now);
         server.backlog_ms += backlog_ms;
@@ -186,7 +186,7 @@
         if job.in_session && arm == Arm::Old && canary::is_in_trial_group(job.session, self.settings.exposure) {
             state.rollouts.record_session(job.session, now, self.settings.session);
         }
-        let pace_key = PaceKey { service: job.service.to_owned(), model: job.model };
+        let latency_key = LatencyKey { service: job.service.to_owned(), model: job.model };
         Some(Run {
             dispatcher: Arc::clone(self),
             key,
@@ -198,7 +198,7 @@
             announced_ms: if is_announced { backlog_ms } else { 0.0 },
             nominal_ms,
             expected_ms,
-            pace_key,
+            latency_key,
             units,
             lateness: Lateness::default(),
             started: now,
@@ -220,7 +220,7 @@
     /// Returns the expected time to the first byte at an idle endpoint, in milliseconds.
     #[must_use]
     pub fn expected_idle_ms(&self, job: &Job<'_>) -> f64 {
-        self.lock().fleet.pace(job).job_ms(job_units(job))
+        self.lock().fleet.latency(job).job_ms(job_units(job))
     }
 
     /// Returns this instance's load on each endpoint, by the hash of the endpoint's start,
@@ -281,19 +281,23 @@
             slots: self.endpoint.slots,
             runs: f64::from(self.runs) + self.peer_load.runs + full,
             backlog_ms: self.backlog_ms + self.announced_backlog.left_ms(now),
-            old_news_ms: self.peer_load.backlog_ms,
+            reported_backlog_ms: self.peer_load.backlog_ms,
             slowness: if slowness > NOISE_FACTOR { slowness } else { 1.0 },
-            failing: (self.failure_rate.value_at(0.0, now) - NOISE_FACTOR * failing).max(0.0),
+            excess_failure_rate: (self.failure_rate.value_at(0.0, now) - NOISE_FACTOR * failing).max(0.0),
             local: self.endpoint.domain == domain,
-            holds: false,
-            holds_whole: false,
+            holds_prefix: false,
+            holds_prompt: false,
         }
     }
 }
 
 /// Returns the pace that is assumed before any run was observed.
-fn initial_pace(model: Option<usize>) -> Pace {
-    if model.is_some() { Pace::new(INITIAL_BASE_MS, INITIAL_TOKEN_MS) } else { Pace::new(INITIAL_CALL_MS, 0.0) }
+fn initial_latency(model: Option<usize>) -> latency::Estimate {
+    if model.is_some() {
+        latency::Estimate::new(INITIAL_BASE_MS, INITIAL_TOKEN_MS)
+    } else {
+        latency::Estimate::new(INITIAL_CALL_MS, 0.0)
+    }
 }
 
 /// Returns the hash that identifies an endpoint in messages of instances. It differs for
--- a/crates/relay/src/dispatcher/fleet/notices.rs
+++ b/crates/relay/src/dispatcher/fleet/notices.rs
@@ -56,7 +56,7 @@
             self.fleet.holders.record(part, server.hash, now);
         }
         if self.notices.unsent.len() >= MAX_UNSENT_NOTICES
-            || !self.notices.budget.spend(now, reading_ms, part.is_some(), fanout)
+            || !self.notices.budget.try_notify(now, reading_ms, part.is_some(), fanout)
         {
             return false;
         }
--- a/crates/relay/src/dispatcher/fleet/pool.rs
+++ b/crates/relay/src/dispatcher/fleet/pool.rs
@@ -98,7 +98,7 @@
         let mut holders = self.keys_of(&self.holders_of(job.affinity, now));
         if let Some(affinity) = job.affinity.filter(|_| holders.is_empty()) {
             let names = pool.all.iter().map(|key| self.servers.get(*key).map_or("", |server| &server.endpoint.id));
-            holders.extend(placement::named_by_hash(affinity, names).into_iter().map(|index| pool.all[index]));
+            holders.extend(placement::preferred_by_hash(affinity, names).into_iter().map(|index| pool.all[index]));
         }
         holders.extend(self.keys_of(&self.holders_of(job.whole, now)));
         let is_of_service = |key: &Key| self.servers.get(*key).is_some_and(|s| s.endpoint.service == job.service);
--- a/crates/relay/src/dispatcher/fleet/run.rs
+++ b/crates/relay/src/dispatcher/fleet/run.rs
@@ -8,7 +8,7 @@
     placement::Choice,
 };
 
-use super::{Key, PaceKey, initial_pace};
+use super::{Key, LatencyKey, initial_latency};
 use crate::{
     clock,
     dispatcher::{Dispatcher, State, rollouts::Arm},
@@ -50,7 +50,7 @@
     pub(super) nominal_ms: f64,
     /// Expected time to the first byte, in milliseconds.
     pub(super) expected_ms: f64,
-    pub(super) pace_key: PaceKey,
+    pub(super) latency_key: LatencyKey,
     /// Units of reading in the prompt.
     pub(super) units: f64,
     pub(super) lateness: Lateness,
@@ -97,15 +97,15 @@
             let ratio = (took / self.nominal_ms.max(1.0)).clamp(0.1, 20.0);
             // Relative to the service's usual ratio: a bias of the expected time would
             // make every new endpoint look slow or fast.
-            let usual_lateness = fleet.usual_lateness.entry(self.pace_key.service.clone()).or_insert(1.0);
+            let usual_lateness = fleet.usual_lateness.entry(self.latency_key.service.clone()).or_insert(1.0);
             *usual_lateness += USUAL_LATENESS_WEIGHT * (ratio - *usual_lateness);
             self.lateness = Lateness::from_ratio(ratio);
             server.slowness.observe(ratio / usual_lateness.max(0.1), 1.0, now);
             server.failed_connections = 0;
             server.last_received = now;
         }
-        let guess = initial_pace(self.pace_key.model);
-        fleet.paces.entry(self.pace_key.clone()).or_insert(guess).learn(self.units, took);
+        let guess = initial_latency(self.latency_key.model);
+        fleet.latencies.entry(self.latency_key.clone()).or_insert(guess).learn(self.units, took);
     }
 
     /// Records that more bytes of the answer were received.
--- a/crates/relay/src/dispatcher/fleet/selection.rs
+++ b/crates/relay/src/dispatcher/fleet/selection.rs
@@ -3,13 +3,12 @@
 use std::{net::SocketAddr, time::Duration};
 
 use route::relay::{
-    canary,
-    pace::Pace,
-    placement::{self, Candidate, Choice, Wanted},
+    canary, latency,
+    placement::{self, Candidate, Choice, Request},
 };
 
 use super::{
-    Fleet, Job, Key, PaceKey, Server, State, caches::part_hash, initial_pace, notices::MIN_ANNOUNCED_PART_TOKENS,
+    Fleet, Job, Key, LatencyKey, Server, State, caches::part_hash, initial_latency, notices::MIN_ANNOUNCED_PART_TOKENS,
 };
 use crate::dispatcher::rollouts::{Arm, AssignedRequest, Assignment};
 
@@ -23,7 +22,7 @@
     pub key: Key,
     pub arm: Arm,
     pub choice: Choice,
-    pub pace: Pace,
+    pub latency: latency::Estimate,
     /// Usual ratio of actual to expected time over the service, at least 1. When all
     /// endpoints are late, the expected time has to follow, or waiting requests would
     /// count as lost and be sent again on top.
@@ -37,7 +36,7 @@
 impl Selection {
     /// Returns the expected time to the first byte if no endpoint were late, in milliseconds.
     pub fn nominal_ms(&self) -> f64 {
-        self.choice.wait_ms.max(0.0) + self.pace.job_ms(self.units)
+        self.choice.wait_ms.max(0.0) + self.latency.job_ms(self.units)
     }
 
     /// Returns the expected time to the first byte, in milliseconds.
@@ -49,7 +48,7 @@
 impl State {
     /// Selects an endpoint for a job, or returns `None` if none may run it.
     pub(super) fn select_endpoint(&self, job: &Job<'_>, now: Duration, exposure: f64) -> Option<Selection> {
-        let pace = self.fleet.pace(job);
+        let latency = self.fleet.latency(job);
         let settled = || {
             let (session, lifetime) = (job.session, self.session_lifetime);
             self.rollouts.ran_on_old_version(session, now, lifetime)
@@ -72,35 +71,37 @@
         let holders_of_whole = self.fleet.holders_of(job.whole, now);
         let mut candidates = Vec::with_capacity(chosen.len());
         for (_, server) in &chosen {
-            let (holds, holds_whole) = (holders.contains(&server.hash), holders_of_whole.contains(&server.hash));
+            let (holds_prefix, holds_prompt) =
+                (holders.contains(&server.hash), holders_of_whole.contains(&server.hash));
             candidates.push(Candidate {
-                holds,
-                holds_whole,
+                holds_prefix,
+                holds_prompt,
                 ..server.candidate(&self.peers.domain, slow, failing, now)
             });
         }
-        let wanted = Wanted {
+        let request = Request {
             affinity: job.affinity,
-            reread_ms: pace.reading_ms(reading_units(job, job.shared_tokens, 0)),
+            reprocess_ms: latency.processing_ms(reading_units(job, job.shared_tokens, 0)),
             shared_tokens: job.shared_tokens,
-            first_ms: pace.job_ms(job_units(job)),
+            first_byte_ms: latency.job_ms(job_units(job)),
         };
         let mut choice =
-            placement::choose(&candidates, wanted, job.session ^ u64::try_from(now.as_nanos()).unwrap_or(0))?;
+            placement::choose(&candidates, request, job.session ^ u64::try_from(now.as_nanos()).unwrap_or(0))?;
         let (key, server) = chosen[choice.index];
         let arm = assignment.arm(&server.endpoint.version);
         // A prompt cache of another version does not fit this version's weights.
         let is_same = |index: &usize| chosen[*index].1.endpoint.version == server.endpoint.version;
         choice.source = choice.source.filter(is_same);
         let source = choice.source.map(|index| chosen[index].1.endpoint.address);
-        let Candidate { holds, holds_whole, .. } = candidates[choice.index];
-        let is_shared_part_available = holds || source.is_some() || job.shared_tokens < MIN_ANNOUNCED_PART_TOKENS;
-        let units = match (holds_whole, is_shared_part_available) {
+        let Candidate { holds_prefix, holds_prompt, .. } = candidates[choice.index];
+        let is_shared_part_available =
+            holds_prefix || source.is_some() || job.shared_tokens < MIN_ANNOUNCED_PART_TOKENS;
+        let units = match (holds_prompt, is_shared_part_available) {
             (true, _) => 0.0,
             (false, true) => job_units(job),
             (false, false) => job_units(job) + reading_units(job, job.shared_tokens, 0),
         };
-        Some(Selection { key, arm, choice, pace, slow: lateness.max(1.0), units, source })
+        Some(Selection { key, arm, choice, latency, slow: lateness.max(1.0), units, source })
     }
 }
 
@@ -163,9 +164,9 @@
     }
 
     /// Returns the learned pace for a job's service and model, or the initial estimate.
-    pub(super) fn pace(&self, job: &Job<'_>) -> Pace {
-        let pace_key = PaceKey { service: job.service.to_owned(), model: job.model };
-        self.paces.get(&pace_key).copied().unwrap_or_else(|| initial_pace(job.model))
+    pub(super) fn latency(&self, job: &Job<'_>) -> latency::Estimate {
+        let latency_key = LatencyKey { service: job.service.to_owned(), model: job.model };
+        self.latencies.get(&latency_key).copied().unwrap_or_else(|| initial_latency(job.model))
     }
 }
 
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -7,8 +7,8 @@
 use http_body_util::Full;
 use route::relay::{
     allowance::Purpose,
+    first_byte_timeout::first_byte_timeout,
     ladder::{self, Outlook, RelativeTime, Remaining, Step},
-    patience::patience,
 };
 use world::hash;
 
@@ -101,13 +101,13 @@
     }
 
     /// Returns how long a run may take to its first byte.
-    pub(super) fn patience(&self, run: &Run) -> Duration {
+    pub(super) fn first_byte_timeout(&self, run: &Run) -> Duration {
         let route = &self.admission.route;
         let last = self.sent >= route.attempts || !self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Retry);
         if last || !route.kind.repeatable() {
             return self.left();
         }
-        patience(run.expected_ms(), route.goal)
+        first_byte_timeout(run.expected_ms(), route.goal)
     }
 
     /// Builds the request to send to the endpoint of a run.
--- a/crates/relay/src/exchange/tries.rs
+++ b/crates/relay/src/exchange/tries.rs
@@ -304,13 +304,18 @@
         let request = self.request(run, model, last_event, left);
         self.sent += 1;
         run.mark_sent(self.content);
-        let patience = self.patience(run).min(left);
+        let first_byte_timeout = self.first_byte_timeout(run).min(left);
         // The deadline may pass and cancel this call while the try is in flight. From here
         // on the caller must not be told that the request did not run.
         let ran_before = std::mem::replace(&mut self.may_have_run, true);
-        let TryResult { outcome, limit } =
-            upstream::send(run.endpoint.address, request, &self.params.id, &self.dispatcher.dialect.names, patience)
-                .await;
+        let TryResult { outcome, limit } = upstream::send(
+            run.endpoint.address,
+            request,
+            &self.params.id,
+            &self.dispatcher.dialect.names,
+            first_byte_timeout,
+        )
+        .await;
         run.record_limit(limit);
         if matches!(outcome, Outcome::Unreachable(_) | Outcome::NotRun(_)) {
             self.may_have_run = ran_before;
--- a/crates/route/src/relay.rs
+++ b/crates/route/src/relay.rs
@@ -1,7 +1,7 @@
 //! Decisions about requests that are relayed to endpoints unchanged.
 //!
-//! [`placement`] picks the endpoint, [`ladder`] picks the model, and [`mod@patience`] sets
-//! the timeout for the first byte, based on the latency that [`pace`] estimates.
+//! [`placement`] picks the endpoint, [`ladder`] picks the model, and [`mod@first_byte_timeout`] sets
+//! the timeout for the first byte, based on the latency that [`latency`] estimates.
 //! [`holders`] tracks which endpoints have a prompt prefix in their cache, and [`notice`]
 //! tracks the prompt processing that other instances have sent to them. [`allowance`]
 //! bounds retries over the whole fleet, and [`throttle`] divides the rate limits that
@@ -17,13 +17,13 @@
 pub mod allowance;
 pub mod canary;
 pub mod content;
+pub mod first_byte_timeout;
 pub mod freshness;
 pub mod fronts;
 pub mod holders;
 pub mod ladder;
+pub mod latency;
 pub mod notice;
-pub mod pace;
-pub mod patience;
 pub mod placement;
 pub mod quarantine;
 pub mod throttle;
--- a/crates/route/src/relay/patience.rs
+++ b/crates/route/src/relay/first_byte_timeout.rs
@@ -23,7 +23,7 @@
 /// Returns the timeout for the first byte of a run that is expected to take `expected_ms`
 /// milliseconds, on a route with the given goal.
 #[must_use]
-pub fn patience(expected_ms: f64, goal: Duration) -> Duration {
+pub fn first_byte_timeout(expected_ms: f64, goal: Duration) -> Duration {
     let expected = Duration::from_secs_f64(expected_ms.clamp(0.0, MAX_EXPECTED_MS) / 1_000.0);
     expected.mul_f64(EXPECTED_FACTOR).max(goal.mul_f64(GOAL_FRACTION))
 }
--- a/crates/route/src/relay/pace.rs
+++ b/crates/route/src/relay/latency.rs
@@ -18,14 +18,14 @@
 
 /// Latency estimate for one kind of job.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct Estimate {
     /// Fixed part, in milliseconds.
     base_ms: f64,
     /// Time per unit of prompt processing, in milliseconds.
     unit_ms: f64,
 }
 
-impl Pace {
+impl Estimate {
     /// Creates an estimate from initial values for the fixed part and for the time per
     /// unit, both in milliseconds.
     #[must_use]
@@ -36,22 +36,22 @@
     /// Returns the expected time to the first byte of a job of `units`, in milliseconds.
     #[must_use]
     pub fn job_ms(&self, units: f64) -> f64 {
-        self.base_ms + self.reading_ms(units)
+        self.base_ms + self.processing_ms(units)
     }
 
     /// Returns the part of that time during which other jobs have to wait, in milliseconds.
     #[must_use]
-    pub fn reading_ms(&self, units: f64) -> f64 {
+    pub fn processing_ms(&self, units: f64) -> f64 {
         self.unit_ms * units
     }
 
     /// Updates the estimate with a job that took `took_ms` milliseconds.
     pub fn learn(&mut self, units: f64, took_ms: f64) {
-        if self.reading_ms(units) > self.base_ms {
+        if self.processing_ms(units) > self.base_ms {
             let observed = ((took_ms - self.base_ms) / units).max(0.0);
             self.unit_ms = move_toward(self.unit_ms, observed);
         } else {
-            let observed = (took_ms - self.reading_ms(units)).max(0.0);
+            let observed = (took_ms - self.processing_ms(units)).max(0.0);
             self.base_ms = move_toward(self.base_ms, observed);
         }
     }
--- a/crates/route/src/relay/notice.rs
+++ b/crates/route/src/relay/notice.rs
@@ -62,7 +62,7 @@
     /// Decides whether the `others` instances are notified of a prompt, and if so counts
     /// the notice. Prompts whose processing takes long are announced, and those that
     /// contain a shared prefix worth caching (`has_shared_prefix`), while the budget lasts.
-    pub fn spend(&mut self, now: Duration, reading_ms: f64, has_shared_prefix: bool, others: usize) -> bool {
+    pub fn try_notify(&mut self, now: Duration, reading_ms: f64, has_shared_prefix: bool, others: usize) -> bool {
         #[expect(clippy::cast_precision_loss, reason = "instances are far fewer than 2^53")]
         let rate = MAX_DATAGRAMS_PER_S / others.max(1) as f64;
         let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
--- a/crates/route/src/relay/placement.rs
+++ b/crates/route/src/relay/placement.rs
@@ -85,30 +85,30 @@
     pub backlog_ms: f64,
     /// Outstanding prompt processing in milliseconds that is known only from earlier load
     /// updates of other instances.
-    pub old_news_ms: f64,
+    pub reported_backlog_ms: f64,
     /// Its latency relative to other endpoints for the same work; 1 if equal.
     pub slowness: f64,
     /// Share of its runs that fail in excess of its peers' share.
-    pub failing: f64,
+    pub excess_failure_rate: f64,
     /// Whether it is in this instance's failure domain.
     pub local: bool,
     /// Whether it is assumed to have the shared prefix in its cache.
-    pub holds: bool,
+    pub holds_prefix: bool,
     /// Whether it is assumed to have the whole prompt in its cache.
-    pub holds_whole: bool,
+    pub holds_prompt: bool,
 }
 
 /// Properties of the run to be placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Wanted {
+pub struct Request {
     /// Hash of the prompt's longest shared prefix and its model.
     pub affinity: Option<u64>,
     /// Time to process that prefix again, in milliseconds.
-    pub reread_ms: f64,
+    pub reprocess_ms: f64,
     /// Number of tokens of the prompt up to the end of that prefix.
     pub shared_tokens: u32,
     /// Time that an idle endpoint needs until the request's first byte, in milliseconds.
-    pub first_ms: f64,
+    pub first_byte_ms: f64,
 }
 
 /// The chosen endpoint and the reasons for it.
@@ -128,39 +128,39 @@
 ///
 /// `tie` is a random number that selects the endpoints to compare.
 #[must_use]
-pub fn choose(candidates: &[Candidate<'_>], wanted: Wanted, tie: u64) -> Option<Choice> {
-    let with_wait = |index: usize| (index, wait_ms(&candidates[index], wanted));
+pub fn choose(candidates: &[Candidate<'_>], request: Request, tie: u64) -> Option<Choice> {
+    let with_wait = |index: usize| (index, wait_ms(&candidates[index], request));
     let (best_index, wait_ms) =
-        shortlist(candidates, wanted, tie).into_iter().map(with_wait).min_by(|a, b| a.1.total_cmp(&b.1))?;
+        shortlist(candidates, request, tie).into_iter().map(with_wait).min_by(|a, b| a.1.total_cmp(&b.1))?;
     let other = Choice { index: best_index, wait_ms, preferred: false, source: None };
     let least_busy = |is_holder: fn(&Candidate<'_>) -> bool| {
         let holders = (0..candidates.len()).filter(|&index| is_holder(&candidates[index])).map(with_wait);
         holders.min_by(|a, b| a.1.total_cmp(&b.1))
     };
     let reprocessing_ms =
-        REPROCESSING_FACTOR * wanted.reread_ms + REPROCESSING_TOKEN_MS * f64::from(wanted.shared_tokens);
-    let copy_ms = reprocessing_ms.min(COPY_TOKEN_MS * f64::from(wanted.shared_tokens));
-    if let Some((holder, holder_ms)) = least_busy(|candidate| candidate.holds_whole)
-        && holder_ms <= wait_ms + wanted.first_ms + copy_ms
+        REPROCESSING_FACTOR * request.reprocess_ms + REPROCESSING_TOKEN_MS * f64::from(request.shared_tokens);
+    let copy_ms = reprocessing_ms.min(COPY_TOKEN_MS * f64::from(request.shared_tokens));
+    if let Some((holder, holder_ms)) = least_busy(|candidate| candidate.holds_prompt)
+        && holder_ms <= wait_ms + request.first_byte_ms + copy_ms
     {
         return Some(Choice { index: holder, wait_ms: holder_ms, preferred: true, source: None });
     }
-    let Some(key) = wanted.affinity else { return Some(other) };
-    if let Some((holder, holder_ms)) = least_busy(|candidate| candidate.holds) {
+    let Some(key) = request.affinity else { return Some(other) };
+    if let Some((holder, holder_ms)) = least_busy(|candidate| candidate.holds_prefix) {
         if holder_ms <= wait_ms + copy_ms {
             return Some(Choice { index: holder, wait_ms: holder_ms, preferred: true, source: None });
         }
         return Some(Choice { source: Some(holder), ..other });
     }
     let max_hash_wait_ms = wait_ms + HASH_PREFERENCE * reprocessing_ms;
-    let preferred = named_by_hash(key, candidates.iter().map(|candidate| candidate.id));
+    let preferred = preferred_by_hash(key, candidates.iter().map(|candidate| candidate.id));
     let by_hash = preferred.into_iter().map(with_wait).find(|(_, wait)| *wait <= max_hash_wait_ms);
     Some(by_hash.map_or(other, |(index, wait_ms)| Choice { index, wait_ms, preferred: true, source: None }))
 }
 
 /// Draws local endpoints and endpoints of any domain at random, and returns the few with
 /// the shortest wait by up-to-date information.
-fn shortlist(candidates: &[Candidate<'_>], wanted: Wanted, tie: u64) -> Vec<usize> {
+fn shortlist(candidates: &[Candidate<'_>], request: Request, tie: u64) -> Vec<usize> {
     let local_indices: Vec<usize> = (0..candidates.len()).filter(|&index| candidates[index].local).collect();
     let draw = hash::stable(&tie.to_le_bytes());
     let of_all = draw_indices(candidates.len(), draw.rotate_left(32));
@@ -170,7 +170,7 @@
         drawn.extend(of_local.next());
         drawn.push(index);
     }
-    let known_ms = |index: &usize| known_wait_ms(&candidates[*index], wanted);
+    let known_ms = |index: &usize| known_wait_ms(&candidates[*index], request);
     // The sort is stable: equal endpoints stay in the order in which they were drawn.
     drawn.sort_by(|a, b| known_ms(a).total_cmp(&known_ms(b)));
     drawn.truncate(MAX_SHORTLIST);
@@ -178,8 +178,9 @@
 }
 
 /// Returns the wait before the first byte by up-to-date information only, in milliseconds.
-fn known_wait_ms(candidate: &Candidate<'_>, wanted: Wanted) -> f64 {
-    (candidate.backlog_ms + wanted.first_ms) * candidate.slowness.max(1.0) + candidate.failing * FAILURE_PENALTY_MS
+fn known_wait_ms(candidate: &Candidate<'_>, request: Request) -> f64 {
+    (candidate.backlog_ms + request.first_byte_ms) * candidate.slowness.max(1.0)
+        + candidate.excess_failure_rate * FAILURE_PENALTY_MS
 }
 
 /// Draws up to `wanted` different indices below `count` that fit, by the random number
@@ -213,7 +214,7 @@
 /// Returns the indices of the names with the highest rendezvous weights for a key, best
 /// first. These are the endpoints that a shared prefix prefers.
 #[must_use]
-pub fn named_by_hash<'a>(key: u64, names: impl Iterator<Item = &'a str>) -> Vec<usize> {
+pub fn preferred_by_hash<'a>(key: u64, names: impl Iterator<Item = &'a str>) -> Vec<usize> {
     let mut best: [Option<(u64, usize)>; MAX_PREFERRED] = [None; MAX_PREFERRED];
     for (index, name) in names.enumerate() {
         let mut entry = Some((hash::rendezvous(key, name.as_bytes()), index));
@@ -231,11 +232,12 @@
 }
 
 /// Returns the wait before the first byte at an endpoint, in milliseconds.
-fn wait_ms(candidate: &Candidate<'_>, wanted: Wanted) -> f64 {
+fn wait_ms(candidate: &Candidate<'_>, request: Request) -> f64 {
     let excess = (candidate.runs + 1.0 - f64::from(candidate.slots)).max(0.0);
-    let queue = candidate.backlog_ms + candidate.old_news_ms + candidate.runs * ACTIVE_RUN_MS + excess * QUEUED_RUN_MS;
+    let queue =
+        candidate.backlog_ms + candidate.reported_backlog_ms + candidate.runs * ACTIVE_RUN_MS + excess * QUEUED_RUN_MS;
     let remote = if candidate.local { 0.0 } else { REMOTE_PENALTY_MS };
-    (queue + wanted.first_ms) * candidate.slowness.max(1.0) - wanted.first_ms
+    (queue + request.first_byte_ms) * candidate.slowness.max(1.0) - request.first_byte_ms
         + remote
-        + candidate.failing * FAILURE_PENALTY_MS
+        + candidate.excess_failure_rate * FAILURE_PENALTY_MS
 }
--- a/crates/route/src/relay/quarantine.rs
+++ b/crates/route/src/relay/quarantine.rs
@@ -20,10 +20,10 @@
 
 /// Time for which a request is refused after its last crash. The endpoints may have been
 /// fixed by then.
-pub const LASTS: Duration = Duration::from_mins(10);
+pub const REFUSAL_PERIOD: Duration = Duration::from_mins(10);
 
 /// Time after a refusal during which a single further crash renews it.
-const PROBATION: Duration = LASTS;
+const PROBATION: Duration = REFUSAL_PERIOD;
 
 /// Time within which crashes count as one for a request that has completed recently.
 const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
@@ -105,7 +105,7 @@
 
 impl Quarantine {
     /// Applies a finding and returns its effect.
-    pub fn take(&mut self, now: Duration, finding: Finding) -> Effect {
+    pub fn apply(&mut self, now: Duration, finding: Finding) -> Effect {
         match finding {
             Finding::Crash { content, start } => self.count_crash(now, content, start),
             Finding::EndedWell { content } => self.clear(now, content),
@@ -115,7 +115,7 @@
 
     /// Returns how much longer a request is refused, or `None` if it is not.
     #[must_use]
-    pub fn refuses(&self, now: Duration, content: Content) -> Option<Duration> {
+    pub fn refusal_left(&self, now: Duration, content: Content) -> Option<Duration> {
         self.records.get(&content)?.refusal_left(now)
     }
 
@@ -128,13 +128,13 @@
     /// Returns whether a crash under a run sent at `sent` is new evidence. A run that was
     /// already active at the last counted crash may have been hit by the same cause.
     #[must_use]
-    pub fn is_further(&self, now: Duration, content: Content, sent: Duration) -> bool {
+    pub fn is_new_evidence(&self, now: Duration, content: Content, sent: Duration) -> bool {
         self.suspect(now, content).is_none_or(|record| sent > record.last)
     }
 
     /// Returns at most `most` refused requests, the ones with the latest crash first.
     #[must_use]
-    pub fn held(&self, now: Duration, most: usize) -> Vec<Finding> {
+    pub fn refused(&self, now: Duration, most: usize) -> Vec<Finding> {
         let mut held: Vec<_> = self.records.iter().filter(|(_, record)| record.refusal_left(now).is_some()).collect();
         held.sort_by_key(|(_, record)| std::cmp::Reverse(record.last));
         let finding =
@@ -162,7 +162,7 @@
 
     /// Counts a crash of an endpoint that ran the request.
     fn count_crash(&mut self, now: Duration, content: Content, start: u32) -> Effect {
-        let was_held = self.refuses(now, content).is_some();
+        let was_held = self.refusal_left(now, content).is_some();
         let record = self.record(now, content);
         if record.starts.contains(&start) || record.is_same_crash(now) {
             return Effect::None;
@@ -198,7 +198,7 @@
         // By the time a message arrives, the crash is older than the message says by the
         // transit time. If that were taken for a later crash, messages circulating between
         // instances would extend a refusal forever.
-        if age >= LASTS || known.is_some_and(|record| record.refusal_left(now).is_some()) {
+        if age >= REFUSAL_PERIOD || known.is_some_and(|record| record.refusal_left(now).is_some()) {
             return Effect::None;
         }
         let crashed = known.filter(|record| record.held || !record.starts.is_empty()).map(|record| record.last);
@@ -244,7 +244,7 @@
 
     /// Returns how much longer the request is refused, or `None` if it is not.
     fn refusal_left(&self, now: Duration) -> Option<Duration> {
-        let left = (self.last + LASTS).saturating_sub(now);
+        let left = (self.last + REFUSAL_PERIOD).saturating_sub(now);
         (self.held && !left.is_zero()).then_some(left)
     }
 
@@ -258,6 +258,6 @@
     }
 
     fn is_expired(&self, now: Duration) -> bool {
-        self.age(now) >= if self.held { LASTS + PROBATION } else { LASTS }
+        self.age(now) >= if self.held { REFUSAL_PERIOD + PROBATION } else { REFUSAL_PERIOD }
     }
 }
--- a/crates/route/tests/relay/notice.rs
+++ b/crates/route/tests/relay/notice.rs
@@ -33,7 +33,7 @@
 /// when long prompts arrive continuously.
 fn sent_notices(others: usize) -> usize {
     let mut budget = Budget::new(ms(0));
-    (0..10_000).filter(|&at| budget.spend(ms(at), MIN_READING_MS, false, others)).count()
+    (0..10_000).filter(|&at| budget.try_notify(ms(at), MIN_READING_MS, false, others)).count()
 }
 
 /// The number of datagrams that an instance sends for many long prompts must stay bounded
@@ -50,10 +50,10 @@
 #[test]
 fn only_relevant_prompts_are_announced() {
     let mut budget = Budget::new(ms(0));
-    assert!(!budget.spend(ms(0), MIN_READING_MS - 1.0, false, 6));
+    assert!(!budget.try_notify(ms(0), MIN_READING_MS - 1.0, false, 6));
     assert!(
-        budget.spend(ms(0), 5.0, true, 6),
+        budget.try_notify(ms(0), 5.0, true, 6),
         "a shared prefix worth caching is announced whatever its processing time"
     );
-    assert!(!budget.spend(ms(0), 500.0, true, 0), "there are no other instances");
+    assert!(!budget.try_notify(ms(0), 500.0, true, 0), "there are no other instances");
 }
--- a/crates/route/tests/relay/placement.rs
+++ b/crates/route/tests/relay/placement.rs
@@ -1,18 +1,18 @@
 //! Requests are placed at endpoints that hold their prefix until waiting there costs more.
 
-use route::relay::placement::{Candidate, Wanted, choose, sample};
+use route::relay::placement::{Candidate, Request, choose, sample};
 
 const IDLE: Candidate<'_> = Candidate {
     id: "a",
     slots: 32,
     runs: 0.0,
     backlog_ms: 0.0,
-    old_news_ms: 0.0,
+    reported_backlog_ms: 0.0,
     slowness: 1.0,
-    failing: 0.0,
+    excess_failure_rate: 0.0,
     local: true,
-    holds: false,
-    holds_whole: false,
+    holds_prefix: false,
+    holds_prompt: false,
 };
 
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
@@ -21,8 +21,8 @@
     NAMES.iter().map(|&id| Candidate { id, ..IDLE }).collect()
 }
 
-fn shared(key: u64) -> Wanted {
-    Wanted { affinity: Some(key), reread_ms: 150.0, shared_tokens: 5_000, first_ms: 60.0 }
+fn shared(key: u64) -> Request {
+    Request { affinity: Some(key), reprocess_ms: 150.0, shared_tokens: 5_000, first_byte_ms: 60.0 }
 }
 
 #[test]
@@ -43,14 +43,14 @@
 /// worthwhile and is never processed again.
 #[test]
 fn hot_prefix_spreads_only_as_far_as_worthwhile() {
-    let wanted = Wanted { affinity: Some(7), reread_ms: 150.0, shared_tokens: 5_000, first_ms: 60.0 };
+    let wanted = Request { affinity: Some(7), reprocess_ms: 150.0, shared_tokens: 5_000, first_byte_ms: 60.0 };
     let mut candidates = idle();
     let mut taken = Vec::new();
     for _ in 0..5 {
         let choice = choose(&candidates, wanted, 0).unwrap();
         assert!(!taken.contains(&choice.index));
         assert!(taken.is_empty() || taken.contains(&choice.source.unwrap()));
-        candidates[choice.index].holds = true;
+        candidates[choice.index].holds_prefix = true;
         candidates[choice.index].backlog_ms = 170.0;
         let stays = choose(&candidates, wanted, 0).unwrap();
         assert_eq!((stays.index, stays.preferred, stays.source), (choice.index, true, None));
@@ -65,11 +65,11 @@
 /// same applies to a prompt without a shared prefix.
 #[test]
 fn request_goes_to_the_holder_of_its_whole_prompt() {
-    let wanted = Wanted { affinity: Some(7), reread_ms: 150.0, shared_tokens: 5_000, first_ms: 300.0 };
-    for wanted in [wanted, Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, ..wanted }] {
+    let wanted = Request { affinity: Some(7), reprocess_ms: 150.0, shared_tokens: 5_000, first_byte_ms: 300.0 };
+    for wanted in [wanted, Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, ..wanted }] {
         let mut candidates = idle();
-        candidates[2].holds = true;
-        candidates[4].holds_whole = true;
+        candidates[2].holds_prefix = true;
+        candidates[4].holds_prompt = true;
         candidates[4].backlog_ms = 290.0;
         let choice = choose(&candidates, wanted, 0).unwrap();
         assert_eq!((choice.index, choice.preferred, choice.source), (4, true, None));
@@ -83,10 +83,10 @@
 /// and half of all shared prefixes would be processed again.
 #[test]
 fn small_model_requests_stay_with_the_prefix_holder() {
-    let wanted = Wanted { affinity: Some(7), reread_ms: 15.0, shared_tokens: 5_000, first_ms: 10.0 };
+    let wanted = Request { affinity: Some(7), reprocess_ms: 15.0, shared_tokens: 5_000, first_byte_ms: 10.0 };
     let mut candidates = idle();
     let first = choose(&candidates, wanted, 0).unwrap().index;
-    candidates[first].holds = true;
+    candidates[first].holds_prefix = true;
     candidates[first].backlog_ms = 170.0;
     assert_eq!(choose(&candidates, wanted, 0).unwrap().index, first);
     candidates[first].backlog_ms = 180.0;
@@ -98,9 +98,9 @@
 /// almost nothing.
 #[test]
 fn short_prefix_does_not_wait_for_its_holder() {
-    let wanted = Wanted { affinity: Some(7), reread_ms: 1.0, shared_tokens: 200, first_ms: 10.0 };
+    let wanted = Request { affinity: Some(7), reprocess_ms: 1.0, shared_tokens: 200, first_byte_ms: 10.0 };
     let mut candidates = idle();
-    candidates[2].holds = true;
+    candidates[2].holds_prefix = true;
     candidates[2].backlog_ms = 10.0;
     assert_ne!(choose(&candidates, wanted, 0).unwrap().index, 2);
 }
@@ -127,8 +127,8 @@
 fn hot_prefix_goes_to_its_least_busy_holder() {
     for (busy, free) in [(1, 4), (4, 1)] {
         let mut candidates = idle();
-        candidates[busy].holds = true;
-        candidates[free].holds = true;
+        candidates[busy].holds_prefix = true;
+        candidates[free].holds_prefix = true;
         candidates[busy].backlog_ms = 200.0;
         let choice = choose(&candidates, shared(7), 0).unwrap();
         assert!(choice.preferred && choice.index == free);
@@ -139,7 +139,7 @@
 /// Almost no request may be placed behind a prompt while other endpoints are free.
 #[test]
 fn endpoints_with_announced_backlog_are_skipped() {
-    let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
+    let plain = Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, first_byte_ms: 40.0 };
     let names: Vec<String> = (0..60).map(|n| format!("e{n}")).collect();
     let reads = |n: usize| n % 5 < 2;
     let candidate = |n: usize| Candidate {
@@ -158,7 +158,7 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
+            let plain = Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, first_byte_ms: 40.0 };
             for tie in 0..30 {
                 let mut candidates = idle();
                 let degrade: fn(&mut Candidate<'_>) = $degrade;
@@ -174,13 +174,13 @@
     full_endpoint_is_avoided: |candidate| candidate.runs = 40.0;
     slow_endpoint_is_avoided: |candidate| candidate.slowness = 4.0;
     // The health probe of the endpoint succeeds, but part of its requests fail.
-    failing_endpoint_is_avoided: |candidate| candidate.failing = 0.3;
+    failing_endpoint_is_avoided: |candidate| candidate.excess_failure_rate = 0.3;
     remote_endpoint_is_avoided: |candidate| candidate.local = false;
 }
 
 #[test]
 fn equal_endpoints_share_the_load() {
-    let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
+    let plain = Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, first_byte_ms: 40.0 };
     let mut counts = [0_u32; 6];
     for tie in 0..600 {
         counts[choose(&idle(), plain, tie).unwrap().index] += 1;
@@ -193,7 +193,7 @@
 #[test]
 fn stale_loads_cause_no_herding() {
     let names: Vec<String> = (0..60).map(|n| format!("e{n}")).collect();
-    let plain = Wanted { affinity: None, reread_ms: 0.0, shared_tokens: 0, first_ms: 40.0 };
+    let plain = Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, first_byte_ms: 40.0 };
     let mut placed = [0_u32; 60];
     for tie in 0..740 {
         // Instances of four failure domains in turn.
--- a/crates/route/tests/relay/quarantine.rs
+++ b/crates/route/tests/relay/quarantine.rs
@@ -5,7 +5,7 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use route::relay::{
     content::Content,
-    quarantine::{CRASH_LIMIT, Effect, Finding, LASTS, Quarantine},
+    quarantine::{CRASH_LIMIT, Effect, Finding, Quarantine, REFUSAL_PERIOD},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -20,10 +20,10 @@
 /// Applies findings at intervals of a second and returns the quarantine and the time.
 fn after(findings: &[Finding]) -> (Quarantine, Duration) {
     let mut quarantine = Quarantine::default();
-    let mut now = LASTS * 5;
+    let mut now = REFUSAL_PERIOD * 5;
     for finding in findings {
         now += SECOND;
-        quarantine.take(now, *finding);
+        quarantine.apply(now, *finding);
     }
     (quarantine, now)
 }
@@ -35,7 +35,7 @@
         #[test]
         fn $name() {
             let (quarantine, now) = after(&$findings);
-            assert_eq!(quarantine.refuses(now, ONE).is_some(), $refused);
+            assert_eq!(quarantine.refusal_left(now, ONE).is_some(), $refused);
         }
     )*};
 }
@@ -56,20 +56,20 @@
     refusal_from_before_a_completion_is_ignored: [
         crash(ONE, 1), Finding::EndedWell { content: ONE }, Finding::Held { content: ONE, age: SECOND * 5 }
     ] => false;
-    expired_refusal_is_ignored: [Finding::Held { content: ONE, age: LASTS }] => false;
+    expired_refusal_is_ignored: [Finding::Held { content: ONE, age: REFUSAL_PERIOD }] => false;
 }
 
 #[test]
 fn effects_report_only_changes() {
     let mut quarantine = Quarantine::default();
-    let effects: Vec<Effect> = [1, 2, 2, 3, 4].map(|start| quarantine.take(SECOND, crash(ONE, start))).into();
+    let effects: Vec<Effect> = [1, 2, 2, 3, 4].map(|start| quarantine.apply(SECOND, crash(ONE, start))).into();
     assert_eq!(effects, [Effect::Counted, Effect::Counted, Effect::None, Effect::Held, Effect::Counted]);
-    assert_eq!(quarantine.take(SECOND, Finding::Held { content: ONE, age: SECOND }), Effect::None);
-    assert_eq!(quarantine.take(SECOND, Finding::EndedWell { content: ONE }), Effect::Released);
-    assert_eq!(quarantine.take(SECOND, Finding::EndedWell { content: ONE }), Effect::None);
-    quarantine.take(SECOND, crash(ONE, 1));
-    assert_eq!(quarantine.take(SECOND, Finding::EndedWell { content: ONE }), Effect::Cleared);
-    assert_eq!(quarantine.take(SECOND, Finding::EndedWell { content: OTHER }), Effect::None);
+    assert_eq!(quarantine.apply(SECOND, Finding::Held { content: ONE, age: SECOND }), Effect::None);
+    assert_eq!(quarantine.apply(SECOND, Finding::EndedWell { content: ONE }), Effect::Released);
+    assert_eq!(quarantine.apply(SECOND, Finding::EndedWell { content: ONE }), Effect::None);
+    quarantine.apply(SECOND, crash(ONE, 1));
+    assert_eq!(quarantine.apply(SECOND, Finding::EndedWell { content: ONE }), Effect::Cleared);
+    assert_eq!(quarantine.apply(SECOND, Finding::EndedWell { content: OTHER }), Effect::None);
 }
 
 /// A request has runs at several endpoints that crash at the same moment. Only a run that
@@ -77,11 +77,11 @@
 #[test]
 fn run_active_at_the_last_crash_is_no_new_evidence() {
     let (mut quarantine, now) = after(&[crash(ONE, 1)]);
-    assert!(!quarantine.is_further(now + SECOND, ONE, now));
-    assert!(quarantine.is_further(now + SECOND, ONE, now + STEP));
-    assert!(quarantine.is_further(now + SECOND, OTHER, now));
-    quarantine.take(now + SECOND, Finding::EndedWell { content: ONE });
-    assert!(quarantine.is_further(now + 2 * SECOND, ONE, now));
+    assert!(!quarantine.is_new_evidence(now + SECOND, ONE, now));
+    assert!(quarantine.is_new_evidence(now + SECOND, ONE, now + STEP));
+    assert!(quarantine.is_new_evidence(now + SECOND, OTHER, now));
+    quarantine.apply(now + SECOND, Finding::EndedWell { content: ONE });
+    assert!(quarantine.is_new_evidence(now + 2 * SECOND, ONE, now));
 }
 
 /// A popular request runs at many endpoints when several crash together for another reason.
@@ -90,9 +90,9 @@
 fn mass_crash_counts_once_for_a_request_that_completes() {
     let (mut quarantine, now) = after(&[Finding::EndedWell { content: ONE }]);
     for start in 0..20 {
-        quarantine.take(now + SECOND, crash(ONE, start));
+        quarantine.apply(now + SECOND, crash(ONE, start));
     }
-    assert_eq!(quarantine.refuses(now + SECOND, ONE), None);
+    assert_eq!(quarantine.refusal_left(now + SECOND, ONE), None);
 }
 
 /// A request completed until its endpoints got another version, and now crashes one
@@ -101,9 +101,9 @@
 fn earlier_completion_does_not_excuse_later_crashes() {
     let (mut quarantine, now) = after(&[Finding::EndedWell { content: ONE }]);
     for turn in 1..=3 {
-        quarantine.take(now + 2 * turn * SECOND, crash(ONE, turn));
+        quarantine.apply(now + 2 * turn * SECOND, crash(ONE, turn));
     }
-    assert!(quarantine.refuses(now + 6 * SECOND, ONE).is_some());
+    assert!(quarantine.refusal_left(now + 6 * SECOND, ONE).is_some());
 }
 
 /// An instance that does not know that the request completed attributes a mass crash to it,
@@ -112,10 +112,10 @@
 fn reported_refusal_is_disproved_by_a_later_completion() {
     let (mut quarantine, now) = after(&[Finding::EndedWell { content: ONE }]);
     let reported = Finding::Held { content: ONE, age: 3 * SECOND };
-    assert_eq!(quarantine.take(now + SECOND, reported), Effect::Disproved);
-    assert_eq!(quarantine.refuses(now + SECOND, ONE), None);
+    assert_eq!(quarantine.apply(now + SECOND, reported), Effect::Disproved);
+    assert_eq!(quarantine.refusal_left(now + SECOND, ONE), None);
     let later = Finding::Held { content: ONE, age: Duration::ZERO };
-    assert_eq!(quarantine.take(now + SECOND, later), Effect::Held);
+    assert_eq!(quarantine.apply(now + SECOND, later), Effect::Held);
 }
 
 /// The messages about two crashes were lost. The message about the third one arrived
@@ -124,8 +124,8 @@
 #[test]
 fn reported_refusal_applies_to_a_suspect_with_missed_crashes() {
     let (mut quarantine, now) = after(&[crash(ONE, 3)]);
-    assert_eq!(quarantine.take(now, Finding::Held { content: ONE, age: STEP }), Effect::Held);
-    assert_eq!(quarantine.refuses(now, ONE), Some(LASTS));
+    assert_eq!(quarantine.apply(now, Finding::Held { content: ONE, age: STEP }), Effect::Held);
+    assert_eq!(quarantine.refusal_left(now, ONE), Some(REFUSAL_PERIOD));
 }
 
 /// Instances repeat to each other which requests they refuse, and each report is slightly
@@ -136,9 +136,9 @@
     let (mut quarantine, now) = after(&[crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)]);
     for step in 1..20 {
         let reported = Finding::Held { content: ONE, age: (step * SECOND).saturating_sub(STEP) };
-        assert_eq!(quarantine.take(now + step * SECOND, reported), Effect::None);
+        assert_eq!(quarantine.apply(now + step * SECOND, reported), Effect::None);
     }
-    assert_eq!(quarantine.refuses(now + LASTS, ONE), None);
+    assert_eq!(quarantine.refusal_left(now + REFUSAL_PERIOD, ONE), None);
 }
 
 /// A refusal ends, so that the request is accepted again after its endpoints were fixed. If
@@ -146,13 +146,13 @@
 #[test]
 fn refusal_expires_into_probation() {
     let (mut quarantine, last) = after(&[crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)]);
-    assert_eq!(quarantine.refuses(last + SECOND, ONE), Some(LASTS.saturating_sub(SECOND)));
-    assert_eq!(quarantine.refuses(last + LASTS, ONE), None);
+    assert_eq!(quarantine.refusal_left(last + SECOND, ONE), Some(REFUSAL_PERIOD.saturating_sub(SECOND)));
+    assert_eq!(quarantine.refusal_left(last + REFUSAL_PERIOD, ONE), None);
     let mut fixed = quarantine.clone();
-    assert_eq!(quarantine.take(last + LASTS, crash(ONE, 9)), Effect::Held);
-    assert!(quarantine.refuses(last + LASTS + SECOND, ONE).is_some());
-    fixed.take(last + LASTS, Finding::EndedWell { content: ONE });
-    assert_eq!(fixed.take(last + LASTS + SECOND, crash(ONE, 9)), Effect::Counted);
+    assert_eq!(quarantine.apply(last + REFUSAL_PERIOD, crash(ONE, 9)), Effect::Held);
+    assert!(quarantine.refusal_left(last + REFUSAL_PERIOD + SECOND, ONE).is_some());
+    fixed.apply(last + REFUSAL_PERIOD, Finding::EndedWell { content: ONE });
+    assert_eq!(fixed.apply(last + REFUSAL_PERIOD + SECOND, crash(ONE, 9)), Effect::Counted);
 }
 
 /// Crashes that are far apart have different causes.
@@ -160,9 +160,9 @@
 fn suspicion_expires() {
     let (mut quarantine, last) = after(&[crash(ONE, 1), crash(ONE, 2)]);
     assert!(quarantine.is_suspect(last, ONE));
-    assert!(!quarantine.is_suspect(last + LASTS, ONE));
-    assert_eq!(quarantine.take(last + LASTS, crash(ONE, 3)), Effect::Counted);
-    assert!(quarantine.refuses(last + LASTS, ONE).is_none());
+    assert!(!quarantine.is_suspect(last + REFUSAL_PERIOD, ONE));
+    assert_eq!(quarantine.apply(last + REFUSAL_PERIOD, crash(ONE, 3)), Effect::Counted);
+    assert!(quarantine.refusal_left(last + REFUSAL_PERIOD, ONE).is_none());
 }
 
 /// Endpoints crash with thousands of runs, more than there is room for. Refused requests
@@ -171,19 +171,19 @@
 fn mass_crash_evicts_no_refusal() {
     let (mut quarantine, now) = after(&[crash(ONE, 1), crash(ONE, 2), crash(ONE, 3)]);
     for work in 100..20_000 {
-        quarantine.take(now + SECOND, crash(Content { team: 2, work }, 4));
+        quarantine.apply(now + SECOND, crash(Content { team: 2, work }, 4));
     }
     assert!(quarantine.len() <= 2_048);
-    assert!(quarantine.refuses(now + SECOND, ONE).is_some());
+    assert!(quarantine.refusal_left(now + SECOND, ONE).is_some());
 }
 
 #[test]
 fn latest_refusals_are_listed_first() {
     let crashes = |content| (1..=3).map(move |start| crash(content, start));
     let (quarantine, now) = after(&crashes(ONE).chain(crashes(OTHER)).collect::<Vec<_>>());
-    let reported = quarantine.held(now, 1);
+    let reported = quarantine.refused(now, 1);
     assert_eq!(reported, [Finding::Held { content: OTHER, age: Duration::ZERO }]);
-    assert_eq!(quarantine.held(now, 9).len(), 2);
+    assert_eq!(quarantine.refused(now, 9).len(), 2);
 }
 
 proptest! {
@@ -205,7 +205,7 @@
         let take = |starts: &[(u64, u32)]| {
             let mut quarantine = Quarantine::default();
             for (work, start) in starts {
-                quarantine.take(SECOND, crash(Content { team: 0, work: *work }, *start));
+                quarantine.apply(SECOND, crash(Content { team: 0, work: *work }, *start));
             }
             quarantine
         };
@@ -213,8 +213,8 @@
         for work in 0..3 {
             let content = Content { team: 0, work };
             let crashed = (0..5).filter(|start| starts.contains(&(work, *start))).count();
-            prop_assert_eq!(one.refuses(SECOND, content).is_some(), crashed >= CRASH_LIMIT);
-            prop_assert_eq!(other.refuses(SECOND, content), one.refuses(SECOND, content));
+            prop_assert_eq!(one.refusal_left(SECOND, content).is_some(), crashed >= CRASH_LIMIT);
+            prop_assert_eq!(other.refusal_left(SECOND, content), one.refusal_left(SECOND, content));
         }
     }
 }
