--- a/crates/control/src/guard.rs
+++ b/crates/control/src/guard.rs
@@ -124,7 +124,7 @@
         let catalog = self.catalog.borrow().clone();
         self.ledger.settle(&catalog);
         let mut stops = self.stops.borrow().as_ref().clone();
-        stops.settle(&catalog);
+        stops.prune(&catalog);
         if stops != **self.stops.borrow() {
             self.stops.send_replace(Arc::new(stops));
         }
@@ -135,7 +135,7 @@
         let mut verdicts = Verdicts::new();
         for (id, rollout) in ledger::running(&catalog) {
             let fleet = self.ledger.fleet(id, rollout);
-            let verdict = guard::judge(&self.settings.guard, rollout, &fleet.steps, &fleet.window);
+            let verdict = guard::evaluate(&self.settings.guard, rollout, &fleet.steps, &fleet.window);
             if let Verdict::Stop(reason) = &verdict {
                 let stop = stop(id, rollout, reason);
                 self.stop(&catalog, stop, self.settings.instance.clone());
@@ -154,7 +154,7 @@
             return;
         }
         // Late news of a stop that is already in force.
-        stops.settle(catalog);
+        stops.prune(catalog);
         if !stops.contains(&version) {
             return;
         }
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -281,5 +281,5 @@
 
 fn count(evidence: &mut Evidence, arm: Arm, signal: Signal, bad: bool) {
     let tally: &mut Tally = if arm == Arm::New { &mut evidence.new } else { &mut evidence.control };
-    tally.of_mut(signal).add(bad);
+    tally.count_mut(signal).add(bad);
 }
--- a/crates/control/tests/it/site.rs
+++ b/crates/control/tests/it/site.rs
@@ -307,7 +307,7 @@
         let catalog = config.current();
         let Some(contract) = catalog.contract(&customer) else { continue };
         let unit = Unit(random.random());
-        let open = exposure::open(&catalog, &control.stops(), contract, &model, unit);
+        let open = exposure::startable_versions(&catalog, &control.stops(), contract, &model, unit);
         let Some(version) = open.first() else { continue };
         let share = {
             let mut traffic = lock(&traffic);
--- a/crates/entry/src/desk/learn.rs
+++ b/crates/entry/src/desk/learn.rs
@@ -6,7 +6,7 @@
 use endpoint::rating::Rating;
 use route::{
     model::Rater,
-    quality::{Book, Cell, LAPSE_MS, Pending, Stage},
+    quality::{Cell, Estimates, LAPSE_MS, Pending, Stage},
     rollout::Unit,
 };
 use world::{Catalog, Millis, Timestamp, contract::Customer, model::Version};
@@ -32,7 +32,7 @@
 /// All that is learned, and the answers that wait for a rating.
 #[derive(Debug)]
 pub(super) struct Learn {
-    pub book: Book,
+    pub book: Estimates,
     control: control::Handle,
     given: HashMap<String, (Timestamp, Given)>,
     order: VecDeque<(Timestamp, String)>,
@@ -42,7 +42,7 @@
 impl Learn {
     pub fn new(control: control::Handle) -> Self {
         Self {
-            book: Book::default(),
+            book: Estimates::default(),
             control,
             given: HashMap::new(),
             order: VecDeque::new(),
@@ -52,7 +52,7 @@
 
     /// Whether a cascade can be decided now.
     pub fn rater(&self, now: Timestamp) -> Rater {
-        if now < self.rater_rests_until { Rater::Down } else { Rater::Up }
+        if now < self.rater_rests_until { Rater::Unavailable } else { Rater::Available }
     }
 
     /// The rating service failed: no cascades for a while, so that requests
@@ -62,7 +62,7 @@
     }
 
     pub fn void(&mut self, entered: &Entered) {
-        self.book.void(entered.cell, entered.pending);
+        self.book.remove_pending(entered.cell, entered.pending);
     }
 
     pub fn lapse(&mut self, entered: &Entered) {
@@ -70,7 +70,7 @@
     }
 
     pub fn escalated(&mut self, entered: Entered, rate: f64) -> Entered {
-        let pending = self.book.escalated(entered.cell, entered.pending, rate);
+        let pending = self.book.update_pending(entered.cell, entered.pending, rate);
         Entered { pending, ..entered }
     }
 
@@ -92,9 +92,9 @@
 
     /// An answer was rated while its caller waited.
     pub fn judged(&mut self, entered: &Entered, version: &Version, stage: Stage, pass: bool, last: bool) {
-        self.book.rate(entered.cell, version, stage, pass);
+        self.book.record_rating(entered.cell, version, stage, pass);
         if last {
-            self.book.close(entered.cell, entered.pending, pass);
+            self.book.record_final_rating(entered.cell, entered.pending, pass);
         }
         self.observe(entered, version, pass);
     }
@@ -115,7 +115,7 @@
             let Some((at, given)) = self.given.remove(&rating.id) else {
                 if is_first_tier(catalog, &rating.version) {
                     let cell = Cell::new(&rating.customer, &rating.class);
-                    self.book.rate(cell, &rating.version, Stage::First, rating.pass);
+                    self.book.record_rating(cell, &rating.version, Stage::First, rating.pass);
                 }
                 continue;
             };
--- a/crates/entry/src/desk/state.rs
+++ b/crates/entry/src/desk/state.rs
@@ -127,12 +127,15 @@
         if budgets.len() >= MAX_BUDGETS && !budgets.contains_key(&ticket.customer) {
             budgets.clear();
         }
-        budgets.entry(ticket.customer.clone()).or_insert_with(|| retry::Budget::new(&self.policy)).earn(&self.policy);
+        budgets
+            .entry(ticket.customer.clone())
+            .or_insert_with(|| retry::Budget::new(&self.policy))
+            .add_first_attempt(&self.policy);
     }
 
     fn left(&mut self, line: &Line, now: Timestamp) {
         if let Some(waiting) = self.lines.get_mut(line) {
-            waiting.queue.finished(now);
+            waiting.queue.record_finish(now);
         }
         let limit = self.limit(line, now);
         if let Some(waiting) = self.lines.get_mut(line) {
@@ -198,17 +201,21 @@
             left_ms: wish.left_ms,
             ceiling: wish.ceiling,
             rater: self.learn.rater(now),
-            book: &self.learn.book,
+            quality: &self.learn.book,
         };
         let choice = model::choose(&inputs)?;
         let cell = Cell::new(&wish.customer, &wish.class);
-        let pending = self.learn.book.open(cell, choice.expected(0), choice.reason().target);
+        let pending = self.learn.book.add_pending(cell, choice.expected_pass_rate(0), choice.reason().target);
         Ok((choice, Entered { customer: wish.customer.clone(), unit: wish.unit, cell, pending }))
     }
 
     fn place(&mut self, wanted: &Wanted, reply: oneshot::Sender<Result<Place, placing::Refusal>>, now: Timestamp) {
-        let asked =
-            placing::Wanted { target: &wanted.target, prefix: wanted.prefix, avoid: &wanted.avoid, draw: wanted.draw };
+        let asked = placing::RunRequest {
+            target: &wanted.target,
+            prefix: wanted.prefix,
+            avoid: &wanted.avoid,
+            draw: wanted.draw,
+        };
         let placed = self.fleet.choose(&asked, now).and_then(|choice| {
             let refused = placing::Refusal::NoneLeft;
             let endpoint = self.fleet.endpoint(choice.key).ok_or(refused)?;
@@ -225,7 +232,7 @@
             })
         });
         if let Ok(place) = &placed {
-            self.fleet.on(Event::Dispatched(place.key), now);
+            self.fleet.handle(Event::Dispatched(place.key), now);
         }
         drop(reply.send(placed));
     }
@@ -241,12 +248,12 @@
         match ending {
             Ending::Whole { millis, tokens } => {
                 if let Target::Version(version) = target {
-                    self.learn.book.ran(cell, version, millis, tokens, now);
+                    self.learn.book.record_run(cell, version, millis, tokens, now);
                 }
-                self.fleet.on(Event::Finished { key, target, millis, tokens }, now);
+                self.fleet.handle(Event::Finished { key, target, millis, tokens }, now);
             }
-            Ending::Failed(failure) => self.fleet.on(Event::Failed { key, target, failure }, now),
-            Ending::Cancelled => self.fleet.on(Event::Cancelled(key), now),
+            Ending::Failed(failure) => self.fleet.handle(Event::Failed { key, target, failure }, now),
+            Ending::Cancelled => self.fleet.handle(Event::Cancelled(key), now),
         }
     }
 
@@ -269,13 +276,13 @@
             slots: load.slots,
             loaded: Some(&load.versions),
         };
-        self.fleet.on(Event::Load { endpoint, report }, now);
+        self.fleet.handle(Event::Load { endpoint, report }, now);
     }
 
     fn cache(&mut self, endpoint: &Id, events: &[CacheEvent], now: Timestamp) {
         for event in events {
             let prefix = event.prefix;
-            self.fleet.on(
+            self.fleet.handle(
                 match event.kind {
                     CacheChange::Stored => Event::Stored { endpoint, prefix },
                     CacheChange::Evicted => Event::Evicted { endpoint, prefix },
@@ -288,7 +295,7 @@
     fn set_leaving(&mut self, endpoints: Vec<Id>, now: Timestamp) {
         let back: Vec<_> = self.leaving.iter().filter(|id| !endpoints.contains(id)).cloned().collect();
         for endpoint in &back {
-            self.fleet.on(Event::Leaving { endpoint, leaving: false }, now);
+            self.fleet.handle(Event::Leaving { endpoint, leaving: false }, now);
         }
         self.leaving = endpoints;
         self.mark_leaving(now);
@@ -296,7 +303,7 @@
 
     fn mark_leaving(&mut self, now: Timestamp) {
         for endpoint in &self.leaving {
-            self.fleet.on(Event::Leaving { endpoint, leaving: true }, now);
+            self.fleet.handle(Event::Leaving { endpoint, leaving: true }, now);
         }
     }
 
--- a/crates/entry/src/drive/account.rs
+++ b/crates/entry/src/drive/account.rs
@@ -77,7 +77,7 @@
         let Some(from) = self.version() else { return Event::Fault };
         if let Some(chosen) = &mut self.chosen {
             chosen.step += 1;
-            let rate = chosen.choice.expected(chosen.step);
+            let rate = chosen.choice.expected_pass_rate(chosen.step);
             if let Ok(entered) = self.shared.desk.escalated(chosen.entered.clone(), rate).await {
                 chosen.entered = entered;
             }
--- a/crates/relay/src/dispatcher/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -83,7 +83,7 @@
     limited: limits::LimitedEndpoints,
 }
 
-/// Service and model whose pace is learned.
+/// Service and model whose latency is learned.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct LatencyKey {
     service: String,
@@ -291,7 +291,7 @@
     }
 }
 
-/// Returns the pace that is assumed before any run was observed.
+/// Returns the latency estimate that is assumed before any run was observed.
 fn initial_latency(model: Option<usize>) -> latency::Estimate {
     if model.is_some() {
         latency::Estimate::new(INITIAL_BASE_MS, INITIAL_TOKEN_MS)
--- a/crates/relay/src/dispatcher/fleet/selection.rs
+++ b/crates/relay/src/dispatcher/fleet/selection.rs
@@ -163,7 +163,7 @@
         if available.is_empty() { all().collect() } else { available }
     }
 
-    /// Returns the learned pace for a job's service and model, or the initial estimate.
+    /// Returns the learned latency estimate for a job's service and model, or the initial estimate.
     pub(super) fn latency(&self, job: &Job<'_>) -> latency::Estimate {
         let latency_key = LatencyKey { service: job.service.to_owned(), model: job.model };
         self.latencies.get(&latency_key).copied().unwrap_or_else(|| initial_latency(job.model))
--- a/crates/replay/src/cost.rs
+++ b/crates/replay/src/cost.rs
@@ -6,7 +6,7 @@
 
 use route::{
     model::{self, Choice, Inputs, Rater},
-    quality::{Answer, Book, Cell, Ledger, Pending, Stage},
+    quality::{Answer, Cell, Estimates, Pending, PendingAnswers, Stage},
     rollout::{Stops, Unit},
 };
 use world::{Millis, Timestamp, contract::Objective, hash, money::Amount, request::Repeat};
@@ -54,9 +54,9 @@
 
     fn rater(self, at: Timestamp) -> Rater {
         match self {
-            Self::AllLate => Rater::Down,
-            Self::Down if DOWN.contains(&at.0) => Rater::Down,
-            Self::Prompt | Self::FeedLate | Self::Down => Rater::Up,
+            Self::AllLate => Rater::Unavailable,
+            Self::Down if DOWN.contains(&at.0) => Rater::Unavailable,
+            Self::Prompt | Self::FeedLate | Self::Down => Rater::Available,
         }
     }
 
@@ -173,7 +173,8 @@
 
 /// What of a ladder may run: its last step alone where it cannot be decided.
 fn ladder_at<'a>(trace: &Trace, ratings: Ratings, request: &Request, ladder: &'a [usize]) -> &'a [usize] {
-    let cascades = trace.cells[request.cell].repeat == Repeat::Idempotent && ratings.rater(request.at) == Rater::Up;
+    let cascades =
+        trace.cells[request.cell].repeat == Repeat::Idempotent && ratings.rater(request.at) == Rater::Available;
     if cascades { ladder } else { &ladder[ladder.len() - 1..] }
 }
 
@@ -215,8 +216,8 @@
 /// What one instance has learned.
 #[derive(Default)]
 struct Instance {
-    book: Book,
-    ledger: Ledger,
+    quality: Estimates,
+    pending_answers: PendingAnswers,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -255,8 +256,8 @@
             Event::Arrive(request) => ours.arrive(request, now),
             Event::Answered { request } => ours.answered(request, now),
             Event::Rated { request, pass } => {
-                let Instance { book, ledger } = &mut ours.instances[instance(request)];
-                ledger.rated(book, request as u64, pass);
+                let Instance { quality, pending_answers } = &mut ours.instances[instance(request)];
+                pending_answers.rated(quality, request as u64, pass);
             }
         }
     }
@@ -272,7 +273,7 @@
     fn arrive(&mut self, index: usize, now: Timestamp) {
         let request = self.trace.requests[index];
         let cell = &self.trace.cells[request.cell];
-        let book = &mut self.instances[instance(index)].book;
+        let quality = &mut self.instances[instance(index)].quality;
         let choice = model::choose(&Inputs {
             catalog: &self.trace.catalog,
             customer: &cell.customer,
@@ -288,10 +289,11 @@
             left_ms: LEFT_MS,
             ceiling: Amount(u64::MAX),
             rater: self.ratings.rater(now),
-            book,
+            quality,
         })
         .expect("every request of the trace may run");
-        let pending = book.open(Cell::new(&cell.customer, &cell.class), choice.expected(0), cell.target);
+        let pending =
+            quality.add_pending(Cell::new(&cell.customer, &cell.class), choice.expected_pass_rate(0), cell.target);
         let tally = Tally { requests: 1, ..Tally::default() };
         self.flights[index] = Some(Flight { request, choice, step: 0, pending, tally });
         self.start(index, now);
@@ -301,7 +303,7 @@
         let Some(flight) = self.flights[index].as_mut() else { return };
         let tier = usize::from(flight.choice.steps()[flight.step].tier());
         let last = flight.step + 1 == flight.choice.steps().len();
-        let rating = if last || self.ratings.rater(now) == Rater::Down { 0 } else { RATING_MS };
+        let rating = if last || self.ratings.rater(now) == Rater::Unavailable { 0 } else { RATING_MS };
         let millis = trace::run_ms(&flight.request, tier) + rating;
         flight.tally.cost += self.trace.cost(&flight.request, tier);
         flight.tally.millis += as_f64(millis);
@@ -316,16 +318,17 @@
         let stage = if flight.step == 0 { Stage::First } else { Stage::Escalated };
         let truth = &self.trace.cells[flight.request.cell];
         let cell = Cell::new(&truth.customer, &truth.class);
-        let Instance { book, ledger } = &mut self.instances[instance(index)];
-        book.ran(cell, permit.version(), trace::run_ms(&flight.request, tier), flight.request.output, now);
+        let Instance { quality, pending_answers } = &mut self.instances[instance(index)];
+        quality.record_run(cell, permit.version(), trace::run_ms(&flight.request, tier), flight.request.output, now);
 
-        let decides = flight.step + 1 < flight.choice.steps().len() && self.ratings.rater(now) == Rater::Up;
+        let decides = flight.step + 1 < flight.choice.steps().len() && self.ratings.rater(now) == Rater::Available;
         if decides {
-            book.rate(cell, permit.version(), stage, pass);
+            quality.record_rating(cell, permit.version(), stage, pass);
         }
         if decides && !pass {
             flight.step += 1;
-            flight.pending = book.escalated(cell, flight.pending, flight.choice.expected(flight.step));
+            flight.pending =
+                quality.update_pending(cell, flight.pending, flight.choice.expected_pass_rate(flight.step));
             self.flights[index] = Some(flight);
             self.start(index, now);
             return;
@@ -334,11 +337,11 @@
         flight.tally.slow = slow(flight.tally.millis);
         self.tallies[flight.request.cell].add(&flight.tally);
         if decides {
-            book.close(cell, flight.pending, pass);
+            quality.record_final_rating(cell, flight.pending, pass);
             return;
         }
         let answer = Answer { cell, version: permit.version(), stage, pending: flight.pending };
-        ledger.answered(book, index as u64, &answer, now);
+        pending_answers.answered(quality, index as u64, &answer, now);
         if !missing(index) {
             self.schedule(self.ratings.rated_at(now), Event::Rated { request: index, pass });
         }
--- a/crates/replay/src/exposure.rs
+++ b/crates/replay/src/exposure.rs
@@ -261,7 +261,7 @@
         }
         let evidence = &mut self.sums[0][seen.instance][seen.step];
         let tally = if seen.arm == Arm::New { &mut evidence.new } else { &mut evidence.control };
-        tally.of_mut(signal).add(seen.failed);
+        tally.count_mut(signal).add(seen.failed);
     }
 
     /// A new session or one under way, with the arm it met at its start.
@@ -305,7 +305,7 @@
 
     fn verdict(&self, known: &Sums) -> Verdict {
         if self.guard == Guard::Ours {
-            return guard::judge(&guard::Policy::default(), &self.rollout, known, &Window::default());
+            return guard::evaluate(&guard::Policy::default(), &self.rollout, known, &Window::default());
         }
         let (least, limit) = FIXED;
         let Evidence { new, control } = known[self.rollout.step];
--- a/crates/replay/src/site.rs
+++ b/crates/replay/src/site.rs
@@ -325,7 +325,7 @@
         let seen = Seen::Finished { key: run.key, target: &self.target, millis, tokens: request.tokens };
         let instance = &mut self.instances[request.instance];
         instance.router.seen(seen, now);
-        instance.queue.finished(now);
+        instance.queue.record_finish(now);
         if request.at.0 >= WARM_UP_MS {
             let time = now.since(request.at);
             self.outcome.times[request.caller].record(time).expect("the histogram grows");
--- a/crates/replay/src/site/policy.rs
+++ b/crates/replay/src/site/policy.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use route::endpoint::{Event, Fleet, Key, Peer, Target, Wanted};
+use route::endpoint::{Event, Fleet, Key, Peer, RunRequest, Target};
 use world::{Catalog, Timestamp, endpoint};
 
 /// How an instance chooses endpoints.
@@ -56,7 +56,7 @@
         if let Event::Load { endpoint, report } = event {
             self.reported[self.positions[endpoint]] = report.running + report.queued;
         }
-        self.fleet.on(event, now);
+        self.fleet.handle(event, now);
     }
 
     /// Runs the instance may have under way, where the policy says.
@@ -69,7 +69,7 @@
         let count = self.keys.len();
         let place = match self.policy {
             Policy::Ours => {
-                let wanted = Wanted { target, prefix: Some(prefix), avoid: &[], draw };
+                let wanted = RunRequest { target, prefix: Some(prefix), avoid: &[], draw };
                 let key = self.fleet.choose(&wanted, now).expect("a small site has endpoints").key;
                 self.keys.iter().position(|k| *k == key).expect("the key is of this fleet")
             }
--- a/crates/route/benches/decision.rs
+++ b/crates/route/benches/decision.rs
@@ -78,7 +78,7 @@
     c.bench_function("admission, 40 customers, 300 waiting", |b| {
         b.iter(|| {
             offer(&mut queue);
-            queue.finished(NOW);
+            queue.record_finish(NOW);
             black_box(queue.next(NOW))
         });
     });
--- a/crates/route/benches/site.rs
+++ b/crates/route/benches/site.rs
@@ -3,9 +3,9 @@
 use std::fmt::Write as _;
 
 use route::{
-    endpoint::{Event, Fleet, Peer, Report, Target, Wanted},
+    endpoint::{Event, Fleet, Peer, Report, RunRequest, Target},
     model::{self, Inputs, Rater},
-    quality::{Book, Cell, Stage},
+    quality::{Cell, Estimates, Stage},
     rollout::{Stops, Unit},
 };
 use world::{
@@ -30,7 +30,7 @@
 pub struct Site {
     catalog: Catalog,
     pub fleet: Fleet,
-    book: Book,
+    quality: Estimates,
     stops: Stops,
     customer: Customer,
     class: Class,
@@ -53,18 +53,18 @@
         let mine: Vec<_> = fleet.endpoints().map(|(key, endpoint)| (key, endpoint.id.clone())).collect();
         for (n, (key, endpoint)) in mine.iter().enumerate() {
             let running = u32::try_from(n % 13).expect("less than 13");
-            fleet.on(Event::Dispatched(*key), NOW);
+            fleet.handle(Event::Dispatched(*key), NOW);
             let report = Report { as_of: Timestamp(NOW.0 - 2_000), running, queued: 0, slots: 16, loaded: None };
-            fleet.on(Event::Load { endpoint, report }, NOW);
+            fleet.handle(Event::Load { endpoint, report }, NOW);
         }
-        let mut book = Book::default();
+        let mut quality = Estimates::default();
         for (n, version) in versions.iter().enumerate() {
             for k in 0..100 {
                 let stage = if k % 2 == 0 { Stage::First } else { Stage::Escalated };
-                book.rate(Cell::new(&customer, &class), version, stage, k % 10 < 5 + n % TIERS);
+                quality.record_rating(Cell::new(&customer, &class), version, stage, k % 10 < 5 + n % TIERS);
             }
         }
-        Self { catalog, fleet, book, stops: Stops::default(), customer, class, models, versions }
+        Self { catalog, fleet, quality, stops: Stops::default(), customer, class, models, versions }
     }
 
     pub fn choose_model(&self, n: usize) -> model::Choice {
@@ -82,15 +82,15 @@
             now: NOW,
             left_ms: 30_000,
             ceiling: Amount(u64::MAX),
-            rater: Rater::Up,
-            book: &self.book,
+            rater: Rater::Available,
+            quality: &self.quality,
         };
         model::choose(&inputs).expect("the contract allows every model")
     }
 
     pub fn choose_endpoint(&self, target: &Target, n: u64) -> route::endpoint::Choice {
         let draw = hash::stable(&n.to_le_bytes());
-        let wanted = Wanted { target, prefix: Some(draw % 500), avoid: &[], draw };
+        let wanted = RunRequest { target, prefix: Some(draw % 500), avoid: &[], draw };
         self.fleet.choose(&wanted, NOW).expect("the site has endpoints")
     }
 }
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -221,7 +221,7 @@
     }
 
     /// Records the end of a run that [`Queue::next`] returned.
-    pub fn finished(&mut self, now: Timestamp) {
+    pub fn record_finish(&mut self, now: Timestamp) {
         self.running = self.running.saturating_sub(1);
         self.rate.record_finish(!self.waiting.is_empty(), now);
     }
--- a/crates/route/src/endpoint.rs
+++ b/crates/route/src/endpoint.rs
@@ -28,7 +28,7 @@
 };
 
 pub use health::Failure;
-pub use message::{Choice, Event, Peer, Refusal, Report, Rule, Target, Wanted};
+pub use message::{Choice, Event, Peer, Refusal, Report, Rule, RunRequest, Target};
 use server::{LoadEstimator, Server};
 use subset::Subset;
 
@@ -102,7 +102,7 @@
     }
 
     /// Updates the state with an event.
-    pub fn on(&mut self, event: Event<'_>, now: Timestamp) {
+    pub fn handle(&mut self, event: Event<'_>, now: Timestamp) {
         match event {
             Event::Dispatched(key) => self.update(key, |server| server.record_dispatch(now)),
             Event::Cancelled(key) => self.update(key, |server| server.record_end(now)),
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if no endpoint accepts the run.
-    pub fn choose(&self, wanted: &Wanted<'_>, now: Timestamp) -> Result<Choice, Refusal> {
+    pub fn choose(&self, wanted: &RunRequest<'_>, now: Timestamp) -> Result<Choice, Refusal> {
         let subset = self.targets.get(wanted.target).ok_or(Refusal::NoPool)?;
         if subset.members.is_empty() {
             return Err(Refusal::NoPool);
--- a/crates/route/src/endpoint/choice.rs
+++ b/crates/route/src/endpoint/choice.rs
@@ -3,7 +3,7 @@
 use world::Timestamp;
 
 use super::{
-    Choice, Fleet, Key, Rule, Wanted,
+    Choice, Fleet, Key, Rule, RunRequest,
     server::{LoadEstimator, LoadSnapshot},
     subset::{self, Subset},
 };
@@ -39,7 +39,7 @@
 
 impl Fleet {
     /// Chooses an endpoint of a subset for a run, or returns `None` if none accepts it.
-    pub(super) fn choose_from(&self, subset: &Subset, wanted: &Wanted<'_>, now: Timestamp) -> Option<Choice> {
+    pub(super) fn choose_from(&self, subset: &Subset, wanted: &RunRequest<'_>, now: Timestamp) -> Option<Choice> {
         let usable = subset.members.iter().filter(|member| self.is_usable(subset, member, wanted, now));
         let mut candidates: Vec<Candidate> = usable.map(|member| self.candidate(member, wanted, now)).collect();
         let considered = u32::try_from(candidates.len()).unwrap_or(u32::MAX);
@@ -70,7 +70,7 @@
         chosen(if second.score < first.score { second } else { first }, Rule::LessLoaded)
     }
 
-    fn candidate(&self, member: &subset::Member, wanted: &Wanted<'_>, now: Timestamp) -> Candidate {
+    fn candidate(&self, member: &subset::Member, wanted: &RunRequest<'_>, now: Timestamp) -> Candidate {
         let server = &self.servers[member.key];
         Candidate {
             key: member.key,
@@ -83,7 +83,7 @@
         }
     }
 
-    fn is_usable(&self, subset: &Subset, member: &subset::Member, wanted: &Wanted<'_>, now: Timestamp) -> bool {
+    fn is_usable(&self, subset: &Subset, member: &subset::Member, wanted: &RunRequest<'_>, now: Timestamp) -> bool {
         let Some(server) = self.servers.get(member.key) else { return false };
         !server.leaving
             && !server.health.is_ejected(now)
--- a/crates/route/src/endpoint/message.rs
+++ b/crates/route/src/endpoint/message.rs
@@ -19,7 +19,7 @@
 
 /// Properties of a run that needs an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct RunRequest<'a> {
     /// Version or service that the run needs.
     pub target: &'a Target,
     /// Hash of the prompt's prefix, or `None` if caching does not help.
--- a/crates/route/src/guard.rs
+++ b/crates/route/src/guard.rs
@@ -150,7 +150,7 @@
 
 impl Tally {
     /// Returns the counts of one signal for updating.
-    pub fn of_mut(&mut self, signal: Signal) -> &mut Count {
+    pub fn count_mut(&mut self, signal: Signal) -> &mut Count {
         match signal {
             Signal::Errors => &mut self.errors,
             Signal::Ratings => &mut self.ratings,
@@ -230,7 +230,7 @@
 /// Tests a roll-out by the evidence of each step up to the current one, and of the
 /// latest window of the current step.
 #[must_use]
-pub fn judge(policy: &Policy, rollout: &Rollout, steps: &[Evidence], window: &Window) -> Verdict {
+pub fn evaluate(policy: &Policy, rollout: &Rollout, steps: &[Evidence], window: &Window) -> Verdict {
     let mut suspicious = false;
     let lacks_control = rollout::lacks_control(rollout.steps.get(rollout.step).copied().unwrap_or(1.0));
     for signal in Signal::ALL {
--- a/crates/route/src/model.rs
+++ b/crates/route/src/model.rs
@@ -26,7 +26,7 @@
 };
 
 use crate::{
-    quality::{Book, Cell},
+    quality::{Cell, Estimates},
     rollout::{Stops, Unit},
 };
 use ladder::{Ladder, LadderSearch};
@@ -37,9 +37,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rater {
     /// Rates answers without delay.
-    Up,
+    Available,
     /// Slow or down: an answer cannot be rated in time to decide on escalation.
-    Down,
+    Unavailable,
 }
 
 /// Inputs of [`choose`].
@@ -75,7 +75,7 @@
     /// Availability of the rating service.
     pub rater: Rater,
     /// Learned quality and speed of the versions.
-    pub book: &'a Book,
+    pub quality: &'a Estimates,
 }
 
 /// Versions that a request may run on, in the order in which they are tried.
@@ -98,7 +98,7 @@
         Permits::resolve(inputs.catalog, inputs.stops, inputs.customer, inputs.model, inputs.session, inputs.unit)?;
     let cell = Cell::new(inputs.customer, inputs.class);
     let search = LadderSearch::new(inputs, cell, &permits);
-    let account = inputs.book.account(cell);
+    let account = inputs.quality.account(cell);
     let decision = search.decide(contract.quality.target, account, contract.objective)?;
     Ok(Choice::new(inputs, &permits, &search, &decision, contract.quality.target, contract.objective))
 }
@@ -157,9 +157,9 @@
     }
 
     /// Returns the expected pass rate of the request once it has reached `step`,
-    /// for [`Book::open`] and [`Book::escalated`]. Zero past the last step.
+    /// for [`Estimates::open`] and [`Estimates::escalated`]. Zero past the last step.
     #[must_use]
-    pub fn expected(&self, step: usize) -> f64 {
+    pub fn expected_pass_rate(&self, step: usize) -> f64 {
         self.expected_pass_rates.get(step).copied().unwrap_or_default()
     }
 
--- a/crates/route/src/model/ladder.rs
+++ b/crates/route/src/model/ladder.rs
@@ -128,7 +128,7 @@
         let mut candidates: Vec<_> =
             considered_tiers(permits.as_slice().len()).map(|i| candidate(inputs, cell, permits, i)).collect();
         infer_first_pass_rates(&mut candidates);
-        let cascades = inputs.repeat == Repeat::Idempotent && inputs.rater == Rater::Up;
+        let cascades = inputs.repeat == Repeat::Idempotent && inputs.rater == Rater::Available;
         #[expect(clippy::cast_precision_loss, reason = "a deadline is far below 2^52 milliseconds")]
         let left_ms = inputs.left_ms as f64;
         Self { candidates, max_steps: if cascades { MAX_STEPS } else { 1 }, left_ms, ceiling: inputs.ceiling }
@@ -338,7 +338,7 @@
 fn candidate(inputs: &Inputs<'_>, cell: Cell, permits: &Permits, index: usize) -> Candidate {
     let permit = &permits.as_slice()[index];
     let prior = Prior { parent: permit.predecessor(), fallback_rate: prior_pass_rate(index, permits.as_slice().len()) };
-    let Profile { first, escalated, speed } = inputs.book.profile(cell, permit.version(), prior, inputs.now);
+    let Profile { first, escalated, speed } = inputs.quality.profile(cell, permit.version(), prior, inputs.now);
     let max_output = inputs.max_tokens.unwrap_or(u32::MAX).min(permit.max_output());
     let output = speed.output_tokens().min(f64::from(max_output));
     let price = permit.price();
--- a/crates/route/src/model/permit.rs
+++ b/crates/route/src/model/permit.rs
@@ -150,7 +150,7 @@
         for pin in pins.iter().filter(|pin| pin.version.model == *model) {
             permits.add_pinned(catalog, stops, contract, customer, pin);
         }
-        for version in rollout::open(catalog, stops, contract, model, unit) {
+        for version in rollout::startable_versions(catalog, stops, contract, model, unit) {
             permits.add_unpinned(catalog, customer, &version);
         }
         permits.by_tier.sort_unstable_by_key(|permit| permit.tier);
--- a/crates/route/src/quality.rs
+++ b/crates/route/src/quality.rs
@@ -25,7 +25,7 @@
 use world::{Millis, Timestamp, contract::Customer, hash, model::Version, request::Class};
 
 pub use account::{Account, Pending};
-pub use pending_answers::{Answer, LAPSE_MS, Ledger};
+pub use pending_answers::{Answer, LAPSE_MS, PendingAnswers};
 pub use speed::Speed;
 
 /// Hasher of keys that are already hashes: fast and deterministic.
@@ -119,7 +119,7 @@
 
 /// Learned quality and speed of versions, and the accounts of customers.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
+pub struct Estimates {
     counts: HashMap<u64, Counts, Hasher>,
     accounts: HashMap<u64, Account, Hasher>,
     classes: HashMap<u64, Vec<u64>, Hasher>,
@@ -127,9 +127,9 @@
     updates: u64,
 }
 
-impl Book {
+impl Estimates {
     /// Records a rating.
-    pub fn rate(&mut self, cell: Cell, version: &Version, stage: Stage, pass: bool) {
+    pub fn record_rating(&mut self, cell: Cell, version: &Version, stage: Stage, pass: bool) {
         let cell = self.register_class(cell);
         let version = stage_key(version_key(version), stage);
         for key in [version, combine(version, cell.class), combine(version, cell.key())] {
@@ -167,7 +167,7 @@
     ///
     /// It is added at the choice instead of at the answer, so that each of many
     /// concurrent requests takes into account what earlier ones may still cost.
-    pub fn open(&mut self, cell: Cell, rate: f64, target: f64) -> Pending {
+    pub fn add_pending(&mut self, cell: Cell, rate: f64, target: f64) -> Pending {
         self.account_mut(cell).add_pending(rate, target)
     }
 
@@ -176,12 +176,12 @@
     /// Requests that reach a later step are harder than average. If they kept the
     /// rate of the whole ladder, the unrated ones would count as better than they
     /// are, and the class would end below its target.
-    pub fn escalated(&mut self, cell: Cell, pending: Pending, rate: f64) -> Pending {
+    pub fn update_pending(&mut self, cell: Cell, pending: Pending, rate: f64) -> Pending {
         self.account_mut(cell).update_pending(pending, rate)
     }
 
     /// Records the rating of a request's final answer.
-    pub fn close(&mut self, cell: Cell, pending: Pending, pass: bool) {
+    pub fn record_final_rating(&mut self, cell: Cell, pending: Pending, pass: bool) {
         self.account_mut(cell).record_rating(pending, pass);
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Removes a request that produced no answer.
-    pub fn void(&mut self, cell: Cell, pending: Pending) {
+    pub fn remove_pending(&mut self, cell: Cell, pending: Pending) {
         self.account_mut(cell).remove_pending(pending);
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Records a finished run.
-    pub fn ran(&mut self, cell: Cell, version: &Version, millis: Millis, output_tokens: u32, now: Timestamp) {
+    pub fn record_run(&mut self, cell: Cell, version: &Version, millis: Millis, output_tokens: u32, now: Timestamp) {
         let general = version_key(version);
         let class = combine(general, self.register_class(cell).class);
         if self.speeds.len() >= MAX_CELLS {
--- a/crates/route/src/quality/pending_answers.rs
+++ b/crates/route/src/quality/pending_answers.rs
@@ -4,7 +4,7 @@
 
 use world::{Millis, Timestamp, model::Version};
 
-use super::{Book, Cell, Hasher, Pending, Stage};
+use super::{Cell, Estimates, Hasher, Pending, Stage};
 
 /// Maximum number of answers with a pending rating at an instance; beyond it the
 /// oldest lapses.
@@ -22,7 +22,7 @@
     pub version: &'a Version,
     /// Position in the ladder.
     pub stage: Stage,
-    /// Value that [`Book::open`] returned for the request.
+    /// Value that [`Estimates::open`] returned for the request.
     pub pending: Pending,
 }
 
@@ -33,7 +33,7 @@
 /// the rating service has then skipped it. While the service is down nothing
 /// lapses, so that the account stays cautious during the outage.
 #[derive(Debug, Clone, Default)]
-pub struct Ledger {
+pub struct PendingAnswers {
     waiting: HashMap<u64, PendingAnswer, Hasher>,
     order: VecDeque<(Timestamp, u64)>,
 }
@@ -47,11 +47,11 @@
     pending: Pending,
 }
 
-impl Ledger {
+impl PendingAnswers {
     /// Adds an answer given at `now`; `id` is the hash of its request.
-    pub fn answered(&mut self, book: &mut Book, id: u64, answer: &Answer<'_>, now: Timestamp) {
+    pub fn answered(&mut self, quality: &mut Estimates, id: u64, answer: &Answer<'_>, now: Timestamp) {
         if self.waiting.len() >= MAX_PENDING_ANSWERS {
-            self.lapse_oldest(book);
+            self.lapse_oldest(quality);
         }
         let Answer { cell, version, stage, pending } = *answer;
         self.waiting.insert(id, PendingAnswer { at: now, cell, version: version.clone(), stage, pending });
@@ -59,12 +59,12 @@
     }
 
     /// Records a rating. Returns false if no answer is waiting for it.
-    pub fn rated(&mut self, book: &mut Book, id: u64, pass: bool) -> bool {
+    pub fn rated(&mut self, quality: &mut Estimates, id: u64, pass: bool) -> bool {
         let Some(waiting) = self.waiting.remove(&id) else { return false };
-        book.rate(waiting.cell, &waiting.version, waiting.stage, pass);
-        book.close(waiting.cell, waiting.pending, pass);
+        quality.record_rating(waiting.cell, &waiting.version, waiting.stage, pass);
+        quality.record_final_rating(waiting.cell, waiting.pending, pass);
         while self.order.front().is_some_and(|(at, _)| waiting.at.since(*at) > LAPSE_MS) {
-            self.lapse_oldest(book);
+            self.lapse_oldest(quality);
         }
         true
     }
@@ -75,10 +75,10 @@
         self.waiting.len()
     }
 
-    fn lapse_oldest(&mut self, book: &mut Book) {
+    fn lapse_oldest(&mut self, quality: &mut Estimates) {
         let Some((_, id)) = self.order.pop_front() else { return };
         if let Some(waiting) = self.waiting.remove(&id) {
-            book.lapse(waiting.cell, waiting.pending);
+            quality.lapse(waiting.cell, waiting.pending);
         }
     }
 }
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -45,13 +45,13 @@
     }
 
     /// Adds the tokens earned by one first attempt.
-    pub fn earn(&mut self, policy: &Policy) {
+    pub fn add_first_attempt(&mut self, policy: &Policy) {
         self.tokens = (self.tokens + policy.share).min(policy.burst);
     }
 
     /// Returns the number of tokens left; each whole token pays for one dispatch.
     #[must_use]
-    pub fn left(&self) -> f64 {
+    pub fn remaining(&self) -> f64 {
         self.tokens
     }
 
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -88,7 +88,7 @@
 
     /// Removes the stops of versions that the catalog has withdrawn, and of
     /// roll-outs that it no longer contains.
-    pub fn settle(&mut self, catalog: &Catalog) {
+    pub fn prune(&mut self, catalog: &Catalog) {
         self.0.retain(|version, stop| {
             let running = catalog.rollouts().get(&stop.rollout).is_some_and(|r| r.version == *version);
             running && !matches!(catalog.standing(version), Standing::Withdrawn | Standing::Unknown)
@@ -101,7 +101,13 @@
 /// A version under roll-out replaces its predecessor for the sessions exposed to
 /// it, and for all sessions once it is promoted.
 #[must_use]
-pub fn open(catalog: &Catalog, stops: &Stops, contract: &Contract, model: &model::Id, unit: Unit) -> Vec<Version> {
+pub fn startable_versions(
+    catalog: &Catalog,
+    stops: &Stops,
+    contract: &Contract,
+    model: &model::Id,
+    unit: Unit,
+) -> Vec<Version> {
     let Some(spec) = catalog.model(model) else { return Vec::new() };
     let versions = spec.versions.iter().map(|r| Version { model: model.clone(), number: r.version.clone() });
     versions
--- a/crates/route/tests/admission.rs
+++ b/crates/route/tests/admission.rs
@@ -22,7 +22,7 @@
     for _ in 0..turns {
         let admitted = queue.next(Timestamp(0)).expect("somebody waits");
         *shares.entry(admitted.customer.to_string()).or_default() += 1;
-        queue.finished(Timestamp(0));
+        queue.record_finish(Timestamp(0));
     }
     shares
 }
@@ -59,7 +59,7 @@
         .map(|due| queue.offer(&ticket(&a, 1, due), Timestamp(0)).expect("the deadline leaves enough time"));
     let mut turns = Vec::new();
     while let Some(admitted) = queue.next(Timestamp(0)) {
-        queue.finished(Timestamp(0));
+        queue.record_finish(Timestamp(0));
         turns.push(admitted.key);
     }
     assert_eq!(turns, [keys[1], keys[2], keys[0]]);
@@ -74,7 +74,7 @@
     let mut run = |customer: &Customer, now: u64| {
         queue.offer(&ticket(customer, 1, now + 1_000_000), Timestamp(now)).expect("the deadline leaves enough time");
         let admitted = queue.next(Timestamp(now)).expect("a request is waiting");
-        queue.finished(Timestamp(now));
+        queue.record_finish(Timestamp(now));
         admitted.priority
     };
     let small_first = run(&small, 0);
@@ -92,7 +92,7 @@
     for _ in 0..100 {
         queue.offer(&ticket(&a, 1, 1_000_000), Timestamp(0)).expect("the deadline leaves enough time");
         queue.next(Timestamp(0)).expect("a request is waiting");
-        queue.finished(Timestamp(0));
+        queue.record_finish(Timestamp(0));
     }
     for _ in 0..20 {
         queue.offer(&ticket(&a, 1, 1_000_000), Timestamp(0)).expect("the deadline leaves enough time");
@@ -185,7 +185,7 @@
                     running += 1;
                 },
                 Action::Finish if running > 0 => {
-                    queue.finished(now);
+                    queue.record_finish(now);
                     running -= 1;
                 }
                 Action::Finish => {}
--- a/crates/route/tests/endpoint.rs
+++ b/crates/route/tests/endpoint.rs
@@ -7,7 +7,7 @@
 };
 
 use proptest::{prelude::*, test_runner::RngSeed};
-use route::endpoint::{Choice, Event, Failure, Fleet, Key, Peer, Refusal, Report, Rule, Target, Wanted};
+use route::endpoint::{Choice, Event, Failure, Fleet, Key, Peer, Refusal, Report, Rule, RunRequest, Target};
 use world::{Catalog, Timestamp, endpoint::Id, model::Version, object::Object};
 
 const NOW: Timestamp = Timestamp(1_000_000);
@@ -47,7 +47,7 @@
 }
 
 fn choose(fleet: &Fleet, prefix: Option<u64>, avoid: &[Key], draw: u64, now: Timestamp) -> Result<Choice, Refusal> {
-    fleet.choose(&Wanted { target: &target(), prefix, avoid, draw }, now)
+    fleet.choose(&RunRequest { target: &target(), prefix, avoid, draw }, now)
 }
 
 fn id(fleet: &Fleet, key: Key) -> Id {
@@ -56,8 +56,8 @@
 
 fn fail(fleet: &mut Fleet, key: Key, times: u32, now: Timestamp) {
     for _ in 0..times {
-        fleet.on(Event::Dispatched(key), now);
-        fleet.on(Event::Failed { key, target: &target(), failure: Failure::Broken }, now);
+        fleet.handle(Event::Dispatched(key), now);
+        fleet.handle(Event::Failed { key, target: &target(), failure: Failure::Broken }, now);
     }
 }
 
@@ -83,7 +83,7 @@
     for _ in 0..4 {
         let again = choose(&fleet, Some(42), &[], 1, NOW).expect("there are some");
         assert_eq!(again.key, preferred.key, "most of its slots are free");
-        fleet.on(Event::Dispatched(preferred.key), NOW);
+        fleet.handle(Event::Dispatched(preferred.key), NOW);
     }
     let next = choose(&fleet, Some(42), &[], 1, NOW).expect("there are some");
     assert_eq!(preferred.rule, Rule::Preferred);
@@ -95,11 +95,11 @@
     let mut fleet = fleet(1, 6);
     let preferred = id(&fleet, choose(&fleet, Some(42), &[], 1, NOW).expect("there are some").key);
     let other = fleet.endpoints().map(|(_, e)| e.id.clone()).find(|id| *id != preferred).expect("there are six");
-    fleet.on(Event::Stored { endpoint: &other, prefix: 42 }, NOW);
+    fleet.handle(Event::Stored { endpoint: &other, prefix: 42 }, NOW);
     let held = choose(&fleet, Some(42), &[], 1, NOW).expect("there are some");
     assert_eq!((id(&fleet, held.key), held.rule), (other.clone(), Rule::Holder));
 
-    fleet.on(Event::Evicted { endpoint: &other, prefix: 42 }, NOW);
+    fleet.handle(Event::Evicted { endpoint: &other, prefix: 42 }, NOW);
     assert_eq!(choose(&fleet, Some(42), &[], 1, NOW).expect("there are some").rule, Rule::Preferred);
 }
 
@@ -113,13 +113,13 @@
     let usual = choose(&fleet, Some(42), &[], 1, NOW).expect("there are some");
     assert_eq!(usual.rule, Rule::Preferred, "the event that it is stored elsewhere was lost");
     let (holder, name) = fleet.endpoints().map(|(key, e)| (key, e.id.clone())).find(|e| e.0 != usual.key).expect("six");
-    fleet.on(Event::Stored { endpoint: &name, prefix: 42 }, NOW);
+    fleet.handle(Event::Stored { endpoint: &name, prefix: 42 }, NOW);
     // The prefix is evicted here, and the event is lost.
     let mut to_holder = 0;
     for draw in 0..64 {
         let choice = choose(&fleet, Some(42), &[], draw, NOW).expect("there are some");
         to_holder += usize::from(choice.key == holder);
-        fleet.on(Event::Dispatched(choice.key), NOW);
+        fleet.handle(Event::Dispatched(choice.key), NOW);
     }
     assert!((1..32).contains(&to_holder), "{to_holder} of 64 runs went to one of six endpoints");
 }
@@ -158,8 +158,8 @@
     for _ in 0..20 {
         for (place, key) in keys.iter().enumerate() {
             let millis = if place == 0 { 20_000 } else { 2_000 };
-            fleet.on(Event::Dispatched(*key), NOW);
-            fleet.on(Event::Finished { key: *key, target: &target(), millis, tokens: 100 }, NOW);
+            fleet.handle(Event::Dispatched(*key), NOW);
+            fleet.handle(Event::Finished { key: *key, target: &target(), millis, tokens: 100 }, NOW);
         }
     }
     let considered = |now| choose(&fleet, None, &[], 1, now).expect("some are left").considered;
@@ -175,7 +175,7 @@
     fail(&mut fleet, keys[0], 5, NOW);
     let before = fleet.limit([&target()], NOW);
     for _ in 0..200 {
-        fleet.on(Event::Dispatched(keys[1]), NOW);
+        fleet.handle(Event::Dispatched(keys[1]), NOW);
     }
     fleet.apply(&catalog(1, 7), &[peer(0, 1), peer(1, 1)]);
     let choice = choose(&fleet, None, &[], 1, NOW).expect("some are left");
@@ -207,8 +207,8 @@
     let mut fleet = fleet(1, 6);
     let (key, _) = fleet.endpoints().next().expect("there are six");
     for _ in 0..50 {
-        fleet.on(Event::Dispatched(key), NOW);
-        fleet.on(Event::Failed { key, target: &target(), failure: Failure::Full }, NOW);
+        fleet.handle(Event::Dispatched(key), NOW);
+        fleet.handle(Event::Failed { key, target: &target(), failure: Failure::Full }, NOW);
     }
     assert_eq!(choose(&fleet, None, &[], 1, NOW).expect("there are some").considered, 6);
 }
@@ -217,8 +217,8 @@
 fn an_endpoint_without_the_version_is_skipped_for_a_while() {
     let mut fleet = fleet(1, 2);
     let (key, _) = fleet.endpoints().next().expect("there are two");
-    fleet.on(Event::Dispatched(key), NOW);
-    fleet.on(Event::Failed { key, target: &target(), failure: Failure::NotLoaded }, NOW);
+    fleet.handle(Event::Dispatched(key), NOW);
+    fleet.handle(Event::Failed { key, target: &target(), failure: Failure::NotLoaded }, NOW);
     assert_eq!(choose(&fleet, None, &[], 1, NOW).expect("one is left").considered, 1);
     assert_eq!(choose(&fleet, None, &[], 1, NOW.plus(2_000)).expect("both are back").considered, 2);
 }
@@ -232,14 +232,14 @@
     for (index, endpoint) in ids.iter().enumerate() {
         let running = if index == 0 { 0 } else { 8 };
         let report = Report { as_of: NOW, running, queued: 0, slots: 16, loaded: None };
-        fleet.on(Event::Load { endpoint, report }, NOW.plus(2_000));
+        fleet.handle(Event::Load { endpoint, report }, NOW.plus(2_000));
     }
     let now = NOW.plus(2_000);
     let mut sent: BTreeMap<Id, u32> = BTreeMap::new();
     for draw in 0..40u64 {
         let draw = world::hash::stable(&draw.to_le_bytes());
         let key = choose(&fleet, None, &[], draw, now).expect("there are some").key;
-        fleet.on(Event::Dispatched(key), now);
+        fleet.handle(Event::Dispatched(key), now);
         *sent.entry(id(&fleet, key)).or_default() += 1;
     }
     assert!(sent[&ids[0]] <= 20, "{sent:?}");
@@ -342,7 +342,7 @@
                             prop_assert!(!leaving.contains(&choice.key));
                             prop_assert!(!avoid.contains(&choice.key));
                             prop_assert!(choice.load.is_finite() && choice.mean.is_finite());
-                            fleet.on(Event::Dispatched(choice.key), now);
+                            fleet.handle(Event::Dispatched(choice.key), now);
                         }
                         Err(refusal) => {
                             prop_assert_eq!(refusal, Refusal::NoneLeft);
@@ -353,20 +353,20 @@
                     }
                 }
                 Action::Finish(place, millis) => {
-                    fleet.on(Event::Finished { key: all[place].0, target: &target, millis, tokens: 10 }, now);
+                    fleet.handle(Event::Finished { key: all[place].0, target: &target, millis, tokens: 10 }, now);
                 }
                 Action::Fail(place, how) => {
                     let failure = failures[usize::from(how)];
-                    fleet.on(Event::Failed { key: all[place].0, target: &target, failure }, now);
+                    fleet.handle(Event::Failed { key: all[place].0, target: &target, failure }, now);
                 }
                 Action::Report { endpoint, age_ms, running } => {
                     let as_of = Timestamp(now.0 - age_ms.min(now.0));
                     let report = Report { as_of, running, queued: 0, slots: 16, loaded: None };
-                    fleet.on(Event::Load { endpoint: &all[endpoint].1, report }, now);
+                    fleet.handle(Event::Load { endpoint: &all[endpoint].1, report }, now);
                 }
                 Action::Leaving(place, is) => {
                     let (key, endpoint) = &all[place];
-                    fleet.on(Event::Leaving { endpoint, leaving: is }, now);
+                    fleet.handle(Event::Leaving { endpoint, leaving: is }, now);
                     if is { leaving.insert(*key) } else { leaving.remove(key) };
                 }
                 Action::Pass(millis) => now = now.plus(millis),
--- a/crates/route/tests/guard.rs
+++ b/crates/route/tests/guard.rs
@@ -49,7 +49,7 @@
             if !add_random_answer(&mut random, &mut steps[step], share, control_rate, new_rate) {
                 continue;
             }
-            if let Verdict::Stop(_) = guard::judge(policy, &rollout(step), &steps, &Window::default()) {
+            if let Verdict::Stop(_) = guard::evaluate(policy, &rollout(step), &steps, &Window::default()) {
                 return Some(steps.iter().map(|evidence| evidence.new.errors.n).sum());
             }
         }
@@ -113,7 +113,7 @@
     let mut steps = vec![Evidence::default(), Evidence::default(), step];
     let mut answers = 0;
     let stopped = |steps: &[Evidence], window: &Window| {
-        matches!(guard::judge(&policy, &rollout(2), steps, window), Verdict::Stop(_))
+        matches!(guard::evaluate(&policy, &rollout(2), steps, window), Verdict::Stop(_))
     };
     while !stopped(&steps, &window) {
         let mut sample = Evidence::default();
@@ -134,7 +134,7 @@
     let tally = |n, failed| Tally { errors: count(n, 0), ratings: count(n, failed), latency: Count::default() };
     let mut steps = vec![Evidence::default(); 5];
     steps[3] = Evidence { new: tally(2_000, 100), control: tally(2_000, 100) };
-    let verdict = |steps: &[Evidence]| guard::judge(&Policy::default(), &rollout(4), steps, &Window::default());
+    let verdict = |steps: &[Evidence]| guard::evaluate(&Policy::default(), &rollout(4), steps, &Window::default());
     steps[4].new = tally(200, 12);
     assert_eq!(verdict(&steps), Verdict::Advance);
     steps[4].new = tally(200, 70);
@@ -148,7 +148,7 @@
     let mut evidence = Evidence::default();
     evidence.new.errors = Count { n: 1_000, bad: 5 };
     evidence.control.errors = Count { n: 30_000, bad: 150 };
-    let judge = |policy: &Policy| guard::judge(policy, &rollout(0), &[evidence], &Window::default());
+    let judge = |policy: &Policy| guard::evaluate(policy, &rollout(0), &[evidence], &Window::default());
     assert_eq!(judge(&Policy::default()), Verdict::Continue);
     assert_eq!(judge(&Policy { min_rated: 0, ..Policy::default() }), Verdict::Advance);
 }
--- a/crates/route/tests/model.rs
+++ b/crates/route/tests/model.rs
@@ -5,7 +5,7 @@
 
 use route::{
     model::{self, Choice, Inputs, Rater, Refusal},
-    quality::{Book, Cell, Stage},
+    quality::{Cell, Estimates, Stage},
     rollout::{Stop, Stops, Unit},
 };
 use world::{
@@ -37,7 +37,7 @@
     left_ms: u64,
     ceiling: Amount,
     rater: Rater,
-    book: Book,
+    quality: Estimates,
     stops: Stops,
 }
 
@@ -58,8 +58,8 @@
         repeat: Repeat::Idempotent,
         left_ms: 60_000,
         ceiling: Amount(u64::MAX),
-        rater: Rater::Up,
-        book: Book::default(),
+        rater: Rater::Available,
+        quality: Estimates::default(),
         stops: Stops::default(),
     }
 }
@@ -78,7 +78,7 @@
 
     fn rated(mut self, version: &str, stage: Stage, passes: u32, fails: u32) -> Self {
         for n in 0..passes + fails {
-            self.book.rate(cell(), &parse_version(version), stage, n < passes);
+            self.quality.record_rating(cell(), &parse_version(version), stage, n < passes);
         }
         self
     }
@@ -99,7 +99,7 @@
             left_ms: self.left_ms,
             ceiling: self.ceiling,
             rater: self.rater,
-            book: &self.book,
+            quality: &self.quality,
         })
     }
 }
@@ -143,7 +143,7 @@
     cheapest_version_alone_if_it_meets_the_target: cheap_version_meets_target() => Ok(&["m@2"]);
     escalation_if_the_cheapest_version_alone_misses_the_target: cheap_version_misses_target() => Ok(&["m@2", "m@9"]);
     no_escalation_for_a_request_that_must_not_run_twice: Case { repeat: Repeat::Never, ..cheap_version_misses_target() } => Ok(&["m@9"]);
-    no_escalation_while_the_rating_service_is_down: Case { rater: Rater::Down, ..cheap_version_misses_target() } => Ok(&["m@9"]);
+    no_escalation_while_the_rating_service_is_down: Case { rater: Rater::Unavailable, ..cheap_version_misses_target() } => Ok(&["m@9"]);
     only_versions_that_the_contract_allows: case(EXPENSIVE_ONLY, "") => Ok(&["m@9"]);
     no_new_session_on_a_held_version: case(ALL, HELD).rated("m@1", Stage::First, 99, 1) => Ok(&["m@1"]);
     a_held_version_keeps_its_sessions: case(ALL, HELD).pinned(&[(0, "m@2")]).rated("m@2", Stage::First, 99, 1) => Ok(&["m@2"]);
--- a/crates/route/tests/properties.rs
+++ b/crates/route/tests/properties.rs
@@ -6,7 +6,7 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use route::{
     model::{self, Inputs, Rater, Reason, Refusal},
-    quality::{Book, Cell, Stage},
+    quality::{Cell, Estimates, Stage},
     rollout::{self, Stop, Stops, Unit},
 };
 use world::{
@@ -163,18 +163,18 @@
         stops
     }
 
-    fn book(&self, cell: Cell) -> Book {
-        let mut book = Book::default();
+    fn quality(&self, cell: Cell) -> Estimates {
+        let mut quality = Estimates::default();
         for (index, release) in self.releases.iter().enumerate() {
             for n in 0..release.passes + release.fails {
                 let stage = if n % 2 == 0 { Stage::First } else { Stage::Escalated };
-                book.rate(cell, &version(index), stage, n < release.passes);
+                quality.record_rating(cell, &version(index), stage, n < release.passes);
             }
             if release.runs_ms > 0 {
-                book.ran(cell, &version(index), release.runs_ms, 100, NOW);
+                quality.record_run(cell, &version(index), release.runs_ms, 100, NOW);
             }
         }
-        book
+        quality
     }
 
     fn most_cost(&self, catalog: &Catalog, version: &Version) -> Amount {
@@ -229,7 +229,7 @@
         let (catalog, stops, session) = (case.catalog(), case.stops(), case.session());
         let contract = catalog.contract(&customer).expect("the catalog contains the contract");
         let cell = Cell::new(&customer, &class);
-        let book = case.book(cell);
+        let quality = case.quality(cell);
         let chosen = model::choose(&Inputs {
             catalog: &catalog,
             customer: &customer,
@@ -244,8 +244,8 @@
             now: NOW,
             left_ms: case.left_ms,
             ceiling: Amount(case.ceiling),
-            rater: if case.rater_down { Rater::Down } else { Rater::Up },
-            book: &book,
+            rater: if case.rater_down { Rater::Unavailable } else { Rater::Available },
+            quality: &quality,
         });
         let open: Vec<_> = (0..case.releases.len())
             .map(version)
@@ -291,7 +291,7 @@
         let most = steps.iter().fold(Amount::ZERO, |sum, step| sum.saturating_add(case.most_cost(&catalog, step)));
         prop_assert_eq!(choice.ceiling(), most);
         prop_assert!(most <= Amount(case.ceiling));
-        let least: f64 = steps.iter().map(|step| book.speed(cell, step, NOW).least_ms()).sum();
+        let least: f64 = steps.iter().map(|step| quality.speed(cell, step, NOW).least_ms()).sum();
         prop_assert!(least <= f64::from(u32::try_from(case.left_ms).expect("less than a minute")));
 
         let reason = choice.reason();
--- a/crates/route/tests/retry.rs
+++ b/crates/route/tests/retry.rs
@@ -71,7 +71,7 @@
     let mut budget = Budget::new(policy);
     let mut dispatches = 0;
     for _ in 0..10_000 {
-        budget.earn(policy);
+        budget.add_first_attempt(policy);
         for tries in 1.. {
             dispatches += 1;
             let failed = Request { tries, ..request(Repeat::Idempotent, 1) };
@@ -105,17 +105,17 @@
                 _ => Failure::MayHaveRun,
             };
             let request = Request { repeat, tries, deadline: Timestamp(10_000), expected_ms };
-            let before = budget.left();
+            let before = budget.remaining();
             let decision = retry::decide(&policy, &mut budget, &request, failure, Timestamp(now), &mut random);
             if let Decision::Retry { after_ms } = decision {
                 prop_assert!(idempotent || failure != Failure::MayHaveRun);
                 prop_assert!(now + after_ms + expected_ms <= 10_000);
                 prop_assert!(kind != 1 || after_ms >= asked);
-                prop_assert!((before - budget.left() - 1.0).abs() < 1e-9);
+                prop_assert!((before - budget.remaining() - 1.0).abs() < 1e-9);
             } else {
-                prop_assert!((before - budget.left()).abs() < 1e-9, "a refusal costs nothing");
+                prop_assert!((before - budget.remaining()).abs() < 1e-9, "a refusal costs nothing");
             }
-            prop_assert!(budget.left() >= 0.0);
+            prop_assert!(budget.remaining() >= 0.0);
         }
     }
 }
--- a/crates/route/tests/rollout.rs
+++ b/crates/route/tests/rollout.rs
@@ -69,7 +69,8 @@
     let contract = contract(&catalog, customer);
     let mut counts = [0u64; 3];
     for unit in 0..10_000u64 {
-        let open = rollout::open(&catalog, stops, contract, &Id::parse("m").unwrap(), Unit(unit * 0x9E37_79B9));
+        let open =
+            rollout::startable_versions(&catalog, stops, contract, &Id::parse("m").unwrap(), Unit(unit * 0x9E37_79B9));
         assert!(open.contains(&version("9")), "other tiers stay available");
         for (index, number) in ["1", "2", "3"].into_iter().enumerate() {
             counts[index] += u64::from(open.contains(&version(number)));
@@ -122,9 +123,9 @@
 #[test]
 fn stop_is_dropped_once_the_catalog_withdraws_the_version() {
     let mut stops = stops_with("2", "r");
-    stops.settle(&catalog(&rollout_object("r", "2", "1", "exposing", 0.2)));
+    stops.prune(&catalog(&rollout_object("r", "2", "1", "exposing", 0.2)));
     assert!(stops.contains(&version("2")));
-    stops.settle(&catalog(&rollout_object("r", "2", "1", "withdrawn", 0.2)));
+    stops.prune(&catalog(&rollout_object("r", "2", "1", "withdrawn", 0.2)));
     assert!(!stops.contains(&version("2")));
 }
 
