--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -147,8 +147,8 @@
         version: "v1".into(),
         slots: 12,
         draining: false,
-        cold: Duration::ZERO,
-        born: None,
+        warmup_left: Duration::ZERO,
+        started_at_ms: None,
         revision: 1,
     }
 }
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -182,8 +182,8 @@
                 version: "v1".into(),
                 slots: 1_024,
                 draining: false,
-                cold: Duration::ZERO,
-                born: None,
+                warmup_left: Duration::ZERO,
+                started_at_ms: None,
                 revision: 0,
             })),
             Kind::Rollouts | Kind::Instances | Kind::Quarantine => None,
@@ -199,7 +199,7 @@
         })
     }
 
-    fn report<'a>(&'a self, _: &'a Rollout, _: Stage) -> BoxFuture<'a, Result<(), Fault>> {
+    fn report_stage<'a>(&'a self, _: &'a Rollout, _: Stage) -> BoxFuture<'a, Result<(), Fault>> {
         Box::pin(async { Ok(()) })
     }
 
@@ -211,11 +211,11 @@
         Box::pin(async { Ok(()) })
     }
 
-    fn refuse<'a>(&'a self, _: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
+    fn store_refused<'a>(&'a self, _: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
         Box::pin(async { Ok(()) })
     }
 
-    fn allow<'a>(&'a self, _: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
+    fn delete_refused<'a>(&'a self, _: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
         Box::pin(async { Ok(()) })
     }
 }
@@ -230,8 +230,8 @@
             prefix: prefix.into(),
             kind,
             timeout: Duration::from_secs(20),
-            goal: Duration::from_secs(10),
-            pause: None,
+            target_time: Duration::from_secs(10),
+            target_pause: None,
             rank: 0,
             attempts: 1,
             public: true,
@@ -250,13 +250,13 @@
         domain: "here".into(),
         listeners: Listeners { front: free, ready: free, directory: free, news: free },
         seeds: Vec::new(),
-        revoke: None,
-        replace: None,
+        revocation_bound: None,
+        replacement_bound: None,
         allowance: allowance::Policy { ratio: 0.9, reserve: 50.0, window: Duration::from_secs(10) },
-        exposure: 0.1,
-        session: Duration::from_secs(5),
+        max_exposure: 0.1,
+        max_session_pause: Duration::from_secs(5),
         grace: Duration::from_secs(8),
-        keep_addresses: Duration::from_secs(5),
+        max_address_cache_time: Duration::from_secs(5),
         cores: Cores::default(),
         body_memory: 64 << 20,
     }
@@ -269,26 +269,26 @@
             request: name("x-request"),
             deadline: name("x-deadline"),
             key: name("x-key"),
-            team: name("x-team"),
+            customer: name("x-team"),
             expect_endpoint: name("x-expect"),
             model: name("x-model"),
             tokens: name("x-tokens"),
-            parts: name("x-parts"),
+            prompt_parts: name("x-parts"),
             session: name("x-session"),
             rank: name("x-rank"),
             last_event: name("last-event-id"),
             not_run: name("x-not-run"),
             signature: name("x-signature"),
             confidence: name("x-confidence"),
-            limit: HeaderName::from_static("x-limit"),
-            fetch: HeaderName::from_static("x-fetch"),
+            rate_limit: HeaderName::from_static("x-limit"),
+            copy_from: HeaderName::from_static("x-fetch"),
             reserved: Vec::new(),
         },
         ready_path: "/ready",
         addresses_path: "/addresses",
-        asking_domain: |_| None,
-        addresses: |_, _| Bytes::new(),
+        parse_caller_domain: |_| None,
+        build_addresses: |_, _| Bytes::new(),
         cache_path: "/cache",
-        cached: |_| Vec::new(),
+        parse_cached: |_| Vec::new(),
     }
 }
--- a/crates/relay/src/caches.rs
+++ b/crates/relay/src/caches.rs
@@ -35,7 +35,7 @@
             tracing::debug!(engine = engine.id, "engine does not list its cache");
             continue;
         };
-        let cached = (dispatcher.dialect.cached)(&body);
+        let cached = (dispatcher.dialect.parse_cached)(&body);
         parts += cached.len();
         dispatcher.record_cache(&engine, &cached);
     }
--- a/crates/relay/src/catalog.rs
+++ b/crates/relay/src/catalog.rs
@@ -16,7 +16,7 @@
     /// Services by name.
     pub services: HashMap<String, Arc<Service>>,
     /// Customers by access key; `None` if access keys are not used.
-    pub keys: Option<HashMap<String, Arc<Team>>>,
+    pub keys: Option<HashMap<String, Arc<Customer>>>,
     /// Limits on what callers may send.
     pub limits: Limits,
     /// Lowest and highest rank among the routes that have a ladder of models; maintained by
@@ -36,9 +36,9 @@
     /// Longest time that a request may take.
     pub timeout: Duration,
     /// Target time to the answer, or to the first event of a stream.
-    pub goal: Duration,
+    pub target_time: Duration,
     /// Target for the longest pause between two events of a stream.
-    pub pause: Option<Duration>,
+    pub target_pause: Option<Duration>,
     /// Rank; 0 is served first.
     pub rank: u8,
     /// Maximum number of endpoints to which one request is sent.
@@ -103,7 +103,7 @@
 
 /// A customer that owns access keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Team {
+pub struct Customer {
     /// Name.
     pub name: String,
     /// Rank of the customer's requests; takes precedence over the route's rank.
--- a/crates/relay/src/catalog/wire.rs
+++ b/crates/relay/src/catalog/wire.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Catalog, Kind, Limits, Model, Route, Service, Target, Team};
+use super::{Catalog, Customer, Kind, Limits, Model, Route, Service, Target};
 
 /// Serialized form of [`Catalog`].
 #[derive(Debug, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
 impl From<&Catalog> for CatalogCopy {
     fn from(catalog: &Catalog) -> Self {
         let routes = |routes: &Vec<Arc<Route>>| routes.iter().map(|route| RouteCopy::from(&**route)).collect();
-        let team = |team: &Team| TeamCopy { name: team.name.clone(), rank: team.rank };
+        let team = |team: &Customer| TeamCopy { name: team.name.clone(), rank: team.rank };
         let Limits { header_bytes, body_bytes, header_time, idle_time } = catalog.limits;
         Self {
             version: catalog.version,
@@ -73,7 +73,7 @@
         let size = |bytes: u64| usize::try_from(bytes).unwrap_or(usize::MAX);
         let service =
             |(name, memory_tokens): (String, Option<u64>)| (name.clone(), Arc::new(Service { name, memory_tokens }));
-        let team = |(key, team): (String, TeamCopy)| (key, Arc::new(Team { name: team.name, rank: team.rank }));
+        let team = |(key, team): (String, TeamCopy)| (key, Arc::new(Customer { name: team.name, rank: team.rank }));
         let mut catalog = Self {
             version: copy.version,
             services: copy.services.into_iter().map(service).collect(),
@@ -102,8 +102,8 @@
             prefix: route.prefix.clone(),
             kind: route.kind.into(),
             timeout: route.timeout,
-            goal: route.goal,
-            pause: route.pause,
+            goal: route.target_time,
+            pause: route.target_pause,
             rank: route.rank,
             attempts: route.attempts,
             public: route.public,
@@ -120,8 +120,8 @@
             prefix: copy.prefix,
             kind: copy.kind.into(),
             timeout: copy.timeout,
-            goal: copy.goal,
-            pause: copy.pause,
+            target_time: copy.goal,
+            target_pause: copy.pause,
             rank: copy.rank,
             attempts: copy.attempts,
             public: copy.public,
--- a/crates/relay/src/catalog/wire/tests.rs
+++ b/crates/relay/src/catalog/wire/tests.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use super::CatalogCopy;
-use crate::catalog::{Catalog, Kind, Limits, Model, Route, Service, Target, Team};
+use crate::catalog::{Catalog, Customer, Kind, Limits, Model, Route, Service, Target};
 
 fn route(prefix: &str, kind: Kind) -> Route {
     Route {
@@ -11,8 +11,8 @@
         prefix: prefix.into(),
         kind,
         timeout: Duration::from_millis(1_200),
-        goal: Duration::from_millis(150),
-        pause: matches!(kind, Kind::Stream { .. }).then_some(Duration::from_millis(600)),
+        target_time: Duration::from_millis(150),
+        target_pause: matches!(kind, Kind::Stream { .. }).then_some(Duration::from_millis(600)),
         rank: 2,
         attempts: 3,
         public: kind == Kind::Idempotent,
@@ -21,7 +21,7 @@
     }
 }
 
-fn catalog(keys: Option<HashMap<String, Arc<Team>>>) -> Catalog {
+fn catalog(keys: Option<HashMap<String, Arc<Customer>>>) -> Catalog {
     let mut catalog = Catalog {
         version: 7,
         services: HashMap::from([(
@@ -51,5 +51,5 @@
 copies! {
     without_keys: None;
     with_an_empty_key_set: Some(HashMap::new());
-    with_a_customer: Some(HashMap::from([("key".into(), Arc::new(Team { name: "club".into(), rank: Some(1) }))]));
+    with_a_customer: Some(HashMap::from([("key".into(), Arc::new(Customer { name: "club".into(), rank: Some(1) }))]));
 }
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -17,18 +17,18 @@
     /// Path at which callers request the addresses of instances.
     pub addresses_path: &'static str,
     /// Reads the caller's failure domain from the query of an address request.
-    pub asking_domain: fn(&str) -> Option<String>,
+    pub parse_caller_domain: fn(&str) -> Option<String>,
     /// Builds the body that lists addresses and for how many seconds to cache them.
-    pub addresses: fn(&[SocketAddr], u32) -> Bytes,
+    pub build_addresses: fn(&[SocketAddr], u32) -> Bytes,
     /// Path at which an engine lists its prompt cache.
     pub cache_path: &'static str,
     /// Parses such a list, skipping invalid entries.
-    pub cached: fn(&[u8]) -> Vec<Cached>,
+    pub parse_cached: fn(&[u8]) -> Vec<CachedPart>,
 }
 
 /// A part of a prompt that an engine holds in its cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Cached {
+pub struct CachedPart {
     /// Id of the part, as callers write it.
     pub part: String,
     /// Name of the model that processed the part.
@@ -45,7 +45,7 @@
     /// Access key of the caller; never forwarded.
     pub key: HeaderName,
     /// Customer that owns the access key, sent to endpoints.
-    pub team: HeaderName,
+    pub customer: HeaderName,
     /// Name of the only endpoint that may run the request.
     pub expect_endpoint: HeaderName,
     /// Requested model.
@@ -53,7 +53,7 @@
     /// Prompt tokens and maximum output tokens, separated by a comma.
     pub tokens: HeaderName,
     /// Parts of the prompt in order, as `ID:TOKENS` separated by commas.
-    pub parts: HeaderName,
+    pub prompt_parts: HeaderName,
     /// Session of the caller.
     pub session: HeaderName,
     /// Rank of the request at the engine; 0 is served first.
@@ -68,9 +68,9 @@
     pub confidence: HeaderName,
     /// Rate limit of the endpoint, in requests per second over all instances; in force until
     /// an answer comes without it.
-    pub limit: HeaderName,
+    pub rate_limit: HeaderName,
     /// Endpoint from whose prompt cache the shared prefix is to be copied first.
-    pub fetch: HeaderName,
+    pub copy_from: HeaderName,
     /// Headers that only this instance sets; they are removed from callers' requests.
     pub reserved: Vec<HeaderName>,
 }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -27,9 +27,11 @@
     if fronts.is_empty() {
         return answer::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let longest = u32::try_from(dispatcher.settings.keep_addresses.as_secs()).unwrap_or(ADDRESS_CACHE_S);
-    let mut response =
-        Response::new(answer::full_body((dispatcher.dialect.addresses)(&fronts, ADDRESS_CACHE_S.min(longest.max(1)))));
+    let longest = u32::try_from(dispatcher.settings.max_address_cache_time.as_secs()).unwrap_or(ADDRESS_CACHE_S);
+    let mut response = Response::new(answer::full_body((dispatcher.dialect.build_addresses)(
+        &fronts,
+        ADDRESS_CACHE_S.min(longest.max(1)),
+    )));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
@@ -44,6 +46,6 @@
 
 /// Returns the failure domain and IP address of the caller, as far as known.
 fn parse_caller(dispatcher: &Dispatcher, request: &Request<Incoming>) -> Caller {
-    let domain = request.uri().query().and_then(dispatcher.dialect.asking_domain);
+    let domain = request.uri().query().and_then(dispatcher.dialect.parse_caller_domain);
     Caller { domain, from: request.extensions().get().map(|CallerIp(address)| *address) }
 }
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -145,7 +145,7 @@
     pub fn new(settings: Settings, dialect: Dialect) -> Arc<Self> {
         let state = State {
             catalog: None,
-            lease: Lease::new(settings.revoke),
+            lease: Lease::new(settings.revocation_bound),
             allowances: HashMap::new(),
             fleet: fleet::Fleet::default(),
             notices: fleet::Notices::new(clock::now()),
@@ -154,14 +154,14 @@
             unwritten_changes: VecDeque::new(),
             peers: peers::Peers::default(),
             rollouts: rollouts::Rollouts::default(),
-            synchronization: synchronization::Synchronization::new(settings.replace),
+            synchronization: synchronization::Synchronization::new(settings.replacement_bound),
             knowledge: Knowledge::Nothing,
             in_touch: false,
             is_narrow: false,
             store_failed_once: false,
             draining_since: None,
             in_flight: 0,
-            session_lifetime: settings.session,
+            session_lifetime: settings.max_session_pause,
             held_body_bytes: 0,
         };
         Arc::new(Self {
--- a/crates/relay/src/dispatcher/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -170,7 +170,7 @@
         let mut state = self.lock();
         state.update_limit_shares(now);
         state.fleet.refresh_pool(job.service, &self.settings.domain, now);
-        let selection = state.select_endpoint(job, now, self.settings.exposure)?;
+        let selection = state.select_endpoint(job, now, self.settings.max_exposure)?;
         let (nominal_ms, expected_ms) = (selection.nominal_ms(), selection.expected_ms());
         let Selection { key, arm, choice, latency, units, source, .. } = selection;
         let server = state.fleet.servers.get_mut(key)?;
@@ -183,8 +183,8 @@
         if is_announced {
             self.notices_ready.notify_one();
         }
-        if job.in_session && arm == Arm::Old && canary::is_in_trial_group(job.session, self.settings.exposure) {
-            state.rollouts.record_session(job.session, now, self.settings.session);
+        if job.in_session && arm == Arm::Old && canary::is_in_trial_group(job.session, self.settings.max_exposure) {
+            state.rollouts.record_session(job.session, now, self.settings.max_session_pause);
         }
         let latency_key = LatencyKey { service: job.service.to_owned(), model: job.model };
         Some(Run {
@@ -214,7 +214,7 @@
         let mut state = self.lock();
         state.update_limit_shares(now);
         state.fleet.refresh_pool(job.service, &self.settings.domain, now);
-        Some(state.select_endpoint(job, now, self.settings.exposure)?.expected_ms())
+        Some(state.select_endpoint(job, now, self.settings.max_exposure)?.expected_ms())
     }
 
     /// Returns the expected time to the first byte at an idle endpoint, in milliseconds.
@@ -305,7 +305,7 @@
 /// the current one.
 #[must_use]
 pub fn start_hash(endpoint: &Endpoint) -> u32 {
-    match endpoint.born {
+    match endpoint.started_at_ms {
         None => short_hash(&endpoint.id),
         Some(born) => short_hash(&format!("{}/{born}", endpoint.id)),
     }
--- a/crates/relay/src/dispatcher/fleet/caches.rs
+++ b/crates/relay/src/dispatcher/fleet/caches.rs
@@ -10,7 +10,7 @@
 use world::hash;
 
 use super::{Fleet, start_hash};
-use crate::{catalog::Catalog, clock, dialect::Cached, dispatcher::Dispatcher, source::Endpoint};
+use crate::{catalog::Catalog, clock, dialect::CachedPart, dispatcher::Dispatcher, source::Endpoint};
 
 /// Returns the hash of a prompt part combined with its model. A part cached for one
 /// model is of no use to another.
@@ -37,12 +37,12 @@
     }
 
     /// Records the cache contents that an engine listed.
-    pub fn record_cache(&self, engine: &Endpoint, cached: &[Cached]) {
+    pub fn record_cache(&self, engine: &Endpoint, cached: &[CachedPart]) {
         let Some(catalog) = self.catalog() else { return };
         let now = clock::now();
         let holder = start_hash(engine);
         let mut state = self.lock();
-        for Cached { part, model } in cached {
+        for CachedPart { part, model } in cached {
             let Some(index) = model_index(&catalog, model) else { continue };
             let key = part_hash(affinity(hash::stable(part.as_bytes()), Some(index)));
             state.fleet.holders.record(key, holder, now);
--- a/crates/relay/src/dispatcher/fleet/registry.rs
+++ b/crates/relay/src/dispatcher/fleet/registry.rs
@@ -27,7 +27,7 @@
             Self::Same
         } else if received.revision < known.revision {
             Self::Old
-        } else if received.born == known.born {
+        } else if received.started_at_ms == known.started_at_ms {
             Self::Changed
         } else {
             // The revision decides which is newer, not the start time: the clock of the
@@ -61,7 +61,7 @@
                 version = endpoint.version,
                 address = %endpoint.address,
                 draining = endpoint.draining,
-                born = endpoint.born,
+                born = endpoint.started_at_ms,
                 revision = endpoint.revision,
                 "endpoint registered"
             );
--- a/crates/relay/src/dispatcher/rollouts.rs
+++ b/crates/relay/src/dispatcher/rollouts.rs
@@ -247,7 +247,7 @@
     /// Returns the sessions that recently ran on an old version here, to send with news.
     #[must_use]
     pub fn old_version_sessions(&self) -> Vec<u64> {
-        let (now, lifetime) = (clock::now(), self.settings.session);
+        let (now, lifetime) = (clock::now(), self.settings.max_session_pause);
         let mut state = self.lock();
         state.rollouts.sessions.retain(|_, seen| now < *seen + lifetime);
         state.rollouts.sessions.keys().copied().take(MAX_SENT_SESSIONS).collect()
@@ -287,7 +287,7 @@
                 order.stage = furthest(order.stage, report.stage);
             }
             let elapsed = now.saturating_sub(order.since);
-            let next = canary::next_stage(order.stage, elapsed, order.rollout.over, sum.new, sum.old);
+            let next = canary::next_stage(order.stage, elapsed, order.rollout.max_duration, sum.new, sum.old);
             if next != order.stage {
                 tracing::info!(
                     service = order.rollout.service,
--- a/crates/relay/src/dispatcher/synchronization.rs
+++ b/crates/relay/src/dispatcher/synchronization.rs
@@ -218,7 +218,7 @@
     pub fn reply(&self, question: Question, most: usize) -> Option<Reply> {
         let proof_age = self.keys_age()?;
         // A proof is an answer of the store too.
-        let silence = proof_age.min(clock::now().saturating_sub(self.catalog_progress.last()));
+        let silence = proof_age.min(clock::now().saturating_sub(self.catalog_progress.last_arrival()));
         let state = self.lock();
         if state.knowledge < Knowledge::Endpoints || !state.synchronization.orders_known {
             return None;
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -12,7 +12,7 @@
 use super::tries::Exchange;
 use crate::{
     answer::Refusal,
-    catalog::{Route, Team},
+    catalog::{Customer, Route},
     clock,
     dispatcher::{Dispatcher, Reservation},
     request_params::{RequestParams, end_to_end},
@@ -30,7 +30,7 @@
     /// Route of the request.
     pub route: Arc<Route>,
     /// Customer that owns the request's access key; `None` if no key is needed.
-    pub team: Option<Arc<Team>>,
+    pub team: Option<Arc<Customer>>,
     /// Urgency of the route among those that have a ladder of models.
     pub urgency: Urgency,
     /// Version of the catalog.
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -79,7 +79,7 @@
             attempts: self.admission.route.attempts,
             allowance: self.dispatcher.allows_extra_dispatch(service, Purpose::Escalation),
         };
-        let goal_ms = clock::millis(self.admission.route.goal).max(1.0);
+        let goal_ms = clock::millis(self.admission.route.target_time).max(1.0);
         let time = |model| {
             let job = self.job_at(service, Some(model));
             let now_ms = self.dispatcher.expected_ms(&job).unwrap_or(f64::INFINITY);
@@ -107,7 +107,7 @@
         if last || !route.kind.repeatable() {
             return self.left();
         }
-        first_byte_timeout(run.expected_ms(), route.goal)
+        first_byte_timeout(run.expected_ms(), route.target_time)
     }
 
     /// Builds the request to send to the endpoint of a run.
@@ -124,7 +124,7 @@
         headers.insert(names.deadline.clone(), request_params::value(&left.to_string()));
         headers.insert(names.expect_endpoint.clone(), request_params::value(&run.endpoint.id));
         if let Some(team) = &self.admission.team {
-            headers.insert(names.team.clone(), request_params::value(&team.name));
+            headers.insert(names.customer.clone(), request_params::value(&team.name));
         }
         if let Some(model) = model.and_then(|index| self.admission.route.models.get(index)) {
             headers.insert(names.model.clone(), request_params::value(&model.name));
@@ -134,7 +134,7 @@
             headers.insert(names.rank.clone(), request_params::value(&rank.min(9).to_string()));
         }
         if let Some(source) = run.source {
-            headers.insert(names.fetch.clone(), request_params::value(&source.to_string()));
+            headers.insert(names.copy_from.clone(), request_params::value(&source.to_string()));
         }
         if let Some(last) = last_event {
             headers.insert(names.last_event.clone(), request_params::value(&last.to_string()));
@@ -176,7 +176,7 @@
     fn outlook(&self, model: usize) -> Outlook {
         let job = self.job(Some(model));
         let Some(expected_ms) = self.dispatcher.expected_ms(&job) else { return Outlook::TooLate };
-        let goal_ms = clock::millis(self.admission.route.goal);
+        let goal_ms = clock::millis(self.admission.route.target_time);
         let passed_ms = clock::millis(clock::now().saturating_sub(self.started));
         if passed_ms + expected_ms <= goal_ms {
             Outlook::InTime
--- a/crates/relay/src/exchange/stream.rs
+++ b/crates/relay/src/exchange/stream.rs
@@ -99,7 +99,7 @@
 
 /// Waits for the next bytes of the stream, or until the run has to be abandoned.
 async fn next_bytes(exchange: &Exchange, active: &mut ActiveStream) -> Received {
-    let pause = exchange.admission.route.pause.unwrap_or(MIN_STALL);
+    let pause = exchange.admission.route.target_pause.unwrap_or(MIN_STALL);
     let stall = pause.mul_f64(STALL_FACTOR).max(MIN_STALL);
     for _ in 0..MAX_STALLS {
         let left = exchange.left();
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -348,7 +348,7 @@
         let is_conclusive = !listing.records.is_empty() || self.dispatcher.catalog().is_none();
         let proves = self.kind == Kind::Catalog && read == Read::Latest && is_conclusive;
         if self.kind == Kind::Catalog {
-            self.schedule.record_read(self.progress.transfer(), clock::now());
+            self.schedule.record_read(self.progress.transfer_time(), clock::now());
             self.dispatcher.set_narrow(self.schedule.was_last_read_long());
         }
         self.apply_listing(listing);
--- a/crates/relay/src/news/wire.rs
+++ b/crates/relay/src/news/wire.rs
@@ -351,8 +351,8 @@
                 version: endpoint.version,
                 slots: endpoint.slots,
                 draining: endpoint.draining,
-                cold_ms: millis_u32(endpoint.cold),
-                born: endpoint.born,
+                cold_ms: millis_u32(endpoint.warmup_left),
+                born: endpoint.started_at_ms,
                 revision: endpoint.revision,
             },
         }
@@ -365,8 +365,18 @@
             Change::Gone(id) => Self::Gone(id),
             Change::Known { id, service, address, domain, version, slots, draining, cold_ms, born, revision } => {
                 let cold = Duration::from_millis(u64::from(cold_ms));
-                let endpoint =
-                    Endpoint { id, service, address, domain, version, slots, draining, cold, born, revision };
+                let endpoint = Endpoint {
+                    id,
+                    service,
+                    address,
+                    domain,
+                    version,
+                    slots,
+                    draining,
+                    warmup_left: cold,
+                    started_at_ms: born,
+                    revision,
+                };
                 Self::Known(endpoint)
             }
         }
@@ -378,7 +388,7 @@
         Self {
             service: rollout.service,
             target: rollout.target,
-            over_ms: millis_u32(rollout.over),
+            over_ms: millis_u32(rollout.max_duration),
             stage: rollout.stage.map(stage_number),
             revision: rollout.revision,
         }
@@ -390,7 +400,7 @@
         Self {
             service: rollout_order.service,
             target: rollout_order.target,
-            over: Duration::from_millis(u64::from(rollout_order.over_ms)),
+            max_duration: Duration::from_millis(u64::from(rollout_order.over_ms)),
             stage: rollout_order.stage.map(stage_of),
             revision: rollout_order.revision,
         }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -67,8 +67,8 @@
 
 async fn write_change(source: &dyn Source, change: Change) -> Result<(), Fault> {
     let call = match &change {
-        Change::Refuse(refused) => source.refuse(refused),
-        Change::Allow(refused) => source.allow(refused),
+        Change::Refuse(refused) => source.store_refused(refused),
+        Change::Allow(refused) => source.delete_refused(refused),
     };
     timeout(SILENCE_TIMEOUT, call).await.unwrap_or_else(|_| Err(Fault::Lost("no answer in time".into())))
 }
--- a/crates/relay/src/report.rs
+++ b/crates/relay/src/report.rs
@@ -33,7 +33,7 @@
             continue;
         }
         for (rollout, stage) in unreported {
-            match timeout(SILENCE_TIMEOUT, source.report(&rollout, stage)).await {
+            match timeout(SILENCE_TIMEOUT, source.report_stage(&rollout, stage)).await {
                 Ok(Ok(())) => {
                     tracing::info!(service = rollout.service, target = rollout.target, ?stage, "stage reported");
                     unreported_checks = 0;
--- a/crates/relay/src/request_params.rs
+++ b/crates/relay/src/request_params.rs
@@ -56,7 +56,7 @@
             deadline: text(&names.deadline).and_then(|text| text.trim().parse().ok()).map(Duration::from_millis),
             key: text(&names.key).map(|key| key.trim().to_owned()),
             tokens: text(&names.tokens).and_then(tokens),
-            parts: text(&names.parts).map(parts).unwrap_or_default(),
+            parts: text(&names.prompt_parts).map(parts).unwrap_or_default(),
             session: text(&names.session).map(|session| hash::stable(session.as_bytes())),
             last_event: text(&names.last_event).and_then(|text| text.trim().parse().ok()),
             any_model: text(&names.model) == Some("*"),
--- a/crates/relay/src/rollout.rs
+++ b/crates/relay/src/rollout.rs
@@ -12,7 +12,7 @@
     /// Version to roll out.
     pub target: String,
     /// Time that the rollout may take.
-    pub over: Duration,
+    pub max_duration: Duration,
     /// Stage in the stored status; `None` before the first report.
     pub stage: Option<Stage>,
     /// Revision of the stored object, for conditional writes.
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -17,20 +17,20 @@
     pub seeds: Vec<SocketAddr>,
     /// Longest time for which a revoked access key may still work; `None` if revocation has
     /// no strict bound.
-    pub revoke: Option<Duration>,
+    pub revocation_bound: Option<Duration>,
     /// Longest time for which a catalog may be used after a newer one was confirmed to the
     /// operator; `None` if there is no bound.
-    pub replace: Option<Duration>,
+    pub replacement_bound: Option<Duration>,
     /// Limit on retries and other extra dispatches.
     pub allowance: allowance::Policy,
     /// Fraction of a service's requests that a bad version may get.
-    pub exposure: f64,
+    pub max_exposure: f64,
     /// Longest pause between two requests of one session.
-    pub session: Duration,
+    pub max_session_pause: Duration,
     /// Grace period for requests in flight at shutdown.
     pub grace: Duration,
     /// Longest time that callers may cache a list of addresses.
-    pub keep_addresses: Duration,
+    pub max_address_cache_time: Duration,
     /// CPU capacity of this instance.
     pub cores: Cores,
     /// Memory that request bodies may take in total, in bytes.
--- a/crates/relay/src/silence.rs
+++ b/crates/relay/src/silence.rs
@@ -41,7 +41,7 @@
             return result;
         }
         // A last arrival that belongs to an earlier call is too old to extend the limit.
-        let extended_deadline = progress.last() + SILENCE_TIMEOUT;
+        let extended_deadline = progress.last_arrival() + SILENCE_TIMEOUT;
         if extended_deadline <= deadline {
             return Err(Fault::Lost("no answer in time".into()));
         }
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -60,9 +60,9 @@
     /// Whether it is shutting down and should get no new requests.
     pub draining: bool,
     /// Remaining time for which it is slow after its start.
-    pub cold: Duration,
+    pub warmup_left: Duration,
     /// Start time in Unix milliseconds by its own clock, if it reports one.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Revision of the registration in the store.
     pub revision: u64,
 }
@@ -169,7 +169,7 @@
 
     /// Records the arrival of a part of an answer. The answer of a rejected call does not
     /// count.
-    pub fn note(&self) {
+    pub fn record_arrival(&self) {
         let now = u64::try_from(clock::now().as_micros()).unwrap_or(u64::MAX);
         self.first.compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed).ok();
         self.last.store(now, Ordering::Relaxed);
@@ -178,16 +178,16 @@
     /// Returns the time from the first to the last part of the last answer: its transfer
     /// time, without the processing time of the store.
     #[must_use]
-    pub fn transfer(&self) -> Duration {
+    pub fn transfer_time(&self) -> Duration {
         match self.first.load(Ordering::Relaxed) {
             0 => Duration::ZERO,
-            first => self.last().saturating_sub(Duration::from_micros(first)),
+            first => self.last_arrival().saturating_sub(Duration::from_micros(first)),
         }
     }
 
     /// Returns when a part of an answer last arrived; zero before the first.
     #[must_use]
-    pub fn last(&self) -> Duration {
+    pub fn last_arrival(&self) -> Duration {
         Duration::from_micros(self.last.load(Ordering::Relaxed))
     }
 }
@@ -209,13 +209,13 @@
     ) -> BoxFuture<'a, Result<Batch, Fault>>;
     /// Writes a rollout's stage to its status, unless the object has changed since it was
     /// read.
-    fn report<'a>(&'a self, rollout: &'a Rollout, stage: Stage) -> BoxFuture<'a, Result<(), Fault>>;
+    fn report_stage<'a>(&'a self, rollout: &'a Rollout, stage: Stage) -> BoxFuture<'a, Result<(), Fault>>;
     /// Registers this instance; the name may already be registered.
     fn register<'a>(&'a self, instance: &'a Instance) -> BoxFuture<'a, Result<(), Fault>>;
     /// Removes the registration of this instance.
     fn deregister<'a>(&'a self, name: &'a str) -> BoxFuture<'a, Result<(), Fault>>;
     /// Stores a quarantined request; it may already be stored.
-    fn refuse<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>>;
+    fn store_refused<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>>;
     /// Deletes a quarantined request; it may already be gone.
-    fn allow<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>>;
+    fn delete_refused<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>>;
 }
--- a/crates/relay/tests/it/large_pool.rs
+++ b/crates/relay/tests/it/large_pool.rs
@@ -65,7 +65,13 @@
 fn rare_version_is_found_in_a_large_pool() {
     let instance = instance_with_large_pool();
     let over = Duration::from_mins(1);
-    instance.apply_order(Rollout { service: SERVICE.into(), target: "v1".into(), over, stage: None, revision: 1 });
+    instance.apply_order(Rollout {
+        service: SERVICE.into(),
+        target: "v1".into(),
+        max_duration: over,
+        stage: None,
+        revision: 1,
+    });
     for session in 0..50 {
         let run = instance.place(&Job { session, ..prompt_job(None, 10) }).unwrap();
         assert_eq!(run.endpoint.version, "v2");
@@ -94,7 +100,7 @@
     let registered = endpoint("e5", ([127, 0, 0, 1], 1_005).into());
     instance.register_endpoint(relay::source::Endpoint {
         draining: true,
-        cold: Duration::ZERO,
+        warmup_left: Duration::ZERO,
         revision: 9,
         ..registered
     });
--- a/crates/relay/tests/it/requests.rs
+++ b/crates/relay/tests/it/requests.rs
@@ -120,7 +120,8 @@
         endpoints: vec![endpoint("e0", server.address)],
         ..StoreContents::default()
     };
-    let site = Site::start_with(contents, |settings| settings.revoke = Some(Duration::from_millis(1_600))).await;
+    let site =
+        Site::start_with(contents, |settings| settings.revocation_bound = Some(Duration::from_millis(1_600))).await;
     assert_eq!(caller::call(site.front(), "GET", "/a/x", "", "").await.status, 200);
     site.store.change(|contents| contents.silent = true);
     let refused = loop {
--- a/crates/relay/tests/it/restarts.rs
+++ b/crates/relay/tests/it/restarts.rs
@@ -25,7 +25,7 @@
 /// Returns the registration of an endpoint that started at `born`, written at `revision` of the
 /// store.
 fn registration(id: &str, port: u16, born: u64, revision: u64) -> Endpoint {
-    Endpoint { born: Some(born), revision, ..endpoint(id, ([127, 0, 0, 1], port).into()) }
+    Endpoint { started_at_ms: Some(born), revision, ..endpoint(id, ([127, 0, 0, 1], port).into()) }
 }
 
 /// Returns an instance that knows the first starts of two endpoints, and another instance.
@@ -140,7 +140,7 @@
     instance.register_endpoint(Endpoint { draining: true, ..registration("e0", 9, 100, 15) });
     let known = instance.known_endpoints();
     let e0 = known.iter().find(|endpoint| endpoint.id == "e0").expect("e0 should be known");
-    assert_eq!((e0.born, e0.draining), (Some(200), false));
+    assert_eq!((e0.started_at_ms, e0.draining), (Some(200), false));
 }
 
 /// The clock of a server's machine is set back, and the server restarts: the new start looks
@@ -177,7 +177,7 @@
 async fn restart_is_detected_by_a_listing() {
     let actions = || vec![Action::Write(ok_response("ok"))];
     let (silent, healthy) = (Server::start(vec![Action::Hang(String::new())]).await, Server::start(actions()).await);
-    let first = Endpoint { born: Some(100), revision: 1, ..endpoint("e0", silent.address) };
+    let first = Endpoint { started_at_ms: Some(100), revision: 1, ..endpoint("e0", silent.address) };
     let contents = StoreContents {
         catalog: Some(catalog(1, vec![route("/a/", Kind::Idempotent)])),
         endpoints: vec![first.clone(), endpoint("e1", healthy.address)],
@@ -191,9 +191,10 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     let restarted = Server::start(actions()).await;
-    let second = Endpoint { address: restarted.address, born: Some(200), revision: 9, ..first };
+    let second = Endpoint { address: restarted.address, started_at_ms: Some(200), revision: 9, ..first };
     site.store.change(|contents| contents.endpoints[0] = second);
-    let has_restarted = || site.relay.dispatcher().known_endpoints().iter().any(|endpoint| endpoint.born == Some(200));
+    let has_restarted =
+        || site.relay.dispatcher().known_endpoints().iter().any(|endpoint| endpoint.started_at_ms == Some(200));
     while !has_restarted() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
--- a/crates/relay/tests/it/rollouts.rs
+++ b/crates/relay/tests/it/rollouts.rs
@@ -26,7 +26,7 @@
 const ROLLOUT_TIME: Duration = Duration::from_mins(1);
 
 fn rollout() -> Rollout {
-    Rollout { service: SERVICE.into(), target: "v2".into(), over: ROLLOUT_TIME, stage: None, revision: 1 }
+    Rollout { service: SERVICE.into(), target: "v2".into(), max_duration: ROLLOUT_TIME, stage: None, revision: 1 }
 }
 
 /// Starts a relay in front of one endpoint of each version, with an order to roll the new one
@@ -46,7 +46,7 @@
         ..StoreContents::default()
     };
     // The new version may get a large share of the requests, so that few requests suffice.
-    let site = Site::start_with(contents, |settings| settings.exposure = 1.0).await;
+    let site = Site::start_with(contents, |settings| settings.max_exposure = 1.0).await;
     (old, new, site)
 }
 
--- a/crates/relay/tests/it/site.rs
+++ b/crates/relay/tests/it/site.rs
@@ -15,8 +15,8 @@
 use http::HeaderName;
 use relay::{
     Handle, Settings,
-    catalog::{Catalog, Kind, Model, Route, Service, Target, Team},
-    dialect::{Cached, Dialect, Names},
+    catalog::{Catalog, Customer, Kind, Model, Route, Service, Target},
+    dialect::{CachedPart, Dialect, Names},
     rollout::Rollout,
     settings::{Cores, Listeners},
     source::{self, Batch, Change, Endpoint, Fault, Instance, Listing, Progress, Record, Refused, Source},
@@ -165,9 +165,9 @@
                 (contents.refuses, contents.transfer)
             };
             if !refuses {
-                progress.note();
+                progress.record_arrival();
                 tokio::time::sleep(transfer).await;
-                progress.note();
+                progress.record_arrival();
             }
             if kind == source::Kind::Catalog {
                 self.catalog_reads.fetch_add(1, Ordering::Relaxed);
@@ -205,16 +205,16 @@
                 if self.contents.borrow().silent {
                     std::future::pending::<()>().await;
                 }
-                progress.note();
+                progress.record_arrival();
                 return Ok(Batch { revision: from, changes: Vec::new() });
             }
-            progress.note();
+            progress.record_arrival();
             // The store keeps no history: a watch that is behind has to list again.
             Err(Fault::Compacted)
         })
     }
 
-    fn report<'a>(&'a self, _: &'a Rollout, stage: Stage) -> BoxFuture<'a, Result<(), Fault>> {
+    fn report_stage<'a>(&'a self, _: &'a Rollout, stage: Stage) -> BoxFuture<'a, Result<(), Fault>> {
         self.reported.lock().unwrap().push(stage);
         Box::pin(async { Ok(()) })
     }
@@ -227,11 +227,11 @@
         Box::pin(async { Ok(()) })
     }
 
-    fn refuse<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
+    fn store_refused<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
         self.write(|contents| contents.refused.push(*refused))
     }
 
-    fn allow<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
+    fn delete_refused<'a>(&'a self, refused: &'a Refused) -> BoxFuture<'a, Result<(), Fault>> {
         self.write(|contents| contents.refused.retain(|other| other.content != refused.content))
     }
 }
@@ -283,13 +283,13 @@
         domain: "tartu-a".into(),
         listeners: Listeners { front: free, ready: free, directory: free, news: free },
         seeds: Vec::new(),
-        revoke: Some(Duration::from_secs(5)),
-        replace: Some(Duration::from_secs(2)),
+        revocation_bound: Some(Duration::from_secs(5)),
+        replacement_bound: Some(Duration::from_secs(2)),
         allowance: allowance::Policy { ratio: 0.9, reserve: 20.0, window: Duration::from_secs(10) },
-        exposure: 0.15,
-        session: Duration::from_secs(5),
+        max_exposure: 0.15,
+        max_session_pause: Duration::from_secs(5),
         grace: Duration::from_secs(2),
-        keep_addresses: Duration::from_secs(5),
+        max_address_cache_time: Duration::from_secs(5),
         cores: Cores::default(),
         body_memory: 1 << 20,
     }
@@ -305,15 +305,15 @@
         version: "v1".into(),
         slots: 8,
         draining: false,
-        cold: Duration::ZERO,
-        born: None,
+        warmup_left: Duration::ZERO,
+        started_at_ms: None,
         revision: 0,
     }
 }
 
 /// Returns a catalog of routes with one customer.
 pub fn catalog(version: u64, routes: Vec<Route>) -> Catalog {
-    let team = Arc::new(Team { name: "club".into(), rank: None });
+    let team = Arc::new(Customer { name: "club".into(), rank: None });
     let service = Arc::new(Service { name: SERVICE.into(), memory_tokens: None });
     let mut catalog = Catalog {
         version,
@@ -334,8 +334,8 @@
         prefix: prefix.into(),
         kind,
         timeout: Duration::from_secs(20),
-        goal: Duration::from_secs(10),
-        pause: None,
+        target_time: Duration::from_secs(10),
+        target_pause: None,
         rank: 1,
         attempts: 3,
         public: false,
@@ -359,30 +359,30 @@
             request: name("x-request"),
             deadline: name("x-deadline"),
             key: name("x-key"),
-            team: name("x-team"),
+            customer: name("x-team"),
             expect_endpoint: name("x-expect"),
             model: name("x-model"),
             tokens: name("x-tokens"),
-            parts: name("x-parts"),
+            prompt_parts: name("x-parts"),
             session: name("x-session"),
             rank: name("x-rank"),
             last_event: name("last-event-id"),
             not_run: name("x-not-run"),
             signature: name("x-signature"),
             confidence: name("x-confidence"),
-            limit: name("x-limit"),
-            fetch: HeaderName::from_static("x-fetch"),
+            rate_limit: name("x-limit"),
+            copy_from: HeaderName::from_static("x-fetch"),
             reserved: ["x-key", "x-team", "x-expect", "x-rank"].map(name).to_vec(),
         },
         ready_path: "/ready",
         addresses_path: "/addresses",
-        asking_domain: |query| query.strip_prefix("domain=").map(str::to_owned),
-        addresses: |fronts, keep| format!("{fronts:?} {keep}").into(),
+        parse_caller_domain: |query| query.strip_prefix("domain=").map(str::to_owned),
+        build_addresses: |fronts, keep| format!("{fronts:?} {keep}").into(),
         cache_path: "/cache",
-        cached: |body| {
+        parse_cached: |body| {
             let cached = |line: &str| {
                 let (part, model) = line.split_once(' ')?;
-                Some(Cached { part: part.into(), model: model.into() })
+                Some(CachedPart { part: part.into(), model: model.into() })
             };
             String::from_utf8_lossy(body).lines().filter_map(cached).collect()
         },
--- a/crates/settings/tests/relay.rs
+++ b/crates/settings/tests/relay.rs
@@ -26,8 +26,8 @@
 fn good_settings_are_read() {
     let settings = Relay::parse(GOOD).unwrap();
     assert_eq!(settings.relay.instance, "front-1");
-    assert_eq!(settings.relay.revoke, Some(Duration::from_secs(5)));
-    assert_eq!(settings.relay.replace, Some(Duration::from_secs(2)));
+    assert_eq!(settings.relay.revocation_bound, Some(Duration::from_secs(5)));
+    assert_eq!(settings.relay.replacement_bound, Some(Duration::from_secs(2)));
     assert_eq!(settings.relay.allowance.window, Duration::from_secs(10));
     assert_eq!(settings.relay.body_memory, 65 << 20);
     assert_eq!(settings.log, "info");
@@ -36,13 +36,13 @@
 #[test]
 fn keys_without_a_strict_bound_have_none() {
     let settings = Relay::parse(&GOOD.replace("revoke_ms: 5000\n", "")).unwrap();
-    assert_eq!(settings.relay.revoke, None);
+    assert_eq!(settings.relay.revocation_bound, None);
 }
 
 #[test]
 fn replaced_catalogs_without_a_bound_have_none() {
     let settings = Relay::parse(&GOOD.replace("replace_ms: 2000\n", "")).unwrap();
-    assert_eq!(settings.relay.replace, None);
+    assert_eq!(settings.relay.replacement_bound, None);
 }
 
 macro_rules! faults {
