--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -249,7 +249,7 @@
                 dispatcher.update_peer(&message.name, from, Status::from(&message));
             }
             Ok(Packet::Evidence(name, orders)) => {
-                dispatcher.apply_reports(name, orders.iter().map(Report::from).collect())
+                dispatcher.apply_reports(name, orders.iter().map(Report::from).collect());
             }
             Ok(Packet::Notices(notices)) => take_notices(dispatcher, notices),
             Ok(Packet::PassOn(notices)) => {
--- a/crates/route/src/model.rs
+++ b/crates/route/src/model.rs
@@ -157,7 +157,7 @@
     }
 
     /// Returns the expected pass rate of the request once it has reached `step`,
-    /// for [`Estimates::open`] and [`Estimates::escalated`]. Zero past the last step.
+    /// for [`Estimates::add_pending`] and [`Estimates::update_pending`]. Zero past the last step.
     #[must_use]
     pub fn expected_pass_rate(&self, step: usize) -> f64 {
         self.expected_pass_rates.get(step).copied().unwrap_or_default()
--- a/crates/route/src/quality/pending_answers.rs
+++ b/crates/route/src/quality/pending_answers.rs
@@ -22,7 +22,7 @@
     pub version: &'a Version,
     /// Position in the ladder.
     pub stage: Stage,
-    /// Value that [`Estimates::open`] returned for the request.
+    /// Value that [`Estimates::add_pending`] returned for the request.
     pub pending: Pending,
 }
 
--- a/crates/route/src/relay/throttle.rs
+++ b/crates/route/src/relay/throttle.rs
@@ -7,7 +7,7 @@
 //! instances, selected by rendezvous hashing, share the limit evenly, and the others send
 //! nothing while it is in force.
 //!
-//! A sender's tokens accrue evenly and few can be max_tokens: one if there are as many senders
+//! A sender's tokens accrue evenly and few can be saved: one if there are as many senders
 //! as allowed. Over any window an endpoint thus gets its part of the limit and at most one
 //! request more for each sender that is allowed.
 
@@ -20,7 +20,7 @@
 const USABLE_FRACTION: f64 = 0.9;
 
 /// Number of senders to an endpoint in addition to one for each request per second that it
-/// accepts, and so the number of tokens that all senders may have max_tokens. More senders would
+/// accepts, and so the number of tokens that all senders may have saved. More senders would
 /// send more requests at once than an endpoint with a small limit can take.
 const MIN_SENDERS: usize = 4;
 
