--- a/crates/budget/src/account.rs
+++ b/crates/budget/src/account.rs
@@ -1,9 +1,10 @@
-//! A customer's budget for one period, as the platform keeps it.
+//! A customer's budget for one period, as stored in the platform.
 //!
-//! `budget/CUSTOMER/PERIOD` holds what is settled and every holder's grant.
-//! Their sum never exceeds the limit, since every change is a conditional
-//! update of this one object; and no holder spends more than its grant. So no
-//! order of races can overspend.
+//! The object `budget/CUSTOMER/PERIOD` holds the settled amount and every
+//! holder's grant. Their sum never exceeds the limit, because every change is
+//! a conditional update of this one object, and no holder spends more than its
+//! grant. So the budget cannot be overspent, whatever the order of concurrent
+//! changes.
 
 use std::collections::BTreeMap;
 
@@ -17,44 +18,46 @@
 
 use crate::period::Period;
 
-/// Start of all keys of budgets.
+/// Prefix of all budget keys.
 pub const PREFIX: &str = "budget/";
 
 /// A customer's budget for one period.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// Spent by holders that hold no more.
+    /// Amount spent by holders whose grants have ended.
     pub settled: Amount,
-    /// What each holder may spend, and may have spent, by [`name`].
+    /// Granted amount of each holder, by [`name`]. A holder may have spent any
+    /// part of it.
     pub grants: BTreeMap<String, Amount>,
 }
 
 impl Account {
-    /// The object's key.
+    /// Returns the key of the object in the platform.
     #[must_use]
     pub fn key(customer: &Customer, period: &Period) -> String {
         format!("{PREFIX}{customer}/{}", period.name)
     }
 
-    /// Settled and granted together.
+    /// Returns the sum of the settled amount and all grants.
     #[must_use]
     pub fn taken(&self) -> Amount {
         self.grants.values().fold(self.settled, |sum, grant| sum.saturating_add(*grant))
     }
 
-    /// What is left to grant of a limit.
+    /// Returns the part of `limit` that is neither settled nor granted.
     #[must_use]
     pub fn left(&self, limit: Amount) -> Amount {
         limit.saturating_sub(self.taken())
     }
 
-    /// A holder's grant; nothing when it holds none.
+    /// Returns a holder's grant, or `None` if it has none.
     #[must_use]
     pub fn grant(&self, holder: &Holder) -> Option<Amount> {
         self.grants.get(&name(holder)).copied()
     }
 
-    /// Adds to a holder's grant what it wants, or what is left.
+    /// Adds `want`, or what is left of `limit` if that is less, to a holder's
+    /// grant. Returns the amount added.
     pub fn cut(&mut self, holder: &Holder, want: Amount, limit: Amount) -> Amount {
         let got = want.min(self.left(limit));
         if got > Amount::ZERO {
@@ -64,15 +67,17 @@
         got
     }
 
-    /// Takes unspent money back from a holder's grant.
+    /// Subtracts unspent money from a holder's grant.
     pub fn give_back(&mut self, holder: &Holder, unspent: Amount) {
         if let Some(grant) = self.grants.get_mut(&name(holder)) {
             *grant = grant.saturating_sub(unspent);
         }
     }
 
-    /// Ends a holder's grant; false when it holds none, so that two that
-    /// settle it count it once.
+    /// Ends a holder's grant and counts `spent` as settled.
+    ///
+    /// Returns false and changes nothing if the holder has no grant, so that
+    /// two instances that settle the same grant count it once.
     pub fn settle(&mut self, holder: &Holder, spent: Amount) -> bool {
         if self.grants.remove(&name(holder)).is_none() {
             return false;
@@ -81,19 +86,21 @@
         true
     }
 
-    /// Every holder.
+    /// Returns all holders that have a grant.
     #[must_use]
     pub fn holders(&self) -> Vec<Holder> {
         self.grants.keys().filter_map(|text| parse(text)).collect()
     }
 }
 
-/// A holder as a text: `INSTANCE/INCARNATION/EPOCH`.
+/// Formats a holder as `INSTANCE/INCARNATION/EPOCH`, its key in
+/// [`Account::grants`].
 #[must_use]
 pub fn name(holder: &Holder) -> String {
     holder.to_string()
 }
 
+/// Parses a holder from the format of [`name`].
 fn parse(text: &str) -> Option<Holder> {
     let mut parts = text.split('/');
     let instance = instance::Id::parse(parts.next()?).ok()?;
--- a/crates/budget/src/error.rs
+++ b/crates/budget/src/error.rs
@@ -1,18 +1,19 @@
-//! Why nothing was reserved.
+//! Errors of reservations.
 
 use std::fmt;
 
 use world::time::Timestamp;
 
-/// Why nothing was reserved.
+/// Why a reservation failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The budget does not cover the request before its period ends.
+    /// The remaining budget of the period does not cover the request.
     Exhausted {
-        /// End of the period.
+        /// End of the period, when the next budget starts.
         until: Timestamp,
     },
-    /// The grant at hand does not cover it and the platform does not answer.
+    /// This instance's grant does not cover the request and the platform
+    /// cannot be reached to extend it.
     Unavailable,
 }
 
--- a/crates/budget/src/handle.rs
+++ b/crates/budget/src/handle.rs
@@ -1,4 +1,4 @@
-//! Reservations as the rest of an instance uses them.
+//! Handle through which the other parts of an instance reserve money.
 
 use journal::bill::Grant;
 use tokio::{
@@ -12,29 +12,30 @@
 
 use crate::{Error, purse::Reserve, task::Message};
 
-/// The budgets of one instance; cheap to clone.
+/// Handle to the budget task of one instance; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     pub(crate) tasks: mpsc::UnboundedSender<Message>,
 }
 
-/// Money set aside for one request. Dropped without [`Handle::commit`], it is
-/// free again.
+/// Money reserved for one request. Dropping it without [`Handle::commit`]
+/// releases the money.
 #[derive(Debug)]
 pub struct Reservation {
     customer: Customer,
     grant: Grant,
     ceiling: Amount,
-    /// Nothing once committed.
+    /// Channel on which the release is reported; `None` once committed.
     release: Option<mpsc::UnboundedSender<Message>>,
 }
 
 impl Handle {
-    /// Sets a request's price ceiling aside.
+    /// Reserves a request's price ceiling.
     ///
     /// # Errors
     ///
-    /// [`Error::Exhausted`], [`Error::Unavailable`]: the request must not run.
+    /// [`Error::Exhausted`] or [`Error::Unavailable`]; the request must not
+    /// run.
     pub async fn reserve(
         &self,
         customer: &Customer,
@@ -50,8 +51,9 @@
         Ok(Reservation { customer: customer.clone(), grant, ceiling, release: Some(self.tasks.clone()) })
     }
 
-    /// Ends a reservation of which `actual` was billed. Called when the bill
-    /// has its receipt, and also when its fate is unknown: it may count.
+    /// Ends a reservation of which `actual` was billed. Call it when the bill
+    /// has its receipt, and also when it is unknown whether the bill was
+    /// recorded, since it may count.
     pub fn commit(&self, mut reservation: Reservation, actual: Amount) {
         reservation.release = None;
         let _ = self.tasks.send(reservation.end(actual));
@@ -62,12 +64,13 @@
         drop(reservation);
     }
 
-    /// Sets `actual` aside anew for a bill that was refused because its grant
-    /// had been settled by another instance.
+    /// Reserves `actual` anew for a bill that was rejected because another
+    /// instance had settled its grant.
     ///
     /// # Errors
     ///
-    /// As [`Handle::reserve`]: the answer cannot be billed and must not be given.
+    /// As [`Handle::reserve`]. The answer cannot be billed and must not be
+    /// delivered.
     pub async fn renew(
         &self,
         reservation: Reservation,
@@ -82,8 +85,9 @@
         self.reserve(&customer, budget, actual, deadline).await
     }
 
-    /// Gives every grant back, for a shutdown; false when some could not be
-    /// until the deadline. Those are settled by their bills later.
+    /// Returns every grant to the account, for a shutdown. Returns false if
+    /// some could not be returned by the deadline; those are settled from
+    /// their bills later.
     pub async fn flush(&self, deadline: Instant) -> bool {
         let (done, flushed) = oneshot::channel();
         if self.tasks.send(Message::Flush(done)).is_err() {
@@ -92,7 +96,8 @@
         matches!(timeout_at(deadline, flushed).await, Ok(Ok(true)))
     }
 
-    /// How much of a customer's budget lies here, neither spent nor reserved.
+    /// Returns the amount of a customer's budget that this instance holds and
+    /// has neither spent nor reserved.
     pub async fn idle(&self, customer: &Customer) -> Amount {
         let (reply, answer) = oneshot::channel();
         if self.tasks.send(Message::Idle(customer.clone(), reply)).is_err() {
@@ -103,18 +108,19 @@
 }
 
 impl Reservation {
-    /// The grant that the bill has to name.
+    /// Returns the grant that the bill has to name.
     #[must_use]
     pub fn grant(&self) -> &Grant {
         &self.grant
     }
 
-    /// What is set aside.
+    /// Returns the reserved amount.
     #[must_use]
     pub fn ceiling(&self) -> Amount {
         self.ceiling
     }
 
+    /// Builds the message that ends this reservation with `actual` spent.
     fn end(&self, actual: Amount) -> Message {
         Message::Commit { customer: self.customer.clone(), grant: self.grant.clone(), ceiling: self.ceiling, actual }
     }
--- a/crates/budget/src/job.rs
+++ b/crates/budget/src/job.rs
@@ -1,4 +1,4 @@
-//! The writes that change an account, each repeated until its fate is known.
+//! Reads and conditional writes of one holder's grant in an account object.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
     wallet::{Sizing, cut_size},
 };
 
-/// Lost races before giving up for now.
+/// Number of conflicting writes after which an operation gives up.
 const RACES: usize = 16;
 
-/// Where an account is, and who holds a grant in it.
+/// Access to the account of one customer and period on behalf of one holder.
 #[derive(Debug, Clone)]
 pub(crate) struct Place {
     pub platform: store::Handle,
@@ -31,41 +31,45 @@
     pub recorder: Option<Recorder>,
 }
 
-/// What a cut asks for.
+/// Parameters of [`Place::cut`].
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Ask {
-    /// Least that helps.
+    /// Smallest extension that covers the first waiting request.
     pub least: Amount,
-    /// What waiting requests need.
+    /// Amount that the waiting requests need beyond what is available.
     pub missing: Amount,
-    /// What would last for a time.
+    /// Amount to keep available at the present spending rate.
     pub wanted: Amount,
-    /// What is at hand.
+    /// Amount of the grant that is neither spent nor reserved.
     pub available: Amount,
+    /// The customer's budget for the period.
     pub limit: Amount,
     pub sizing: Sizing,
-    /// Whether the holder held a grant before.
+    /// Whether the holder is known to have had a grant; then its absence means
+    /// that it was settled.
     pub held: bool,
 }
 
-/// How a cut ended.
+/// Result of [`Place::cut`].
 #[derive(Debug)]
 pub(crate) enum Cut {
-    /// The holder's grant stands at this much.
+    /// The holder's grant was extended to `grant`.
     Granted { grant: Amount, left: Amount, holders: Vec<Holder> },
-    /// Not enough is left.
+    /// The remaining budget is too small; the grant is unchanged.
     Exhausted { grant: Amount, left: Amount, holders: Vec<Holder> },
-    /// The holder was settled by another.
+    /// Another instance settled the holder's grant.
     Closed,
-    /// The platform failed; the grant may stand higher than known.
+    /// The platform failed; the grant may have been extended without this
+    /// instance knowing.
     Failed,
 }
 
 impl Place {
-    /// Adds to the holder's grant.
+    /// Extends the holder's grant.
     ///
-    /// The grant is taken from the object as read, never from memory plus the
-    /// cut: after a cut whose fate was unknown the object tells.
+    /// The new grant is always computed from the object as read, never from a
+    /// remembered value: after a write with an unknown outcome only the object
+    /// tells whether it took effect.
     pub async fn cut(&self, ask: Ask) -> Cut {
         for _ in 0..RACES {
             let Ok((item, mut account)) = self.read().await else {
@@ -90,7 +94,7 @@
                 }
                 Ok(false) => {}
                 Err(error) => {
-                    tracing::warn!(%error, customer = %self.customer, "no grant cut");
+                    tracing::warn!(%error, customer = %self.customer, "grant not extended");
                     return Cut::Failed;
                 }
             }
@@ -98,14 +102,17 @@
         Cut::Failed
     }
 
-    /// What is left to grant now; nothing when the platform fails.
+    /// Reads the amount that is left to grant, or `None` if the platform
+    /// fails.
     pub async fn left(&self, limit: Amount) -> Option<Amount> {
         self.read().await.ok().map(|(_, account)| account.left(limit))
     }
 
-    /// Gives unspent money back. The caller has taken it out of its wallet
-    /// before: should the answer be lost, it is idle until the next cut reads
-    /// the grant, and never spent twice.
+    /// Returns unspent money to the account.
+    ///
+    /// The caller has already removed it from its wallet. If the write's
+    /// response is lost, the money stays unused until the next extension reads
+    /// the grant; it is never spent twice.
     pub async fn give_back(&self, unspent: Amount) {
         for _ in 0..RACES {
             let Ok((item, mut account)) = self.read().await else {
@@ -120,16 +127,19 @@
         }
     }
 
-    /// Ends the holder's own grant, of which `spent` was spent.
+    /// Ends the holder's own grant, of which `spent` was spent. Returns
+    /// whether it is ended.
     pub async fn end(&self, spent: Amount) -> bool {
         self.settle_as(spent).await
     }
 
-    /// Ends a lost holder's grant by its bills.
+    /// Settles a lost holder's grant from its bills. Returns whether it is
+    /// settled.
     ///
-    /// Closing comes first: from then on no bill that names the holder is
-    /// recorded, so what the log holds is all it ever spent. A holder that
-    /// was paused and wakes gets its bills refused before its last frames go.
+    /// The holder is closed in the journal first: from then on no bill that
+    /// names it is recorded, so the recorded bills are all that it ever spent.
+    /// A holder that was paused and resumes has its bills rejected before it
+    /// sends the last frames of its answers.
     pub async fn settle(&self, journal: &journal::Handle, patience: Duration) -> bool {
         match self.read().await {
             Ok((_, account)) if account.grant(&self.holder).is_none() => return true,
@@ -137,7 +147,7 @@
             Err(_) => return false,
         }
         if let Err(error) = journal.close(&self.holder, Instant::now() + patience).await {
-            tracing::info!(%error, holder = %self.holder, "grant not closed, will try again");
+            tracing::info!(%error, holder = %self.holder, "lost holder not closed in the journal, will retry");
             return false;
         }
         let Ok(bills) = journal.all_bills().await else {
@@ -146,11 +156,12 @@
         let grant = Grant { holder: self.holder.clone(), period: self.period.start };
         let own = bills.iter().filter(|bill| bill.grant.as_ref() == Some(&grant));
         let spent = own.fold(Amount::ZERO, |sum, bill| sum.saturating_add(bill.amount));
-        tracing::info!(holder = %self.holder, customer = %self.customer, %spent, "lost grant settled by its bills");
+        tracing::info!(holder = %self.holder, customer = %self.customer, %spent, "grant of a lost holder settled from its bills");
         metrics::counter!("budget_grants_settled_total").increment(1);
         self.settle_as(spent).await
     }
 
+    /// Ends the holder's grant in the account and counts `spent` as settled.
     async fn settle_as(&self, spent: Amount) -> bool {
         for _ in 0..RACES {
             let Ok((item, mut account)) = self.read().await else {
@@ -171,6 +182,7 @@
         false
     }
 
+    /// Records a grant event on the time line.
     fn note(&self, action: GrantMove, amount: Amount) {
         if let Some(recorder) = &self.recorder {
             let (customer, currency) = (self.customer.clone(), self.currency);
@@ -178,13 +190,15 @@
         }
     }
 
+    /// Reads the account object; `None` and an empty account if it does not exist.
     async fn read(&self) -> Result<(Option<Item>, Account), Error> {
         let item = self.platform.get(Priority::Bill, &Account::key(&self.customer, &self.period)).await?;
         let account = item.as_ref().map(Item::read).transpose()?.unwrap_or_default();
         Ok((item, account))
     }
 
-    /// False when another changed the account first.
+    /// Writes the account on the condition that it has not changed since it
+    /// was read. Returns false if it has.
     async fn write(&self, item: Option<Item>, account: &Account) -> Result<bool, Error> {
         let write = match item {
             None => self.platform.create(Priority::Bill, &Account::key(&self.customer, &self.period), account).await?,
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,11 +1,12 @@
-//! Budget grants: escrow cut from a customer's budget.
+//! Budget grants: money reserved for this instance out of a customer's budget.
 //!
-//! The customer's budget of a period is one object ([`account`]). Each
-//! instance that serves the customer holds a grant in it, cut by conditional
-//! update ahead of need and sized to the spending rate ([`wallet`]). A
-//! request reserves its price ceiling from the grant before it runs; its bill
-//! names the grant. A lost instance's grant is settled from its bills, after
-//! the journal was told to take no more of them. [`spawn`] starts the task
+//! A customer's budget for one period is one object in the platform
+//! ([`account`]). Each instance that serves the customer holds a grant in that
+//! object. It extends the grant by conditional updates ahead of demand, by an
+//! amount that follows the spending rate ([`wallet`]). A request reserves its
+//! price ceiling from the grant before it runs, and its bill names the grant.
+//! The grant of a lost instance is settled from its bills, after the journal
+//! has been told to reject further bills against it. [`spawn`] starts the task
 //! and returns its [`Handle`].
 
 pub mod account;
@@ -27,32 +28,35 @@
 pub use period::Period;
 pub use wallet::Sizing;
 
-/// How an instance's budgets are set up.
+/// Configuration of one instance's budget task.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This run of this instance.
+    /// Instance and incarnation that hold the grants.
     pub origin: Origin,
-    /// Wall-clock time.
+    /// Clock that decides which budget period is current.
     pub clock: Clock,
     /// How grants are sized.
     pub sizing: Sizing,
-    /// Longest wait for the platform while a request waits.
+    /// Time limit of a platform call that a request waits for.
     pub patience: Duration,
-    /// How often wallets are tended.
+    /// Interval of the maintenance of wallets: closing unused ones, returning
+    /// excess money, settling grants of lost holders.
     pub tick: Duration,
-    /// A wallet unused for this long is given back.
+    /// Time without a reservation after which a wallet is closed and its
+    /// unspent money returned.
     pub idle_after: Duration,
-    /// A holder that is no member for this long is settled. Longer than the
-    /// bills of a lost instance take to arrive from their second holder.
+    /// Time that a holder must have been absent from the membership before its
+    /// grant is settled. Longer than the second holder of a lost instance's
+    /// bills takes to deliver them.
     pub settle_after: Duration,
-    /// Longest wait for one settlement's closing.
+    /// Time limit for closing a lost holder in the journal.
     pub settle_patience: Duration,
-    /// Records what becomes of grants.
+    /// Recorder for grant events; `None` records nothing.
     pub recorder: Option<timeline::Recorder>,
 }
 
 impl Config {
-    /// Defaults for one instance.
+    /// Returns the default configuration for one instance.
     #[must_use]
     pub fn new(origin: Origin) -> Self {
         Self {
@@ -69,7 +73,7 @@
     }
 }
 
-/// Starts this instance's budgets. Must run inside a tokio runtime.
+/// Starts this instance's budget task. Must run inside a tokio runtime.
 #[must_use]
 pub fn spawn(config: Config, platform: store::Handle, journal: journal::Handle) -> Handle {
     let (tasks, inbox) = mpsc::unbounded_channel();
--- a/crates/budget/src/period.rs
+++ b/crates/budget/src/period.rs
@@ -6,16 +6,16 @@
 /// One period of a budget.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Period {
-    /// Its first moment.
+    /// Start of the period, inclusive.
     pub start: Timestamp,
-    /// First moment of the next one.
+    /// End of the period, exclusive: start of the next one.
     pub end: Timestamp,
-    /// Its name in keys: `2026`, `2026-12` or `2026-12-31`.
+    /// Name of the period in keys: `2026`, `2026-12` or `2026-12-31`.
     pub name: String,
 }
 
 impl Period {
-    /// The period that `now` falls in.
+    /// Returns the period of the given kind that contains `now`.
     #[must_use]
     pub fn at(now: Timestamp, kind: contract::Period) -> Self {
         let date = civil(now).date();
@@ -34,12 +34,14 @@
     }
 }
 
+/// Converts a timestamp to a UTC date and time.
 fn civil(at: Timestamp) -> DateTime {
     let millis = i64::try_from(at.0).unwrap_or(i64::MAX);
     let instant = Instant::from_millisecond(millis).unwrap_or(Instant::MAX);
     TimeZone::UTC.to_datetime(instant)
 }
 
+/// Converts a UTC date and time to a timestamp.
 fn stamp(at: DateTime) -> Timestamp {
     let millis = TimeZone::UTC.to_timestamp(at).map_or(i64::MAX, Instant::as_millisecond);
     Timestamp(u64::try_from(millis).unwrap_or_default())
--- a/crates/budget/src/purse.rs
+++ b/crates/budget/src/purse.rs
@@ -1,4 +1,5 @@
-//! A wallet with its grant and the requests that wait for it.
+//! A wallet together with its grant in the account and the queue of requests
+//! that wait for money.
 
 use std::collections::VecDeque;
 
@@ -15,28 +16,30 @@
     wallet::{self, Sizing, Wallet},
 };
 
-/// A wallet with its grant and who waits for it.
+/// The wallet of one customer and period, its grant and its queue of waiting
+/// requests.
 #[derive(Debug)]
 pub(crate) struct Purse {
     pub place: Place,
     pub wallet: Wallet,
     pub budget: contract::Budget,
     pub waiting: VecDeque<Reserve>,
-    /// A cut or a return is under way.
+    /// Whether a read or write of the account is under way.
     pub busy: bool,
-    /// The object shows a grant of this holder.
+    /// Whether the account object is known to contain a grant of this holder.
     pub held: bool,
     /// Ceiling of the last request.
     pub last: Amount,
-    /// What was left to grant when the account was last read.
+    /// Amount that was left to grant when the account was last read.
     pub left: Amount,
-    /// No cut ahead of need before this.
+    /// Earliest time of the next extension ahead of demand.
     pub next_ahead: Instant,
-    /// What was left when too little was, and until when that is believed.
+    /// Remaining amount seen when it was last too small, and until when it is
+    /// taken to hold without reading again.
     pub dry: Option<(Amount, Instant)>,
 }
 
-/// A request that wants money set aside.
+/// A request that waits for its reservation.
 #[derive(Debug)]
 pub(crate) struct Reserve {
     pub customer: Customer,
@@ -46,10 +49,11 @@
 }
 
 impl Purse {
+    /// Reserves for waiting requests, in order, as far as the available money goes.
     pub fn give(&mut self) {
         let now = Instant::now();
         while let Some(reserve) = self.waiting.front() {
-            // Whoever does not wait any more gets nothing set aside.
+            // Skips requests whose caller no longer waits.
             if reserve.reply.is_closed() {
                 self.waiting.pop_front();
                 continue;
@@ -67,7 +71,8 @@
         }
     }
 
-    /// Refuses at once what a moment ago was more than all that is left.
+    /// Refuses all waiting requests without another read if the first one
+    /// needs more than was left a moment ago.
     pub fn refuse_dry(&mut self) {
         let (Some((left, until)), Some(first)) = (self.dry, self.waiting.front()) else {
             return;
@@ -79,17 +84,20 @@
         }
     }
 
+    /// Fails all waiting requests with `error`.
     pub fn refuse(&mut self, error: &Error) {
         for reserve in self.waiting.drain(..) {
             let _ = reserve.reply.send(Err(error.clone()));
         }
     }
 
+    /// Returns the amount to keep available.
     pub fn target(&self, sizing: &Sizing) -> Amount {
         let wanted = self.wallet.wanted(self.last, sizing);
         wallet::target(wanted, self.wallet.available(), self.left, sizing)
     }
 
+    /// Builds the request for an extension of the grant.
     pub fn ask(&self, sizing: Sizing) -> Ask {
         let wanted = self.wallet.wanted(self.last, &sizing);
         let available = self.wallet.available();
--- a/crates/budget/src/task.rs
+++ b/crates/budget/src/task.rs
@@ -21,36 +21,35 @@
     wallet::Wallet,
 };
 
-/// Cuts ahead of need, and looks at an exhausted account, are this far apart:
-/// the end of a budget would otherwise be a write or read per request.
+/// Least time between two extensions ahead of demand, and how long an
+/// exhausted account is taken for exhausted. Without it, the end of a budget
+/// would cost a write or read per request.
 const AHEAD_EVERY: Duration = Duration::from_secs(1);
 
-/// What the task is told.
+/// A message to the budget task.
 #[derive(Debug)]
 pub(crate) enum Message {
+    /// Reserves money for a request.
     Reserve(Reserve),
-    Commit {
-        customer: Customer,
-        grant: Grant,
-        ceiling: Amount,
-        actual: Amount,
-    },
-    /// A bill was refused since its grant was settled.
-    Closed {
-        customer: Customer,
-        grant: Grant,
-    },
+    /// Ends a reservation of `ceiling`, of which `actual` was spent.
+    Commit { customer: Customer, grant: Grant, ceiling: Amount, actual: Amount },
+    /// A bill was rejected because its grant had been settled by another
+    /// instance.
+    Closed { customer: Customer, grant: Grant },
+    /// Returns all grants and replies whether all were returned.
     Flush(oneshot::Sender<bool>),
+    /// Asks for the unspent and unreserved amount held for a customer.
     Idle(Customer, oneshot::Sender<Amount>),
 }
 
-/// What a wallet is found under.
+/// Key of a wallet: the customer and the start of the period.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Key {
     customer: Customer,
     period: Timestamp,
 }
 
+/// Result of a spawned job.
 #[derive(Debug)]
 enum Event {
     Cut(Key, Holder, Cut),
@@ -64,9 +63,12 @@
     platform: store::Handle,
     journal: journal::Handle,
     purses: HashMap<Key, Purse>,
+    /// Epoch of the next wallet's holder.
     epoch: u32,
-    /// Holders that are no members, since when, and where they hold.
+    /// Holders that are not in the membership, since when, and access to their
+    /// accounts.
     gone: HashMap<Holder, (Instant, Place)>,
+    /// Holders with a settlement under way.
     settling: HashSet<Holder>,
     jobs: JoinSet<Event>,
 }
@@ -120,10 +122,11 @@
         }
     }
 
+    /// Queues a request at the wallet of its customer and the current period.
     fn reserve(&mut self, reserve: Reserve) {
         let period = Period::at(self.config.clock.now(), reserve.budget.period);
         let key = Key { customer: reserve.customer.clone(), period: period.start };
-        // A contract that names another kind of period has another account.
+        // A contract that changed its kind of period has a different account.
         if self.purses.get(&key).is_some_and(|purse| purse.place.period != period) {
             self.end(&key);
         }
@@ -140,8 +143,9 @@
         self.serve(&key);
     }
 
-    /// Every wallet is a holder of its own: what an earlier one of the same
-    /// customer spent is settled, and must not be counted by its bills again.
+    /// Creates an empty wallet with a holder of its own. What an earlier
+    /// wallet of the same customer spent is already settled; under the same
+    /// holder its bills would be counted again.
     fn new_purse(&mut self, reserve: &Reserve, period: Period) -> Purse {
         let holder = Holder {
             instance: self.config.origin.instance.clone(),
@@ -171,7 +175,8 @@
         }
     }
 
-    /// Gives to those who wait, in order, and tops up ahead of need.
+    /// Reserves for waiting requests in order, and starts an extension of the
+    /// grant if they need more or the available amount is low.
     fn serve(&mut self, key: &Key) {
         let Some(purse) = self.purses.get_mut(key) else {
             return;
@@ -220,6 +225,7 @@
         }
     }
 
+    /// Handles the result of an extension.
     fn on_cut(&mut self, key: &Key, holder: &Holder, cut: Cut) {
         let Some(purse) = self.purses.get_mut(key).filter(|p| p.place.holder == *holder) else {
             return;
@@ -247,20 +253,23 @@
             }
             Cut::Closed => self.closed(key, holder),
             Cut::Failed => {
-                // An unknown cut may have made the object's entry.
+                // An extension with an unknown outcome may have created the grant. `held`
+                // stays as it is; the next extension reads the grant from the object.
                 purse.give();
                 purse.refuse(&Error::Unavailable);
             }
         }
     }
 
+    /// Serves a wallet only if requests wait for it.
     fn serve_waiting(&mut self, key: &Key) {
         if self.purses.get(key).is_some_and(|purse| !purse.waiting.is_empty()) {
             self.serve(key);
         }
     }
 
-    /// Another instance settled a wallet's grant: go on with a new one.
+    /// Replaces a wallet whose grant was settled by another instance with a
+    /// new one.
     fn closed(&mut self, key: &Key, holder: &Holder) {
         if self.purses.get(key).is_none_or(|purse| purse.place.holder != *holder) {
             return;
@@ -275,7 +284,8 @@
         }
     }
 
-    /// Remembers holders that are gone, to settle them after a wait.
+    /// Tracks holders that are not in the membership, to settle their grants
+    /// after [`Config::settle_after`].
     fn notice_gone(&mut self, place: &Place, holders: Vec<Holder>) {
         for holder in holders {
             if self.is_alive(&holder) {
@@ -287,6 +297,7 @@
         }
     }
 
+    /// Returns whether a holder is a wallet of this run or belongs to a live instance.
     fn is_alive(&self, holder: &Holder) -> bool {
         let origin = &self.config.origin;
         if holder.instance == origin.instance && holder.incarnation == origin.incarnation {
@@ -295,6 +306,7 @@
         self.journal.knows(&holder.instance, holder.incarnation)
     }
 
+    /// Settles grants of holders absent for long enough and maintains all wallets.
     fn tick(&mut self) {
         let now = Instant::now();
         let gone: Vec<Holder> = self.gone.keys().cloned().collect();
@@ -313,8 +325,8 @@
         }
     }
 
-    /// Ends a wallet that is idle or past its period; gives back what a busy
-    /// one holds beyond its need.
+    /// Closes a wallet that is idle or past its period, and returns what a
+    /// wallet in use holds beyond its need.
     fn tend(&mut self, key: &Key, now: Instant) {
         let wall = self.config.clock.now();
         let Some(purse) = self.purses.get_mut(key).filter(|p| !p.busy && p.waiting.is_empty()) else {
@@ -331,8 +343,8 @@
         if used || purse.wallet.available() == Amount::ZERO {
             return self.trim(key);
         }
-        // An unused wallet has not seen for a while how little is left: what
-        // was a small part once may by now be all that others are short of.
+        // An unused wallet has not read the account for a while. Its holding may by now be
+        // most of what other instances are short of.
         purse.busy = true;
         let (place, limit, key) = (purse.place.clone(), purse.budget.amount, key.clone());
         self.jobs.spawn(async move {
@@ -341,7 +353,7 @@
         });
     }
 
-    /// Gives back what is held beyond twice the need.
+    /// Returns to the account what is available beyond twice the target.
     fn trim(&mut self, key: &Key) {
         let Some(purse) = self.purses.get_mut(key) else {
             return;
@@ -360,6 +372,7 @@
         });
     }
 
+    /// Closes a wallet and ends its grant.
     fn end(&mut self, key: &Key) {
         if let Some(purse) = self.purses.remove(key).filter(|purse| purse.held) {
             let (place, spent) = (purse.place, purse.wallet.spent());
@@ -370,7 +383,7 @@
         }
     }
 
-    /// Settles a lost grant by its bills.
+    /// Settles a grant from its bills, unless that is already under way.
     fn settle(&mut self, place: Place) {
         if !self.settling.insert(place.holder.clone()) {
             return;
@@ -383,7 +396,8 @@
         });
     }
 
-    /// What is still reserved counts as spent: its bill may come yet.
+    /// Ends all grants. Amounts still reserved count as spent, since their
+    /// bills may still arrive.
     fn flush(&mut self, done: oneshot::Sender<bool>) {
         let mut ends = JoinSet::new();
         for (_, mut purse) in self.purses.drain() {
--- a/crates/budget/src/wallet.rs
+++ b/crates/budget/src/wallet.rs
@@ -1,35 +1,39 @@
-//! What this instance may spend of one customer's budget.
+//! Accounting of the money that this instance may spend of one customer's
+//! budget.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 use world::money::Amount;
 
-/// Weight of the newest span in the spending rate.
+/// Weight of the newest sample in the smoothed spending rate.
 const NEWEST: f64 = 0.3;
-/// Shortest span that the rate is taken over.
+/// Shortest time over which a sample of the rate is taken.
 const SPAN: Duration = Duration::from_secs(1);
 
-/// One grant and what became of it.
+/// A grant and the parts of it that are spent and reserved.
 #[derive(Debug, Clone)]
 pub struct Wallet {
     granted: Amount,
     spent: Amount,
     reserved: Amount,
-    /// Spent per second, smoothed.
+    /// Smoothed spending rate, per second.
     rate: f64,
+    /// Start of the current sample and the amount spent since then.
     span: (Instant, Amount),
     used_at: Instant,
 }
 
-/// How grants are sized.
+/// Parameters of the size of grants.
 #[derive(Debug, Clone, Copy)]
 pub struct Sizing {
-    /// A grant lasts this long at the present rate.
+    /// Time that the available amount should last at the present rate.
     pub ahead: Duration,
-    /// Or for this many requests like the present one, whichever is more.
+    /// Number of requests like the present one that the available amount
+    /// should cover, if that is more.
     pub requests: u64,
-    /// A holding is at most one part in this many of what is left.
+    /// Divisor that bounds the available amount: at most one part in this many
+    /// of what is left.
     pub parts: u64,
 }
 
@@ -40,44 +44,44 @@
 }
 
 impl Wallet {
-    /// An empty one.
+    /// Creates an empty wallet.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         let none = Amount::ZERO;
         Self { granted: none, spent: none, reserved: none, rate: 0.0, span: (now, none), used_at: now }
     }
 
-    /// Neither spent nor reserved.
+    /// Returns the amount that is neither spent nor reserved.
     #[must_use]
     pub fn available(&self) -> Amount {
         self.granted.saturating_sub(self.spent).saturating_sub(self.reserved)
     }
 
-    /// Spent of the grant.
+    /// Returns the amount spent of the grant.
     #[must_use]
     pub fn spent(&self) -> Amount {
         self.spent
     }
 
-    /// Set aside for requests that run.
+    /// Returns the amount reserved for running requests.
     #[must_use]
     pub fn reserved(&self) -> Amount {
         self.reserved
     }
 
-    /// Whether requests run on it.
+    /// Returns whether any amount is reserved.
     #[must_use]
     pub fn in_use(&self) -> bool {
         self.reserved > Amount::ZERO
     }
 
-    /// When it was last reserved from.
+    /// Returns the time of the last reservation.
     #[must_use]
     pub fn used_at(&self) -> Instant {
         self.used_at
     }
 
-    /// Reserves a ceiling; false when not enough is available.
+    /// Reserves a ceiling. Returns false if less is available.
     pub fn reserve(&mut self, ceiling: Amount, now: Instant) -> bool {
         if self.available() < ceiling {
             return false;
@@ -94,28 +98,31 @@
         self.measure(actual, now);
     }
 
-    /// The grant stands at this much.
+    /// Sets the size of the grant.
     pub fn set_granted(&mut self, granted: Amount) {
         self.granted = granted;
     }
 
-    /// Takes what is to be given back out of what can be reserved.
+    /// Removes money that is about to be returned, so that it cannot be
+    /// reserved.
     pub fn take_out(&mut self, unspent: Amount) {
         self.granted = self.granted.saturating_sub(unspent);
     }
 
-    /// What to hold available: for a time ahead, and some requests.
+    /// Returns the amount to keep available: enough for the configured time at
+    /// the present rate, and for some requests of this ceiling.
     #[must_use]
     pub fn wanted(&self, ceiling: Amount, sizing: &Sizing) -> Amount {
         let ahead = amount(self.rate * sizing.ahead.as_secs_f64());
         ahead.max(times(ceiling, sizing.requests))
     }
 
-    /// Lets the rate fall while nothing is spent.
+    /// Lets the spending rate fall while nothing is spent.
     pub fn pass(&mut self, now: Instant) {
         self.measure(Amount::ZERO, now);
     }
 
+    /// Adds a spent amount to the current sample and updates the rate when the sample is long enough.
     fn measure(&mut self, actual: Amount, now: Instant) {
         self.span.1 = self.span.1.saturating_add(actual);
         let past = now.duration_since(self.span.0);
@@ -128,22 +135,24 @@
     }
 }
 
-/// What to hold available: what is wanted, but no more than a part of what is
-/// left, the own holding included. So grants shrink with the budget, and near
-/// its end the most of what is left can still be had by whoever needs it.
+/// Returns the amount to keep available: `wanted`, bounded by a part of what
+/// is left including the own holding. So grants shrink with the budget, and
+/// near its end most of the remainder is still free for any instance that
+/// needs it.
 #[must_use]
 pub fn target(wanted: Amount, available: Amount, left: Amount, sizing: &Sizing) -> Amount {
     let part = Amount(left.saturating_add(available).0 / sizing.parts.max(1));
     wanted.min(part)
 }
 
-/// How much more to ask for; the requests at hand go first.
+/// Returns the size of an extension: enough to reach the target, and at least
+/// what the waiting requests need.
 #[must_use]
 pub fn cut_size(missing: Amount, wanted: Amount, available: Amount, left: Amount, sizing: &Sizing) -> Amount {
     target(wanted, available, left, sizing).saturating_sub(available).max(missing)
 }
 
-/// A number of requests' ceilings.
+/// Returns the sum of the ceilings of `requests` equal requests.
 fn times(ceiling: Amount, requests: u64) -> Amount {
     Amount(ceiling.0.saturating_mul(requests))
 }
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Reservations, grants and their settlement.
+//! Tests of reservations, grants and their settlement.
 
 #[path = "../../journal/tests/support/fleet.rs"]
 mod fleet;
@@ -36,7 +36,7 @@
     Bill { grant: Some(reservation.grant().clone()), ..bill(key, amount) }
 }
 
-/// Settled and granted as the platform's object shows them.
+/// Reads the account object from the platform.
 fn account(fleet: &Fleet) -> budget::account::Account {
     let objects = fleet.platform.objects();
     let object = objects.iter().find(|o| o.key.starts_with("budget/")).expect("an account");
@@ -61,7 +61,7 @@
         }
     }
     assert!(refused > 0 && spent <= LIMIT, "spent {spent}, refused {refused}");
-    assert!(spent >= LIMIT * 95 / 100, "only {spent} could be spent");
+    assert!(spent >= LIMIT * 95 / 100, "only {spent} was spent");
 }
 
 #[tokio::test(start_paused = true)]
@@ -69,7 +69,7 @@
     let fleet = Fleet::new(1, |_| {});
     let handle = open(&fleet, 0);
     for _ in 0..5 {
-        drop(reserve(&handle, LIMIT).await.expect("all of it"));
+        drop(reserve(&handle, LIMIT).await.expect("the whole budget can be reserved"));
     }
 }
 
@@ -88,42 +88,42 @@
     assert_eq!(account.settled, Amount(140));
 }
 
-/// An instance leaves while its first grant is being cut, each answer of the
-/// platform taking a while. What it had of the budget comes back: another can
-/// have all of it, and the customer is refused nothing that nobody spends.
+/// An instance shuts down while its first grant is being written and the
+/// platform responds slowly. Its grant must be returned: another instance can
+/// reserve the whole budget.
 #[tokio::test(start_paused = true)]
 async fn instance_leaving_at_grant() {
     let fleet = Fleet::new(2, |_| {});
     let (leaving, other) = (open(&fleet, 0), open(&fleet, 1));
     fleet.platform.set_slow(Duration::from_millis(300));
-    let asking = leaving.clone();
-    let asked = tokio::spawn(async move { reserve(&asking, 100).await.map(drop) });
+    let requester = leaving.clone();
+    let request = tokio::spawn(async move { reserve(&requester, 100).await.map(drop) });
     sleep(Duration::from_millis(400)).await;
     assert!(leaving.flush(soon()).await);
-    let _ = asked.await.expect("no panic");
+    let _ = request.await.expect("the reservation task does not panic");
     fleet.platform.set_slow(Duration::ZERO);
     sleep(Duration::from_secs(2)).await;
     let account = account(&fleet);
     assert!(account.grants.is_empty(), "{account:?}");
-    reserve(&other, LIMIT).await.expect("all of it");
+    reserve(&other, LIMIT).await.expect("the whole budget can be reserved");
 }
 
 #[tokio::test(start_paused = true)]
 async fn new_period_starts_a_new_account_and_ends_the_old() {
     let fleet = Fleet::new(1, |_| {});
     let handle = open(&fleet, 0);
-    let reservation = reserve(&handle, LIMIT).await.expect("all of it");
+    let reservation = reserve(&handle, LIMIT).await.expect("the whole budget can be reserved");
     handle.commit(reservation, Amount(LIMIT));
     assert!(matches!(reserve(&handle, 1).await, Err(Error::Exhausted { .. })));
     let period = budget::Period::at(START, Period::Month);
     sleep(Duration::from_millis(period.end.since(START))).await;
-    let reservation = reserve(&handle, LIMIT).await.expect("all of the next");
+    let reservation = reserve(&handle, LIMIT).await.expect("the whole budget of the next period can be reserved");
     assert_eq!(reservation.grant().period, period.end);
 }
 
-/// An instance is lost with money granted, a part of it billed. After the
-/// wait another instance that needs the money settles the grant: what was
-/// billed stays spent, the rest can be spent again.
+/// An instance is lost with a grant that is partly billed. After the wait,
+/// another instance that needs the money settles the grant: the billed part
+/// stays spent, the rest can be reserved again.
 #[tokio::test(start_paused = true)]
 async fn lost_instance_grant_is_settled_from_its_bills() {
     let fleet = Fleet::new(3, |_| {});
@@ -135,14 +135,15 @@
     fleet.meet(&[1, 2]);
     assert!(reserve(&other, 700_000).await.is_err());
     sleep(Duration::from_mins(2)).await;
-    let reservation = reserve(&other, 750_000).await.expect("the rest");
+    let reservation = reserve(&other, 750_000).await.expect("the unbilled rest can be reserved");
     assert_eq!(reservation.ceiling(), Amount(750_000));
     drop(lost);
 }
 
-/// A holder is paused with a request under way; its grant is settled and the
-/// money spent by others. It wakes and bills. The bill must be refused before
-/// its last frame goes: counted as well, it would be past the budget.
+/// A holder is paused with a running request; its grant is settled and the
+/// money reserved by another instance. When it resumes and bills, the bill
+/// must be rejected before the last frame is sent: recording it would
+/// overspend the budget.
 #[tokio::test(start_paused = true)]
 async fn paused_holder_that_wakes_cannot_bill_a_settled_grant() {
     let fleet = Fleet::new(3, |_| {});
@@ -153,7 +154,7 @@
     fleet.meet(&[1, 2]);
     assert!(reserve(&other, 700_000).await.is_err());
     sleep(Duration::from_mins(2)).await;
-    let all = reserve(&other, LIMIT).await.expect("everything is free again");
+    let all = reserve(&other, LIMIT).await.expect("the whole budget can be reserved again");
     fleet.pause(0, false);
     fleet.meet(&[0, 1, 2]);
     let late = fleet.journal(0).bill(&bill_on("k", 600_000, &reservation), soon()).await;
@@ -162,12 +163,13 @@
     assert!(matches!(renewed, Err(Error::Exhausted { .. })));
     drop(all);
     sleep(Duration::from_secs(2)).await;
-    assert!(reserve(&paused, 100).await.is_err(), "the other's grant still covers all");
+    assert!(reserve(&paused, 100).await.is_err(), "the other instance's grant still covers the whole budget");
     assert_eq!(fleet.dumped_bills(), []);
 }
 
-/// The answer to a cut, a return or a settlement is lost at some write. The
-/// object stays the truth: no grant is counted twice, nothing is overspent.
+/// Two instances spend the budget while the response to the `n`th account write
+/// of the first one (extension, return or settlement) is lost. The object decides:
+/// no grant is counted twice and nothing is overspent.
 async fn check_loss(n: u64, loss: Loss) {
     let fleet = Fleet::new(2, |_| {});
     let handles = [open(&fleet, 0), open(&fleet, 1)];
@@ -207,8 +209,8 @@
     answer_lost_after_at_third_cut: 3, Loss::After;
 }
 
-/// The platform goes down: requests go on as far as the grant at hand
-/// covers them, and are refused beyond, never let through.
+/// While the platform is down, requests run as far as the existing grant
+/// covers them and are refused beyond that.
 #[tokio::test(start_paused = true)]
 async fn platform_down_at_cut_serves_only_the_grant_at_hand() {
     let fleet = Fleet::new(1, |_| {});
@@ -228,9 +230,9 @@
     assert!(reserve(&handle, 10_000).await.is_ok());
 }
 
-/// Half a budget is spent over three instances, then only one has requests.
-/// What the others hold comes back to it; a caller is not refused for long
-/// while money lies idle.
+/// Half a budget is spent over three instances, then only one receives
+/// requests. The money that the others hold must return to it, so that
+/// requests are not refused while money lies unused.
 #[tokio::test(start_paused = true)]
 async fn idle_holdings_come_back_near_the_end_of_a_budget() {
     let fleet = Fleet::new(3, |_| {});
@@ -247,9 +249,11 @@
     assert!(spent >= LIMIT * 99 / 100, "{spent} of {LIMIT}");
 }
 
-/// The same, but the woken instance's own shard cannot be opened yet: its
-/// home would hold the bill in memory. Another instance must not hold it as
-/// well, or the last frame would go for a bill that is past the budget.
+/// As `paused_holder_that_wakes_cannot_bill_a_settled_grant`, but the platform
+/// is down, so the shard of the resumed instance cannot be opened yet and the
+/// bill would be held in memory. No other instance may hold it as well: a
+/// second holder would let the last frame be sent for a bill that overspends
+/// the budget.
 #[tokio::test(start_paused = true)]
 async fn paused_holder_that_wakes_finds_no_second_holder() {
     let fleet = Fleet::new(3, |_| {});
--- a/crates/budget/tests/interleavings.rs
+++ b/crates/budget/tests/interleavings.rs
@@ -18,19 +18,25 @@
     money::Amount,
 };
 
-/// Budget of the period: a few requests' worth.
+/// Budget of the period, enough for a few requests.
 const LIMIT: u64 = 1_000;
-/// Cases where `PROPTEST_CASES` is not set.
+/// Number of cases when `PROPTEST_CASES` is not set.
 const CASES: u32 = 48;
 
-/// One thing that happens.
+/// One step of an interleaving.
 #[derive(Debug, Clone)]
 enum Step {
+    /// Starts a request that runs for `takes_ms` and is billed its whole ceiling.
     Request { node: usize, ceiling: u64, takes_ms: u64 },
+    /// Pauses or resumes an instance.
     Pause { node: usize, paused: bool },
-    Believe { node: usize, alone: bool },
+    /// Sets whether an instance sees itself as the only member.
+    SetMembership { node: usize, alone: bool },
+    /// Makes an instance's `nth` write from now fail.
     Lose { node: usize, nth: u64, loss: Loss },
+    /// Sets whether the platform is down.
     Down(bool),
+    /// Lets time pass.
     Wait { ms: u64 },
 }
 
@@ -46,7 +52,7 @@
     let step = prop_oneof![
         8 => request.prop_map(|(node, ceiling, takes_ms)| Step::Request { node, ceiling, takes_ms }),
         2 => (node.clone(), any::<bool>()).prop_map(|(node, paused)| Step::Pause { node, paused }),
-        3 => (node.clone(), any::<bool>()).prop_map(|(node, alone)| Step::Believe { node, alone }),
+        3 => (node.clone(), any::<bool>()).prop_map(|(node, alone)| Step::SetMembership { node, alone }),
         3 => (node, 1..4_u64, loss).prop_map(|(node, nth, loss)| Step::Lose { node, nth, loss }),
         1 => any::<bool>().prop_map(Step::Down),
         4 => (1..3_000_u64).prop_map(|ms| Step::Wait { ms }),
@@ -73,8 +79,8 @@
     Bill { grant: Some(reservation.grant().clone()), ..bill(key, amount) }
 }
 
-/// One request's life as far as money goes; the answer is given when the
-/// bill has its receipt.
+/// Runs one request as far as money is concerned: reserves, takes its time and
+/// bills. The answer is delivered when the bill has its receipt.
 async fn request(node: Node, key: String, ceiling: u64, takes_ms: u64) {
     let customer = id(&key).customer;
     let reserved = node.budget.reserve(&customer, &contract(), Amount(ceiling), within(5_000)).await;
@@ -98,6 +104,7 @@
     }
 }
 
+/// Plays the steps, lets everything finish and checks that the bills do not exceed the budget.
 async fn check(steps: Vec<Step>) {
     let fleet = Fleet::new(2, |config| (config.ring, config.shards) = (16, 1));
     let nodes = [open(&fleet, 0), open(&fleet, 1)];
@@ -108,7 +115,7 @@
                 requests.spawn(request(nodes[node].clone(), format!("k{n}"), ceiling, takes_ms));
             }
             Step::Pause { node, paused } => fleet.pause(node, paused),
-            Step::Believe { node, alone } => {
+            Step::SetMembership { node, alone } => {
                 let members = fleet.nodes.iter().map(|n| n.member.clone());
                 let own = fleet.nodes[node].member.clone();
                 fleet.journal(node).set_members(if alone { vec![own] } else { members.collect() });
@@ -140,8 +147,8 @@
     })]
 
     /// Two instances spend one budget while they are paused for longer than a
-    /// settlement waits, lose answers and take each other for gone. The bills
-    /// never come to more than the budget.
+    /// settlement waits, lose responses of the platform and see each other as
+    /// absent. The bills must never exceed the budget.
     #[test]
     fn two_holders_never_overspend(steps in steps()) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
--- a/crates/budget/tests/settlement.rs
+++ b/crates/budget/tests/settlement.rs
@@ -1,4 +1,5 @@
-//! Faults while a lost instance's grant is settled, named `fault_at_step`.
+//! Faults during the settlement of a lost instance's grant; tests are named
+//! `fault_at_step`.
 
 #[path = "../../journal/tests/support/fleet.rs"]
 mod fleet;
@@ -19,8 +20,9 @@
 };
 
 const LIMIT: u64 = 1_000_000;
-/// Granted to the instance that is lost, and what of it was billed.
+/// Amount granted to the instance that is lost.
 const GRANTED: u64 = 600_000;
+/// Amount of that grant that was billed.
 const BILLED: u64 = 250_000;
 
 async fn reserve(handle: &Handle, ceiling: u64) -> Result<Reservation, Error> {
@@ -29,8 +31,8 @@
     handle.reserve(&id("k").customer, &budget, Amount(ceiling), soon()).await
 }
 
-/// The first of three instances is lost with a grant that is partly billed,
-/// and another has seen that. What it holds is left to be settled.
+/// Opens three instances and loses the first, whose grant is partly billed.
+/// The second has seen the grant; the settlement is still to come.
 async fn lose_holder() -> (Fleet, [Handle; 3]) {
     let fleet = Fleet::new(3, |config| config.shards = 3);
     let handles = [open(&fleet, 0), open(&fleet, 1), open(&fleet, 2)];
@@ -41,20 +43,21 @@
     fleet.meet(&[1, 2]);
     for n in 0..30 {
         // Every shard has its home before the settlement begins.
-        fleet.journal(1).outcome(&id(&format!("w{n}")), soon()).await.expect("told");
+        fleet.journal(1).outcome(&id(&format!("w{n}")), soon()).await.expect("the outcome is known");
     }
     assert!(reserve(&handles[1], LIMIT - 1).await.is_err());
     (fleet, handles)
 }
 
-/// What was billed stays spent, all else can be had, and no more than that.
+/// Checks that exactly the unbilled part of the budget can be reserved.
 async fn check_settled(handle: &Handle) {
-    let rest = reserve(handle, LIMIT - BILLED).await.expect("all that was not billed");
+    let rest = reserve(handle, LIMIT - BILLED).await.expect("the unbilled part can be reserved");
     assert!(matches!(reserve(handle, 1).await, Err(Error::Exhausted { .. })));
     drop(rest);
 }
 
-/// Places of the settlement's writes whose keys hold `part`.
+/// Returns the 1-based positions, among the settlement's writes, of those
+/// whose keys contain `part`.
 async fn writes(part: &str) -> Vec<u64> {
     let (fleet, _handles) = lose_holder().await;
     let before = fleet.platform.records().len();
@@ -64,11 +67,12 @@
     (1..).zip(writes).filter(|(_, r)| r.key.contains(part)).map(|(at, _)| at).collect()
 }
 
-/// The `nth` write of a kind goes wrong during a settlement.
+/// Checks the settlement when the `nth` write whose key contains `step` fails
+/// as `loss` says.
 async fn check(step: &str, nth: usize, loss: Loss) {
-    let places = writes(step).await;
+    let positions = writes(step).await;
     let (fleet, handles) = lose_holder().await;
-    fleet.platform.lose(places[nth], loss);
+    fleet.platform.lose(positions[nth], loss);
     sleep(Duration::from_mins(3)).await;
     check_settled(&handles[1]).await;
 }
@@ -93,7 +97,7 @@
     refused_at_settled_account: "budget/", 0, Loss::Refused;
 }
 
-/// The platform goes down just before a settlement and stays so for minutes.
+/// The platform goes down just before a settlement and stays down for minutes.
 #[tokio::test(start_paused = true)]
 async fn platform_down_at_settlement() {
     let (fleet, handles) = lose_holder().await;
@@ -114,14 +118,15 @@
     check_settled(&handles[1]).await;
 }
 
-/// The settler is lost after the closing, before the account is changed. The
-/// next that wants the money settles; closing again changes nothing.
+/// The settling instance is lost after closing the holder in the journal and
+/// before changing the account. The next instance that needs the money settles
+/// the grant; closing the holder again changes nothing.
 #[tokio::test(start_paused = true)]
 async fn settler_lost_at_settled_account() {
     let closings = writes("/s/").await.len();
     let (fleet, handles) = lose_holder().await;
     let before = fleet.platform.records().len();
-    // Slow enough that the closing and the account's change lie apart.
+    // Slow enough to separate the closing from the change of the account.
     fleet.platform.set_slow(Duration::from_millis(50));
     let closed =
         || fleet.platform.records()[before..].iter().filter(|r| r.call == "update" || r.call == "create").count();
@@ -137,25 +142,26 @@
     check_settled(&handles[2]).await;
 }
 
-/// The holder is lost right after its cut took effect, before it knew: the
-/// grant was never used and all of it can be had again.
+/// The holder is lost right after its extension took effect and before it
+/// received the response. The grant was never used, so all of it can be
+/// reserved again.
 #[tokio::test(start_paused = true)]
 async fn instance_lost_at_cut() {
     let fleet = Fleet::new(3, |config| config.shards = 3);
     let handles = [open(&fleet, 0), open(&fleet, 1)];
     fleet.ready().await;
     fleet.nodes[0].client.lose(1, Loss::After);
-    // Nor can it read its cut back before it is lost.
+    // Nor can it read its grant back before it is lost.
     for read in 2..10 {
         fleet.nodes[0].client.lose_read(read, store::api::Fault::Down { cause: "lost".into() });
     }
     let lost = handles[0].clone();
-    let asked = tokio::spawn(async move { reserve(&lost, GRANTED).await.is_ok() });
+    let request = tokio::spawn(async move { reserve(&lost, GRANTED).await.is_ok() });
     sleep(Duration::from_millis(1)).await;
     fleet.pause(0, true);
     fleet.meet(&[1, 2]);
-    assert!(!asked.await.expect("no panic"));
+    assert!(!request.await.expect("the reservation task does not panic"));
     assert!(reserve(&handles[1], LIMIT).await.is_err());
     sleep(Duration::from_mins(3)).await;
-    drop(reserve(&handles[1], LIMIT).await.expect("all of it"));
+    drop(reserve(&handles[1], LIMIT).await.expect("the whole budget can be reserved"));
 }
--- a/crates/budget/tests/support/grants.rs
+++ b/crates/budget/tests/support/grants.rs
@@ -1,10 +1,10 @@
-//! Budgets of a fleet's instances.
+//! Budget tasks for the instances of a test fleet.
 
 use budget::{Config, Handle};
 
 use crate::fleet::Fleet;
 
-/// The budget task of an instance, on the clock of its journal.
+/// Starts the budget task of instance `n`, on the clock of its journal.
 pub fn open(fleet: &Fleet, n: usize) -> Handle {
     let node = &fleet.nodes[n];
     let mut config = Config::new(node.journal.config().origin.clone());
