--- a/crates/budget/src/account.rs
+++ b/crates/budget/src/account.rs
@@ -26,7 +26,7 @@
 pub struct Account {
     /// Amount spent by holders whose grants have ended.
     pub settled: Amount,
-    /// Granted amount of each holder, by [`name`]. A holder may have spent any
+    /// Granted amount of each holder, by [`holder_key`]. A holder may have spent any
     /// part of it.
     pub grants: BTreeMap<String, Amount>,
 }
@@ -40,36 +40,36 @@
 
     /// Returns the sum of the settled amount and all grants.
     #[must_use]
-    pub fn taken(&self) -> Amount {
+    pub fn allocated(&self) -> Amount {
         self.grants.values().fold(self.settled, |sum, grant| sum.saturating_add(*grant))
     }
 
     /// Returns the part of `limit` that is neither settled nor granted.
     #[must_use]
-    pub fn left(&self, limit: Amount) -> Amount {
-        limit.saturating_sub(self.taken())
+    pub fn remaining(&self, limit: Amount) -> Amount {
+        limit.saturating_sub(self.allocated())
     }
 
     /// Returns a holder's grant, or `None` if it has none.
     #[must_use]
     pub fn grant(&self, holder: &Holder) -> Option<Amount> {
-        self.grants.get(&name(holder)).copied()
+        self.grants.get(&holder_key(holder)).copied()
     }
 
     /// Adds `want`, or what is left of `limit` if that is less, to a holder's
     /// grant. Returns the amount added.
-    pub fn cut(&mut self, holder: &Holder, want: Amount, limit: Amount) -> Amount {
-        let got = want.min(self.left(limit));
+    pub fn extend_grant(&mut self, holder: &Holder, want: Amount, limit: Amount) -> Amount {
+        let got = want.min(self.remaining(limit));
         if got > Amount::ZERO {
-            let grant = self.grants.entry(name(holder)).or_default();
+            let grant = self.grants.entry(holder_key(holder)).or_default();
             *grant = grant.saturating_add(got);
         }
         got
     }
 
     /// Subtracts unspent money from a holder's grant.
-    pub fn give_back(&mut self, holder: &Holder, unspent: Amount) {
-        if let Some(grant) = self.grants.get_mut(&name(holder)) {
+    pub fn return_unspent(&mut self, holder: &Holder, unspent: Amount) {
+        if let Some(grant) = self.grants.get_mut(&holder_key(holder)) {
             *grant = grant.saturating_sub(unspent);
         }
     }
@@ -79,7 +79,7 @@
     /// Returns false and changes nothing if the holder has no grant, so that
     /// two instances that settle the same grant count it once.
     pub fn settle(&mut self, holder: &Holder, spent: Amount) -> bool {
-        if self.grants.remove(&name(holder)).is_none() {
+        if self.grants.remove(&holder_key(holder)).is_none() {
             return false;
         }
         self.settled = self.settled.saturating_add(spent);
@@ -96,15 +96,15 @@
 /// Formats a holder as `INSTANCE/INCARNATION/EPOCH`, its key in
 /// [`Account::grants`].
 #[must_use]
-pub fn name(holder: &Holder) -> String {
+pub fn holder_key(holder: &Holder) -> String {
     holder.to_string()
 }
 
-/// Parses a holder from the format of [`name`].
+/// Parses a holder from the format of [`holder_key`].
 fn parse(text: &str) -> Option<Holder> {
-    let mut parts = text.split('/');
-    let instance = instance::Id::parse(parts.next()?).ok()?;
-    let incarnation = Incarnation(parts.next()?.parse().ok()?);
-    let epoch = parts.next()?.parse().ok()?;
+    let mut share_divisor = text.split('/');
+    let instance = instance::Id::parse(share_divisor.next()?).ok()?;
+    let incarnation = Incarnation(share_divisor.next()?.parse().ok()?);
+    let epoch = share_divisor.next()?.parse().ok()?;
     Some(Holder { instance, incarnation, epoch })
 }
--- a/crates/budget/src/purse.rs
+++ b/crates/budget/src/escrow.rs
@@ -12,31 +12,31 @@
 
 use crate::{
     Error,
-    job::{Ask, Place},
+    grant::{Client, Request},
     wallet::{self, Sizing, Wallet},
 };
 
 /// The wallet of one customer and period, its grant and its queue of waiting
 /// requests.
 #[derive(Debug)]
-pub(crate) struct Purse {
-    pub place: Place,
+pub(crate) struct Escrow {
+    pub client: Client,
     pub wallet: Wallet,
     pub budget: contract::Budget,
     pub waiting: VecDeque<Reserve>,
     /// Whether a read or write of the account is under way.
     pub busy: bool,
     /// Whether the account object is known to contain a grant of this holder.
-    pub held: bool,
+    pub has_grant: bool,
     /// Ceiling of the last request.
-    pub last: Amount,
+    pub last_ceiling: Amount,
     /// Amount that was left to grant when the account was last read.
-    pub left: Amount,
+    pub remaining: Amount,
     /// Earliest time of the next extension ahead of demand.
-    pub next_ahead: Instant,
+    pub next_top_up: Instant,
     /// Remaining amount seen when it was last too small, and until when it is
     /// taken to hold without reading again.
-    pub dry: Option<(Amount, Instant)>,
+    pub exhausted: Option<(Amount, Instant)>,
 }
 
 /// A request that waits for its reservation.
@@ -48,9 +48,9 @@
     pub reply: oneshot::Sender<Result<Grant, Error>>,
 }
 
-impl Purse {
+impl Escrow {
     /// Reserves for waiting requests, in order, as far as the available money goes.
-    pub fn give(&mut self) {
+    pub fn reserve_waiting(&mut self) {
         let now = Instant::now();
         while let Some(reserve) = self.waiting.front() {
             // Skips requests whose caller no longer waits.
@@ -61,7 +61,7 @@
             if !self.wallet.reserve(reserve.ceiling, now) {
                 return;
             }
-            let grant = Grant { holder: self.place.holder.clone(), period: self.place.period.start };
+            let grant = Grant { holder: self.client.holder.clone(), period: self.client.period.start };
             let Some(reserve) = self.waiting.pop_front() else {
                 return;
             };
@@ -73,13 +73,13 @@
 
     /// Refuses all waiting requests without another read if the first one
     /// needs more than was left a moment ago.
-    pub fn refuse_dry(&mut self) {
-        let (Some((left, until)), Some(first)) = (self.dry, self.waiting.front()) else {
+    pub fn refuse_if_exhausted(&mut self) {
+        let (Some((remaining, until)), Some(first)) = (self.exhausted, self.waiting.front()) else {
             return;
         };
-        let missing = first.ceiling.saturating_sub(self.wallet.available());
-        if Instant::now() < until && missing > left {
-            let until = self.place.period.end;
+        let shortfall = first.ceiling.saturating_sub(self.wallet.available());
+        if Instant::now() < until && shortfall > remaining {
+            let until = self.client.period.end;
             self.refuse(&Error::Exhausted { until });
         }
     }
@@ -93,24 +93,24 @@
 
     /// Returns the amount to keep available.
     pub fn target(&self, sizing: &Sizing) -> Amount {
-        let wanted = self.wallet.wanted(self.last, sizing);
-        wallet::target(wanted, self.wallet.available(), self.left, sizing)
+        let wanted = self.wallet.wanted(self.last_ceiling, sizing);
+        wallet::target(wanted, self.wallet.available(), self.remaining, sizing)
     }
 
     /// Builds the request for an extension of the grant.
-    pub fn ask(&self, sizing: Sizing) -> Ask {
-        let wanted = self.wallet.wanted(self.last, &sizing);
+    pub fn extension_request(&self, sizing: Sizing) -> Request {
+        let wanted = self.wallet.wanted(self.last_ceiling, &sizing);
         let available = self.wallet.available();
         let needed = self.waiting.iter().fold(Amount::ZERO, |sum, r| sum.saturating_add(r.ceiling));
         let first = self.waiting.front().map_or(Amount::ZERO, |r| r.ceiling);
-        Ask {
-            least: first.saturating_sub(available).max(Amount(1)),
-            missing: needed.saturating_sub(available),
+        Request {
+            min_extension: first.saturating_sub(available).max(Amount(1)),
+            shortfall: needed.saturating_sub(available),
             wanted,
             available,
             limit: self.budget.amount,
             sizing,
-            held: self.held,
+            has_grant: self.has_grant,
         }
     }
 }
--- a/crates/budget/src/job.rs
+++ b/crates/budget/src/grant.rs
@@ -14,15 +14,15 @@
 use crate::{
     account::Account,
     period::Period,
-    wallet::{Sizing, cut_size},
+    wallet::{Sizing, extension_size},
 };
 
 /// Number of conflicting writes after which an operation gives up.
-const RACES: usize = 16;
+const MAX_CONFLICTS: usize = 16;
 
 /// Access to the account of one customer and period on behalf of one holder.
 #[derive(Debug, Clone)]
-pub(crate) struct Place {
+pub(crate) struct Client {
     pub platform: store::Handle,
     pub customer: Customer,
     pub period: Period,
@@ -31,13 +31,13 @@
     pub recorder: Option<Recorder>,
 }
 
-/// Parameters of [`Place::cut`].
+/// Parameters of [`Client::extend`].
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Ask {
+pub(crate) struct Request {
     /// Smallest extension that covers the first waiting request.
-    pub least: Amount,
+    pub min_extension: Amount,
     /// Amount that the waiting requests need beyond what is available.
-    pub missing: Amount,
+    pub shortfall: Amount,
     /// Amount to keep available at the present spending rate.
     pub wanted: Amount,
     /// Amount of the grant that is neither spent nor reserved.
@@ -47,16 +47,16 @@
     pub sizing: Sizing,
     /// Whether the holder is known to have had a grant; then its absence means
     /// that it was settled.
-    pub held: bool,
+    pub has_grant: bool,
 }
 
-/// Result of [`Place::cut`].
+/// Result of [`Client::extend`].
 #[derive(Debug)]
-pub(crate) enum Cut {
+pub(crate) enum Extension {
     /// The holder's grant was extended to `grant`.
-    Granted { grant: Amount, left: Amount, holders: Vec<Holder> },
+    Granted { grant: Amount, remaining: Amount, holders: Vec<Holder> },
     /// The remaining budget is too small; the grant is unchanged.
-    Exhausted { grant: Amount, left: Amount, holders: Vec<Holder> },
+    Exhausted { grant: Amount, remaining: Amount, holders: Vec<Holder> },
     /// Another instance settled the holder's grant.
     Closed,
     /// The platform failed; the grant may have been extended without this
@@ -64,48 +64,48 @@
     Failed,
 }
 
-impl Place {
+impl Client {
     /// Extends the holder's grant.
     ///
     /// The new grant is always computed from the object as read, never from a
     /// remembered value: after a write with an unknown outcome only the object
     /// tells whether it took effect.
-    pub async fn cut(&self, ask: Ask) -> Cut {
-        for _ in 0..RACES {
+    pub async fn extend(&self, request: Request) -> Extension {
+        for _ in 0..MAX_CONFLICTS {
             let Ok((item, mut account)) = self.read().await else {
-                return Cut::Failed;
+                return Extension::Failed;
             };
-            let Some(grant) = account.grant(&self.holder).or((!ask.held).then_some(Amount::ZERO)) else {
-                return Cut::Closed;
+            let Some(grant) = account.grant(&self.holder).or((!request.has_grant).then_some(Amount::ZERO)) else {
+                return Extension::Closed;
             };
-            let left = account.left(ask.limit);
-            let size = cut_size(ask.missing, ask.wanted, ask.available, left, &ask.sizing);
-            if left < ask.least || size == Amount::ZERO {
-                self.note(GrantMove::Exhausted, left);
-                return Cut::Exhausted { grant, left, holders: account.holders() };
+            let remaining = account.remaining(request.limit);
+            let size = extension_size(request.shortfall, request.wanted, request.available, remaining, &request.sizing);
+            if remaining < request.min_extension || size == Amount::ZERO {
+                self.record(GrantMove::Exhausted, remaining);
+                return Extension::Exhausted { grant, remaining, holders: account.holders() };
             }
-            account.cut(&self.holder, size, ask.limit);
+            account.extend_grant(&self.holder, size, request.limit);
             match self.write(item, &account).await {
                 Ok(true) => {
-                    self.note(GrantMove::Taken, size);
+                    self.record(GrantMove::Taken, size);
                     let grant = account.grant(&self.holder).unwrap_or_default();
-                    let left = account.left(ask.limit);
-                    return Cut::Granted { grant, left, holders: account.holders() };
+                    let remaining = account.remaining(request.limit);
+                    return Extension::Granted { grant, remaining, holders: account.holders() };
                 }
                 Ok(false) => {}
                 Err(error) => {
                     tracing::warn!(%error, customer = %self.customer, "grant not extended");
-                    return Cut::Failed;
+                    return Extension::Failed;
                 }
             }
         }
-        Cut::Failed
+        Extension::Failed
     }
 
     /// Reads the amount that is left to grant, or `None` if the platform
     /// fails.
-    pub async fn left(&self, limit: Amount) -> Option<Amount> {
-        self.read().await.ok().map(|(_, account)| account.left(limit))
+    pub async fn remaining(&self, limit: Amount) -> Option<Amount> {
+        self.read().await.ok().map(|(_, account)| account.remaining(limit))
     }
 
     /// Returns unspent money to the account.
@@ -113,15 +113,15 @@
     /// The caller has already removed it from its wallet. If the write's
     /// response is lost, the money stays unused until the next extension reads
     /// the grant; it is never spent twice.
-    pub async fn give_back(&self, unspent: Amount) {
-        for _ in 0..RACES {
+    pub async fn return_unspent(&self, unspent: Amount) {
+        for _ in 0..MAX_CONFLICTS {
             let Ok((item, mut account)) = self.read().await else {
                 return;
             };
-            account.give_back(&self.holder, unspent);
+            account.return_unspent(&self.holder, unspent);
             match self.write(item, &account).await {
                 Ok(false) => {}
-                Ok(true) => return self.note(GrantMove::Returned, unspent),
+                Ok(true) => return self.record(GrantMove::Returned, unspent),
                 Err(_) => return,
             }
         }
@@ -140,13 +140,13 @@
     /// names it is recorded, so the recorded bills are all that it ever spent.
     /// A holder that was paused and resumes has its bills rejected before it
     /// sends the last frames of its answers.
-    pub async fn settle(&self, journal: &journal::Handle, patience: Duration) -> bool {
+    pub async fn settle(&self, journal: &journal::Handle, timeout: Duration) -> bool {
         match self.read().await {
             Ok((_, account)) if account.grant(&self.holder).is_none() => return true,
             Ok(_) => {}
             Err(_) => return false,
         }
-        if let Err(error) = journal.close(&self.holder, Instant::now() + patience).await {
+        if let Err(error) = journal.close(&self.holder, Instant::now() + timeout).await {
             tracing::info!(%error, holder = %self.holder, "lost holder not closed in the journal, will retry");
             return false;
         }
@@ -163,7 +163,7 @@
 
     /// Ends the holder's grant in the account and counts `spent` as settled.
     async fn settle_as(&self, spent: Amount) -> bool {
-        for _ in 0..RACES {
+        for _ in 0..MAX_CONFLICTS {
             let Ok((item, mut account)) = self.read().await else {
                 return false;
             };
@@ -172,7 +172,7 @@
             }
             match self.write(item, &account).await {
                 Ok(true) => {
-                    self.note(GrantMove::Settled, spent);
+                    self.record(GrantMove::Settled, spent);
                     return true;
                 }
                 Ok(false) => {}
@@ -183,7 +183,7 @@
     }
 
     /// Records a grant event on the time line.
-    fn note(&self, action: GrantMove, amount: Amount) {
+    fn record(&self, action: GrantMove, amount: Amount) {
         if let Some(recorder) = &self.recorder {
             let (customer, currency) = (self.customer.clone(), self.currency);
             recorder.record(Event::Grant { customer, action, amount, currency });
--- a/crates/budget/src/handle.rs
+++ b/crates/budget/src/handle.rs
@@ -10,12 +10,12 @@
     money::Amount,
 };
 
-use crate::{Error, purse::Reserve, task::Message};
+use crate::{Error, escrow::Reserve, task::Message};
 
 /// Handle to the budget task of one instance; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
-    pub(crate) tasks: mpsc::UnboundedSender<Message>,
+    pub(crate) messages: mpsc::UnboundedSender<Message>,
 }
 
 /// Money reserved for one request. Dropping it without [`Handle::commit`]
@@ -45,10 +45,10 @@
     ) -> Result<Reservation, Error> {
         let (reply, answer) = oneshot::channel();
         let reserve = Reserve { customer: customer.clone(), budget: *budget, ceiling, reply };
-        self.tasks.send(Message::Reserve(reserve)).map_err(|_| Error::Unavailable)?;
+        self.messages.send(Message::Reserve(reserve)).map_err(|_| Error::Unavailable)?;
         let grant = timeout_at(deadline, answer).await.map_err(|_| Error::Unavailable)?;
         let grant = grant.map_err(|_| Error::Unavailable)??;
-        Ok(Reservation { customer: customer.clone(), grant, ceiling, release: Some(self.tasks.clone()) })
+        Ok(Reservation { customer: customer.clone(), grant, ceiling, release: Some(self.messages.clone()) })
     }
 
     /// Ends a reservation of which `actual` was billed. Call it when the bill
@@ -56,7 +56,7 @@
     /// recorded, since it may count.
     pub fn commit(&self, mut reservation: Reservation, actual: Amount) {
         reservation.release = None;
-        let _ = self.tasks.send(reservation.end(actual));
+        let _ = self.messages.send(reservation.commit_message(actual));
     }
 
     /// Ends a reservation of which nothing was billed.
@@ -78,8 +78,8 @@
         actual: Amount,
         deadline: Instant,
     ) -> Result<Reservation, Error> {
-        let closed = Message::Closed { customer: reservation.customer.clone(), grant: reservation.grant.clone() };
-        let _ = self.tasks.send(closed);
+        let closed = Message::GrantClosed { customer: reservation.customer.clone(), grant: reservation.grant.clone() };
+        let _ = self.messages.send(closed);
         let customer = reservation.customer.clone();
         drop(reservation);
         self.reserve(&customer, budget, actual, deadline).await
@@ -90,7 +90,7 @@
     /// their bills later.
     pub async fn flush(&self, deadline: Instant) -> bool {
         let (done, flushed) = oneshot::channel();
-        if self.tasks.send(Message::Flush(done)).is_err() {
+        if self.messages.send(Message::Flush(done)).is_err() {
             return false;
         }
         matches!(timeout_at(deadline, flushed).await, Ok(Ok(true)))
@@ -100,7 +100,7 @@
     /// has neither spent nor reserved.
     pub async fn idle(&self, customer: &Customer) -> Amount {
         let (reply, answer) = oneshot::channel();
-        if self.tasks.send(Message::Idle(customer.clone(), reply)).is_err() {
+        if self.messages.send(Message::Idle(customer.clone(), reply)).is_err() {
             return Amount::ZERO;
         }
         answer.await.unwrap_or_default()
@@ -121,15 +121,15 @@
     }
 
     /// Builds the message that ends this reservation with `actual` spent.
-    fn end(&self, actual: Amount) -> Message {
+    fn commit_message(&self, actual: Amount) -> Message {
         Message::Commit { customer: self.customer.clone(), grant: self.grant.clone(), ceiling: self.ceiling, actual }
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        if let Some(tasks) = self.release.take() {
-            let _ = tasks.send(self.end(Amount::ZERO));
+        if let Some(messages) = self.release.take() {
+            let _ = messages.send(self.commit_message(Amount::ZERO));
         }
     }
 }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -11,10 +11,10 @@
 
 pub mod account;
 mod error;
+mod escrow;
+mod grant;
 mod handle;
-mod job;
 pub mod period;
-mod purse;
 mod task;
 pub mod wallet;
 
@@ -38,10 +38,10 @@
     /// How grants are sized.
     pub sizing: Sizing,
     /// Time limit of a platform call that a request waits for.
-    pub patience: Duration,
+    pub platform_timeout: Duration,
     /// Interval of the maintenance of wallets: closing unused ones, returning
     /// excess money, settling grants of lost holders.
-    pub tick: Duration,
+    pub maintenance_interval: Duration,
     /// Time without a reservation after which a wallet is closed and its
     /// unspent money returned.
     pub idle_after: Duration,
@@ -50,7 +50,7 @@
     /// bills takes to deliver them.
     pub settle_after: Duration,
     /// Time limit for closing a lost holder in the journal.
-    pub settle_patience: Duration,
+    pub settle_timeout: Duration,
     /// Recorder for grant events; `None` records nothing.
     pub recorder: Option<timeline::Recorder>,
 }
@@ -63,11 +63,11 @@
             origin,
             clock: Clock::System,
             sizing: Sizing::default(),
-            patience: Duration::from_secs(2),
-            tick: Duration::from_secs(10),
+            platform_timeout: Duration::from_secs(2),
+            maintenance_interval: Duration::from_secs(10),
             idle_after: Duration::from_mins(5),
             settle_after: Duration::from_mins(1),
-            settle_patience: Duration::from_secs(30),
+            settle_timeout: Duration::from_secs(30),
             recorder: None,
         }
     }
@@ -76,7 +76,7 @@
 /// Starts this instance's budget task. Must run inside a tokio runtime.
 #[must_use]
 pub fn spawn(config: Config, platform: store::Handle, journal: journal::Handle) -> Handle {
-    let (tasks, inbox) = mpsc::unbounded_channel();
+    let (messages, inbox) = mpsc::unbounded_channel();
     tokio::spawn(task::Task::new(config, platform, journal).run(inbox));
-    Handle { tasks }
+    Handle { messages }
 }
--- a/crates/budget/src/period.rs
+++ b/crates/budget/src/period.rs
@@ -18,7 +18,7 @@
     /// Returns the period of the given kind that contains `now`.
     #[must_use]
     pub fn at(now: Timestamp, kind: contract::Period) -> Self {
-        let date = civil(now).date();
+        let date = to_date_time(now).date();
         let (start, end, name) = match kind {
             contract::Period::Day => (date, date.saturating_add(1.day()), date.strftime("%Y-%m-%d")),
             contract::Period::Month => {
@@ -30,19 +30,19 @@
                 (start, start.saturating_add(1.year()), date.strftime("%Y"))
             }
         };
-        Self { name: name.to_string(), start: stamp(start.into()), end: stamp(end.into()) }
+        Self { name: name.to_string(), start: to_timestamp(start.into()), end: to_timestamp(end.into()) }
     }
 }
 
 /// Converts a timestamp to a UTC date and time.
-fn civil(at: Timestamp) -> DateTime {
+fn to_date_time(at: Timestamp) -> DateTime {
     let millis = i64::try_from(at.0).unwrap_or(i64::MAX);
     let instant = Instant::from_millisecond(millis).unwrap_or(Instant::MAX);
     TimeZone::UTC.to_datetime(instant)
 }
 
 /// Converts a UTC date and time to a timestamp.
-fn stamp(at: DateTime) -> Timestamp {
+fn to_timestamp(at: DateTime) -> Timestamp {
     let millis = TimeZone::UTC.to_timestamp(at).map_or(i64::MAX, Instant::as_millisecond);
     Timestamp(u64::try_from(millis).unwrap_or_default())
 }
--- a/crates/budget/src/task.rs
+++ b/crates/budget/src/task.rs
@@ -15,16 +15,16 @@
 
 use crate::{
     Config, Error,
-    job::{Cut, Place},
+    escrow::{Escrow, Reserve},
+    grant::{Client, Extension},
     period::Period,
-    purse::{Purse, Reserve},
     wallet::Wallet,
 };
 
 /// Least time between two extensions ahead of demand, and how long an
 /// exhausted account is taken for exhausted. Without it, the end of a budget
 /// would cost a write or read per request.
-const AHEAD_EVERY: Duration = Duration::from_secs(1);
+const TOP_UP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A message to the budget task.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
     Commit { customer: Customer, grant: Grant, ceiling: Amount, actual: Amount },
     /// A bill was rejected because its grant had been settled by another
     /// instance.
-    Closed { customer: Customer, grant: Grant },
+    GrantClosed { customer: Customer, grant: Grant },
     /// Returns all grants and replies whether all were returned.
     Flush(oneshot::Sender<bool>),
     /// Asks for the unspent and unreserved amount held for a customer.
@@ -52,9 +52,9 @@
 /// Result of a spawned job.
 #[derive(Debug)]
 enum Event {
-    Cut(Key, Holder, Cut),
-    Left(Key, Holder, Option<Amount>),
-    GaveBack(Key, Holder),
+    Extended(Key, Holder, Extension),
+    RemainingRead(Key, Holder, Option<Amount>),
+    Returned(Key, Holder),
     Settled(Holder, bool),
 }
 
@@ -62,12 +62,12 @@
     config: Config,
     platform: store::Handle,
     journal: journal::Handle,
-    purses: HashMap<Key, Purse>,
+    escrows: HashMap<Key, Escrow>,
     /// Epoch of the next wallet's holder.
     epoch: u32,
     /// Holders that are not in the membership, since when, and access to their
     /// accounts.
-    gone: HashMap<Holder, (Instant, Place)>,
+    absent: HashMap<Holder, (Instant, Client)>,
     /// Holders with a settlement under way.
     settling: HashSet<Holder>,
     jobs: JoinSet<Event>,
@@ -79,43 +79,45 @@
             config,
             platform,
             journal,
-            purses: HashMap::new(),
+            escrows: HashMap::new(),
             epoch: 0,
-            gone: HashMap::new(),
+            absent: HashMap::new(),
             settling: HashSet::new(),
             jobs: JoinSet::new(),
         }
     }
 
     pub async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>) {
-        let mut ticks = interval(self.config.tick);
+        let mut ticks = interval(self.config.maintenance_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 message = inbox.recv() => match message {
                     Some(Message::Flush(done)) => self.flush(done),
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 Some(Ok(event)) = self.jobs.join_next() => self.on_event(event),
-                _ = ticks.tick() => self.tick(),
+                _ = ticks.tick() => self.run_maintenance(),
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Reserve(reserve) => self.reserve(reserve),
             Message::Commit { customer, grant, ceiling, actual } => {
                 let key = Key { customer, period: grant.period };
-                if let Some(purse) = self.purses.get_mut(&key).filter(|p| p.place.holder == grant.holder) {
-                    purse.wallet.commit(ceiling, actual, Instant::now());
+                if let Some(escrow) = self.escrows.get_mut(&key).filter(|p| p.client.holder == grant.holder) {
+                    escrow.wallet.commit(ceiling, actual, Instant::now());
                 }
             }
-            Message::Closed { customer, grant } => self.closed(&Key { customer, period: grant.period }, &grant.holder),
+            Message::GrantClosed { customer, grant } => {
+                self.on_grant_closed(&Key { customer, period: grant.period }, &grant.holder)
+            }
             Message::Idle(customer, reply) => {
-                let own = self.purses.iter().filter(|(key, _)| key.customer == customer);
-                let sum = own.fold(Amount::ZERO, |sum, (_, purse)| sum.saturating_add(purse.wallet.available()));
+                let own = self.escrows.iter().filter(|(key, _)| key.customer == customer);
+                let sum = own.fold(Amount::ZERO, |sum, (_, escrow)| sum.saturating_add(escrow.wallet.available()));
                 let _ = reply.send(sum);
             }
             Message::Flush(_) => {}
@@ -127,35 +129,35 @@
         let period = Period::at(self.config.clock.now(), reserve.budget.period);
         let key = Key { customer: reserve.customer.clone(), period: period.start };
         // A contract that changed its kind of period has a different account.
-        if self.purses.get(&key).is_some_and(|purse| purse.place.period != period) {
-            self.end(&key);
+        if self.escrows.get(&key).is_some_and(|escrow| escrow.client.period != period) {
+            self.close(&key);
         }
-        if !self.purses.contains_key(&key) {
-            let purse = self.new_purse(&reserve, period);
-            self.purses.insert(key.clone(), purse);
+        if !self.escrows.contains_key(&key) {
+            let escrow = self.new_escrow(&reserve, period);
+            self.escrows.insert(key.clone(), escrow);
         }
-        let Some(purse) = self.purses.get_mut(&key) else {
+        let Some(escrow) = self.escrows.get_mut(&key) else {
             return;
         };
-        purse.budget = reserve.budget;
-        purse.last = reserve.ceiling;
-        purse.waiting.push_back(reserve);
+        escrow.budget = reserve.budget;
+        escrow.last_ceiling = reserve.ceiling;
+        escrow.waiting.push_back(reserve);
         self.serve(&key);
     }
 
     /// Creates an empty wallet with a holder of its own. What an earlier
     /// wallet of the same customer spent is already settled; under the same
     /// holder its bills would be counted again.
-    fn new_purse(&mut self, reserve: &Reserve, period: Period) -> Purse {
+    fn new_escrow(&mut self, reserve: &Reserve, period: Period) -> Escrow {
         let holder = Holder {
             instance: self.config.origin.instance.clone(),
             incarnation: self.config.origin.incarnation,
             epoch: self.epoch,
         };
         self.epoch += 1;
-        let platform = self.platform.within(self.config.patience);
-        Purse {
-            place: Place {
+        let platform = self.platform.within(self.config.platform_timeout);
+        Escrow {
+            client: Client {
                 platform,
                 customer: reserve.customer.clone(),
                 period,
@@ -167,133 +169,133 @@
             budget: reserve.budget,
             waiting: VecDeque::new(),
             busy: false,
-            held: false,
-            last: reserve.ceiling,
-            left: Amount::ZERO,
-            next_ahead: Instant::now(),
-            dry: None,
+            has_grant: false,
+            last_ceiling: reserve.ceiling,
+            remaining: Amount::ZERO,
+            next_top_up: Instant::now(),
+            exhausted: None,
         }
     }
 
     /// Reserves for waiting requests in order, and starts an extension of the
     /// grant if they need more or the available amount is low.
     fn serve(&mut self, key: &Key) {
-        let Some(purse) = self.purses.get_mut(key) else {
+        let Some(escrow) = self.escrows.get_mut(key) else {
             return;
         };
-        purse.give();
-        purse.refuse_dry();
+        escrow.reserve_waiting();
+        escrow.refuse_if_exhausted();
         let now = Instant::now();
-        let low = purse.wallet.available() < Amount(purse.target(&self.config.sizing).0 / 2);
-        let ahead = low && now >= purse.next_ahead;
-        if purse.busy || (purse.waiting.is_empty() && !ahead) {
+        let low = escrow.wallet.available() < Amount(escrow.target(&self.config.sizing).0 / 2);
+        let top_up = low && now >= escrow.next_top_up;
+        if escrow.busy || (escrow.waiting.is_empty() && !top_up) {
             return;
         }
-        purse.busy = true;
-        purse.next_ahead = now + AHEAD_EVERY;
-        let ask = purse.ask(self.config.sizing);
-        let (place, key) = (purse.place.clone(), key.clone());
+        escrow.busy = true;
+        escrow.next_top_up = now + TOP_UP_INTERVAL;
+        let request = escrow.extension_request(self.config.sizing);
+        let (client, key) = (escrow.client.clone(), key.clone());
         self.jobs.spawn(async move {
-            let cut = place.cut(ask).await;
-            Event::Cut(key, place.holder, cut)
+            let extension = client.extend(request).await;
+            Event::Extended(key, client.holder, extension)
         });
     }
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Cut(key, holder, cut) => self.on_cut(&key, &holder, cut),
-            Event::Left(key, holder, left) => {
-                if let Some(purse) = self.purses.get_mut(&key).filter(|p| p.place.holder == holder) {
-                    purse.busy = false;
-                    purse.left = left.unwrap_or(purse.left);
-                    self.trim(&key);
+            Event::Extended(key, holder, extension) => self.on_extension(&key, &holder, extension),
+            Event::RemainingRead(key, holder, remaining) => {
+                if let Some(escrow) = self.escrows.get_mut(&key).filter(|p| p.client.holder == holder) {
+                    escrow.busy = false;
+                    escrow.remaining = remaining.unwrap_or(escrow.remaining);
+                    self.return_excess(&key);
                     self.serve_waiting(&key);
                 }
             }
-            Event::GaveBack(key, holder) => {
-                if let Some(purse) = self.purses.get_mut(&key).filter(|p| p.place.holder == holder) {
-                    purse.busy = false;
+            Event::Returned(key, holder) => {
+                if let Some(escrow) = self.escrows.get_mut(&key).filter(|p| p.client.holder == holder) {
+                    escrow.busy = false;
                     self.serve_waiting(&key);
                 }
             }
             Event::Settled(holder, done) => {
                 self.settling.remove(&holder);
                 if done {
-                    self.gone.remove(&holder);
+                    self.absent.remove(&holder);
                 }
             }
         }
     }
 
     /// Handles the result of an extension.
-    fn on_cut(&mut self, key: &Key, holder: &Holder, cut: Cut) {
-        let Some(purse) = self.purses.get_mut(key).filter(|p| p.place.holder == *holder) else {
+    fn on_extension(&mut self, key: &Key, holder: &Holder, extension: Extension) {
+        let Some(escrow) = self.escrows.get_mut(key).filter(|p| p.client.holder == *holder) else {
             return;
         };
-        purse.busy = false;
-        match cut {
-            Cut::Granted { grant, left, holders } => {
-                purse.held = true;
-                purse.left = left;
-                purse.wallet.set_granted(grant);
-                purse.give();
-                let place = purse.place.clone();
-                self.notice_gone(&place, holders);
+        escrow.busy = false;
+        match extension {
+            Extension::Granted { grant, remaining, holders } => {
+                escrow.has_grant = true;
+                escrow.remaining = remaining;
+                escrow.wallet.set_granted(grant);
+                escrow.reserve_waiting();
+                let client = escrow.client.clone();
+                self.track_absent(&client, holders);
                 self.serve_waiting(key);
             }
-            Cut::Exhausted { grant, left, holders } => {
-                purse.left = left;
-                purse.dry = Some((left, Instant::now() + AHEAD_EVERY));
-                purse.wallet.set_granted(grant);
-                purse.give();
-                let until = purse.place.period.end;
-                purse.refuse(&Error::Exhausted { until });
-                let place = purse.place.clone();
-                self.notice_gone(&place, holders);
+            Extension::Exhausted { grant, remaining, holders } => {
+                escrow.remaining = remaining;
+                escrow.exhausted = Some((remaining, Instant::now() + TOP_UP_INTERVAL));
+                escrow.wallet.set_granted(grant);
+                escrow.reserve_waiting();
+                let until = escrow.client.period.end;
+                escrow.refuse(&Error::Exhausted { until });
+                let client = escrow.client.clone();
+                self.track_absent(&client, holders);
             }
-            Cut::Closed => self.closed(key, holder),
-            Cut::Failed => {
-                // An extension with an unknown outcome may have created the grant. `held`
+            Extension::Closed => self.on_grant_closed(key, holder),
+            Extension::Failed => {
+                // An extension with an unknown outcome may have created the grant. `has_grant`
                 // stays as it is; the next extension reads the grant from the object.
-                purse.give();
-                purse.refuse(&Error::Unavailable);
+                escrow.reserve_waiting();
+                escrow.refuse(&Error::Unavailable);
             }
         }
     }
 
     /// Serves a wallet only if requests wait for it.
     fn serve_waiting(&mut self, key: &Key) {
-        if self.purses.get(key).is_some_and(|purse| !purse.waiting.is_empty()) {
+        if self.escrows.get(key).is_some_and(|escrow| !escrow.waiting.is_empty()) {
             self.serve(key);
         }
     }
 
     /// Replaces a wallet whose grant was settled by another instance with a
     /// new one.
-    fn closed(&mut self, key: &Key, holder: &Holder) {
-        if self.purses.get(key).is_none_or(|purse| purse.place.holder != *holder) {
+    fn on_grant_closed(&mut self, key: &Key, holder: &Holder) {
+        if self.escrows.get(key).is_none_or(|escrow| escrow.client.holder != *holder) {
             return;
         }
-        let Some(purse) = self.purses.remove(key) else {
+        let Some(escrow) = self.escrows.remove(key) else {
             return;
         };
         tracing::warn!(%holder, customer = %key.customer, "grant was settled by another instance");
-        self.settle(purse.place);
-        for reserve in purse.waiting {
+        self.settle(escrow.client);
+        for reserve in escrow.waiting {
             self.reserve(reserve);
         }
     }
 
     /// Tracks holders that are not in the membership, to settle their grants
     /// after [`Config::settle_after`].
-    fn notice_gone(&mut self, place: &Place, holders: Vec<Holder>) {
+    fn track_absent(&mut self, client: &Client, holders: Vec<Holder>) {
         for holder in holders {
             if self.is_alive(&holder) {
-                self.gone.remove(&holder);
+                self.absent.remove(&holder);
                 continue;
             }
-            let place = Place { holder: holder.clone(), ..place.clone() };
-            self.gone.entry(holder).or_insert((Instant::now(), place));
+            let client = Client { holder: holder.clone(), ..client.clone() };
+            self.absent.entry(holder).or_insert((Instant::now(), client));
         }
     }
 
@@ -301,98 +303,98 @@
     fn is_alive(&self, holder: &Holder) -> bool {
         let origin = &self.config.origin;
         if holder.instance == origin.instance && holder.incarnation == origin.incarnation {
-            return self.purses.values().any(|purse| purse.place.holder == *holder);
+            return self.escrows.values().any(|escrow| escrow.client.holder == *holder);
         }
         self.journal.knows(&holder.instance, holder.incarnation)
     }
 
     /// Settles grants of holders absent for long enough and maintains all wallets.
-    fn tick(&mut self) {
+    fn run_maintenance(&mut self) {
         let now = Instant::now();
-        let gone: Vec<Holder> = self.gone.keys().cloned().collect();
-        for holder in gone {
+        let absent: Vec<Holder> = self.absent.keys().cloned().collect();
+        for holder in absent {
             if self.is_alive(&holder) {
-                self.gone.remove(&holder);
-            } else if let Some((_, place)) =
-                self.gone.get(&holder).filter(|(t, _)| now >= *t + self.config.settle_after)
+                self.absent.remove(&holder);
+            } else if let Some((_, client)) =
+                self.absent.get(&holder).filter(|(t, _)| now >= *t + self.config.settle_after)
             {
-                self.settle(place.clone());
+                self.settle(client.clone());
             }
         }
-        let keys: Vec<Key> = self.purses.keys().cloned().collect();
+        let keys: Vec<Key> = self.escrows.keys().cloned().collect();
         for key in keys {
-            self.tend(&key, now);
+            self.maintain(&key, now);
         }
     }
 
     /// Closes a wallet that is idle or past its period, and returns what a
     /// wallet in use holds beyond its need.
-    fn tend(&mut self, key: &Key, now: Instant) {
+    fn maintain(&mut self, key: &Key, now: Instant) {
         let wall = self.config.clock.now();
-        let Some(purse) = self.purses.get_mut(key).filter(|p| !p.busy && p.waiting.is_empty()) else {
+        let Some(escrow) = self.escrows.get_mut(key).filter(|p| !p.busy && p.waiting.is_empty()) else {
             return;
         };
-        let over = wall >= purse.place.period.end;
-        let idle = now >= purse.wallet.used_at() + self.config.idle_after;
-        if (over || idle) && !purse.wallet.in_use() {
-            self.end(key);
+        let has_ended = wall >= escrow.client.period.end;
+        let idle = now >= escrow.wallet.used_at() + self.config.idle_after;
+        if (has_ended || idle) && !escrow.wallet.in_use() {
+            self.close(key);
             return;
         }
-        purse.wallet.pass(now);
-        let used = now < purse.wallet.used_at() + self.config.tick;
-        if used || purse.wallet.available() == Amount::ZERO {
-            return self.trim(key);
+        escrow.wallet.decay_rate(now);
+        let recently_used = now < escrow.wallet.used_at() + self.config.maintenance_interval;
+        if recently_used || escrow.wallet.available() == Amount::ZERO {
+            return self.return_excess(key);
         }
         // An unused wallet has not read the account for a while. Its holding may by now be
         // most of what other instances are short of.
-        purse.busy = true;
-        let (place, limit, key) = (purse.place.clone(), purse.budget.amount, key.clone());
+        escrow.busy = true;
+        let (client, limit, key) = (escrow.client.clone(), escrow.budget.amount, key.clone());
         self.jobs.spawn(async move {
-            let left = place.left(limit).await;
-            Event::Left(key, place.holder, left)
+            let remaining = client.remaining(limit).await;
+            Event::RemainingRead(key, client.holder, remaining)
         });
     }
 
     /// Returns to the account what is available beyond twice the target.
-    fn trim(&mut self, key: &Key) {
-        let Some(purse) = self.purses.get_mut(key) else {
+    fn return_excess(&mut self, key: &Key) {
+        let Some(escrow) = self.escrows.get_mut(key) else {
             return;
         };
-        let target = purse.target(&self.config.sizing);
-        let excess = purse.wallet.available().saturating_sub(Amount(target.0.saturating_mul(2)));
+        let target = escrow.target(&self.config.sizing);
+        let excess = escrow.wallet.available().saturating_sub(Amount(target.0.saturating_mul(2)));
         if excess == Amount::ZERO {
             return;
         }
-        purse.busy = true;
-        purse.wallet.take_out(excess);
-        let (place, key) = (purse.place.clone(), key.clone());
+        escrow.busy = true;
+        escrow.wallet.remove_unspent(excess);
+        let (client, key) = (escrow.client.clone(), key.clone());
         self.jobs.spawn(async move {
-            place.give_back(excess).await;
-            Event::GaveBack(key, place.holder)
+            client.return_unspent(excess).await;
+            Event::Returned(key, client.holder)
         });
     }
 
     /// Closes a wallet and ends its grant.
-    fn end(&mut self, key: &Key) {
-        if let Some(purse) = self.purses.remove(key).filter(|purse| purse.held) {
-            let (place, spent) = (purse.place, purse.wallet.spent());
+    fn close(&mut self, key: &Key) {
+        if let Some(escrow) = self.escrows.remove(key).filter(|escrow| escrow.has_grant) {
+            let (client, spent) = (escrow.client, escrow.wallet.spent());
             self.jobs.spawn(async move {
-                let done = place.end(spent).await;
-                Event::Settled(place.holder, done)
+                let done = client.end(spent).await;
+                Event::Settled(client.holder, done)
             });
         }
     }
 
     /// Settles a grant from its bills, unless that is already under way.
-    fn settle(&mut self, place: Place) {
-        if !self.settling.insert(place.holder.clone()) {
+    fn settle(&mut self, client: Client) {
+        if !self.settling.insert(client.holder.clone()) {
             return;
         }
         let journal = self.journal.clone();
-        let patience = self.config.settle_patience;
+        let timeout = self.config.settle_timeout;
         self.jobs.spawn(async move {
-            let done = place.settle(&journal, patience).await;
-            Event::Settled(place.holder, done)
+            let done = client.settle(&journal, timeout).await;
+            Event::Settled(client.holder, done)
         });
     }
 
@@ -400,11 +402,11 @@
     /// bills may still arrive.
     fn flush(&mut self, done: oneshot::Sender<bool>) {
         let mut ends = JoinSet::new();
-        for (_, mut purse) in self.purses.drain() {
-            purse.refuse(&Error::Unavailable);
-            let spent = purse.wallet.spent().saturating_add(purse.wallet.reserved());
-            if purse.held || purse.busy {
-                ends.spawn(async move { purse.place.end(spent).await });
+        for (_, mut escrow) in self.escrows.drain() {
+            escrow.refuse(&Error::Unavailable);
+            let spent = escrow.wallet.spent().saturating_add(escrow.wallet.reserved());
+            if escrow.has_grant || escrow.busy {
+                ends.spawn(async move { escrow.client.end(spent).await });
             }
         }
         tokio::spawn(async move {
--- a/crates/budget/src/wallet.rs
+++ b/crates/budget/src/wallet.rs
@@ -7,9 +7,9 @@
 use world::money::Amount;
 
 /// Weight of the newest sample in the smoothed spending rate.
-const NEWEST: f64 = 0.3;
+const SAMPLE_WEIGHT: f64 = 0.3;
 /// Shortest time over which a sample of the rate is taken.
-const SPAN: Duration = Duration::from_secs(1);
+const MIN_SAMPLE: Duration = Duration::from_secs(1);
 
 /// A grant and the parts of it that are spent and reserved.
 #[derive(Debug, Clone)]
@@ -20,7 +20,7 @@
     /// Smoothed spending rate, per second.
     rate: f64,
     /// Start of the current sample and the amount spent since then.
-    span: (Instant, Amount),
+    sample: (Instant, Amount),
     used_at: Instant,
 }
 
@@ -34,12 +34,12 @@
     pub requests: u64,
     /// Divisor that bounds the available amount: at most one part in this many
     /// of what is left.
-    pub parts: u64,
+    pub share_divisor: u64,
 }
 
 impl Default for Sizing {
     fn default() -> Self {
-        Self { ahead: Duration::from_secs(30), requests: 8, parts: 28 }
+        Self { ahead: Duration::from_secs(30), requests: 8, share_divisor: 28 }
     }
 }
 
@@ -48,7 +48,7 @@
     #[must_use]
     pub fn new(now: Instant) -> Self {
         let none = Amount::ZERO;
-        Self { granted: none, spent: none, reserved: none, rate: 0.0, span: (now, none), used_at: now }
+        Self { granted: none, spent: none, reserved: none, rate: 0.0, sample: (now, none), used_at: now }
     }
 
     /// Returns the amount that is neither spent nor reserved.
@@ -95,7 +95,7 @@
     pub fn commit(&mut self, ceiling: Amount, actual: Amount, now: Instant) {
         self.reserved = self.reserved.saturating_sub(ceiling);
         self.spent = self.spent.saturating_add(actual);
-        self.measure(actual, now);
+        self.update_rate(actual, now);
     }
 
     /// Sets the size of the grant.
@@ -105,7 +105,7 @@
 
     /// Removes money that is about to be returned, so that it cannot be
     /// reserved.
-    pub fn take_out(&mut self, unspent: Amount) {
+    pub fn remove_unspent(&mut self, unspent: Amount) {
         self.granted = self.granted.saturating_sub(unspent);
     }
 
@@ -113,25 +113,25 @@
     /// the present rate, and for some requests of this ceiling.
     #[must_use]
     pub fn wanted(&self, ceiling: Amount, sizing: &Sizing) -> Amount {
-        let ahead = amount(self.rate * sizing.ahead.as_secs_f64());
-        ahead.max(times(ceiling, sizing.requests))
+        let ahead = from_f64(self.rate * sizing.ahead.as_secs_f64());
+        ahead.max(total_ceiling(ceiling, sizing.requests))
     }
 
     /// Lets the spending rate fall while nothing is spent.
-    pub fn pass(&mut self, now: Instant) {
-        self.measure(Amount::ZERO, now);
+    pub fn decay_rate(&mut self, now: Instant) {
+        self.update_rate(Amount::ZERO, now);
     }
 
     /// Adds a spent amount to the current sample and updates the rate when the sample is long enough.
-    fn measure(&mut self, actual: Amount, now: Instant) {
-        self.span.1 = self.span.1.saturating_add(actual);
-        let past = now.duration_since(self.span.0);
-        if past < SPAN {
+    fn update_rate(&mut self, actual: Amount, now: Instant) {
+        self.sample.1 = self.sample.1.saturating_add(actual);
+        let past = now.duration_since(self.sample.0);
+        if past < MIN_SAMPLE {
             return;
         }
-        let newest = number(self.span.1) / past.as_secs_f64();
-        self.rate += (newest - self.rate) * NEWEST;
-        self.span = (now, Amount::ZERO);
+        let newest = to_f64(self.sample.1) / past.as_secs_f64();
+        self.rate += (newest - self.rate) * SAMPLE_WEIGHT;
+        self.sample = (now, Amount::ZERO);
     }
 }
 
@@ -140,29 +140,35 @@
 /// near its end most of the remainder is still free for any instance that
 /// needs it.
 #[must_use]
-pub fn target(wanted: Amount, available: Amount, left: Amount, sizing: &Sizing) -> Amount {
-    let part = Amount(left.saturating_add(available).0 / sizing.parts.max(1));
+pub fn target(wanted: Amount, available: Amount, remaining: Amount, sizing: &Sizing) -> Amount {
+    let part = Amount(remaining.saturating_add(available).0 / sizing.share_divisor.max(1));
     wanted.min(part)
 }
 
 /// Returns the size of an extension: enough to reach the target, and at least
 /// what the waiting requests need.
 #[must_use]
-pub fn cut_size(missing: Amount, wanted: Amount, available: Amount, left: Amount, sizing: &Sizing) -> Amount {
-    target(wanted, available, left, sizing).saturating_sub(available).max(missing)
+pub fn extension_size(
+    shortfall: Amount,
+    wanted: Amount,
+    available: Amount,
+    remaining: Amount,
+    sizing: &Sizing,
+) -> Amount {
+    target(wanted, available, remaining, sizing).saturating_sub(available).max(shortfall)
 }
 
 /// Returns the sum of the ceilings of `requests` equal requests.
-fn times(ceiling: Amount, requests: u64) -> Amount {
+fn total_ceiling(ceiling: Amount, requests: u64) -> Amount {
     Amount(ceiling.0.saturating_mul(requests))
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a rate needs no more than 52 bits")]
-fn number(amount: Amount) -> f64 {
+fn to_f64(amount: Amount) -> f64 {
     amount.0 as f64
 }
 
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a cast of a float saturates")]
-fn amount(number: f64) -> Amount {
+fn from_f64(number: f64) -> Amount {
     Amount(number as u64)
 }
