--- a/crates/control/src/coordinator.rs
+++ b/crates/control/src/coordinator.rs
@@ -1,11 +1,12 @@
-//! Carries roll-outs on while this instance holds the lease.
+//! Advances roll-outs while this instance holds the lease.
 //!
-//! All that a roll-out is stands in its object: state, step, reason. The
-//! coordinator reads it, plans the next move ([`route::rollout::plan`]) and
-//! writes it on the condition that nobody else did meanwhile. One that is lost
-//! between any two moves is replaced by the next holder, who reads the same
-//! object; what it knew besides, how long a step has lasted and what engines
-//! hold, the next one learns anew, at worst waiting a little longer.
+//! The whole state of a roll-out is in its object: state, step and reason. The
+//! coordinator reads it, plans the next transition ([`route::rollout::plan`])
+//! and writes it on the condition that the object has not changed meanwhile.
+//! If the coordinator is lost between two transitions, the next lease holder
+//! reads the same object and continues. What is not stored, namely how long a
+//! step has lasted and which versions engines hold, the next holder determines
+//! anew, at worst waiting a little longer.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -33,22 +34,24 @@
 
 use crate::{Settings, guard::Verdicts, lease::Term, loads::Loads, order::Call};
 
-/// Time between two looks at all roll-outs.
+/// Interval at which all roll-outs are checked.
 const TICK: Duration = Duration::from_millis(500);
 
-/// Time from a withdrawal until engines drop the version. Runs under way end
-/// meanwhile; unloading at once would cut off their answers.
+/// Time from a withdrawal until engines are ordered to drop the version.
+/// Running requests end meanwhile; unloading at once would cut off their
+/// answers.
 const DRAIN: Duration = Duration::from_mins(2);
 
-/// Part of a version's endpoints that must hold it before it takes all of its
-/// tier's work; the rest may be down.
+/// Largest share of a version's endpoints that is required to have loaded it
+/// before it takes all of its tier's work; the rest may be down.
 const ENOUGH: f64 = 0.9;
 
-/// Fewest endpoints that must hold it before it takes any, where there are as
-/// many: one alone would make it slow, and the guard would stop it for that.
+/// Fewest endpoints that must have loaded the version before it takes any
+/// traffic, if it has as many: a single one would be slow, and the guard would
+/// stop the version for that.
 const FEWEST: usize = 2;
 
-/// The task's ends.
+/// The coordinator task.
 pub(crate) struct Coordinator {
     pub settings: Arc<Settings>,
     pub config: config::Handle,
@@ -58,14 +61,15 @@
     pub calls: mpsc::Sender<Call>,
 }
 
-/// What is known beside the objects; ends with the term.
+/// State kept beside the objects, for the length of one lease term.
 struct Office {
     epoch: u64,
     loads: Loads,
+    /// When each roll-out reached its present state and step.
     since: HashMap<Id, Seen>,
 }
 
-/// Since when a roll-out has stood where it stands.
+/// A roll-out's state and step, and when they were first seen.
 struct Seen {
     state: State,
     step: usize,
@@ -92,6 +96,7 @@
         }
     }
 
+    /// Returns the lease term in force, if this instance holds the lease.
     fn term(&self) -> Option<Term> {
         self.terms.borrow().filter(|term| !term.left().is_zero())
     }
@@ -101,6 +106,7 @@
         Office { epoch: term.epoch, loads, since: HashMap::new() }
     }
 
+    /// Updates the orders to engines and carries out the next transition of each roll-out.
     async fn work(&self, office: &mut Office, term: Term) {
         let catalog = self.config.current();
         office.see(&catalog);
@@ -115,7 +121,8 @@
         }
     }
 
-    /// What the guard thinks of the step in force, and nothing of another.
+    /// Returns the guard's verdict on the step in force; a verdict on another
+    /// step is ignored.
     fn verdict(&self, id: &Id, rollout: &Rollout) -> Verdict {
         let verdicts = self.verdicts.borrow();
         match verdicts.get(id) {
@@ -124,11 +131,12 @@
         }
     }
 
+    /// Writes the next state of a roll-out if it has not changed since the plan was made.
     async fn write(&self, id: &Id, old: &Rollout, next: Rollout) {
         let key = Key { kind: Kind::Rollout, name: id.to_string() };
         let Some(revision) = self.config.revision(&key) else { return };
-        // The plan was made from the catalog read before. If the object has
-        // changed since, an operator's pause say, the plan is void.
+        // The plan was made from the catalog as read before. If the object has changed since,
+        // for example because an operator paused it, the plan is void.
         if self.config.current().rollouts().get(id) != Some(old) {
             return;
         }
@@ -140,12 +148,13 @@
                 self.recorder.record(Event::Rollout { rollout: id.clone(), version, phase, reason });
             }
             Ok(_) => {}
-            Err(error) => tracing::warn!(rollout = %id, %error, "roll-out not moved on, will be tried again"),
+            Err(error) => tracing::warn!(rollout = %id, %error, "roll-out transition not written, will retry"),
         }
     }
 }
 
 impl Office {
+    /// Notes when roll-outs changed their state or step.
     fn see(&mut self, catalog: &Catalog) {
         self.since.retain(|id, _| catalog.rollouts().contains_key(id));
         for (id, rollout) in catalog.rollouts() {
@@ -157,12 +166,14 @@
         }
     }
 
+    /// Returns how long a roll-out has been at its state and step.
     fn at_step(&self, id: &Id) -> Duration {
         self.since.get(id).map_or(Duration::ZERO, |seen| seen.at.elapsed())
     }
 
-    /// What engines are to hold: versions under roll-out, and those withdrawn
-    /// long enough ago no more.
+    /// Returns, for each version, what its endpoints are to hold: versions
+    /// under roll-out are loaded, those withdrawn longer than the drain time
+    /// ago are dropped.
     fn wanted(&self, catalog: &Catalog) -> BTreeMap<Version, (Wanted, Vec<Endpoint>)> {
         let mut wanted = BTreeMap::new();
         for (id, rollout) in catalog.rollouts() {
@@ -176,6 +187,7 @@
         wanted
     }
 
+    /// Returns the progress of a roll-out's present step.
     fn progress(&self, catalog: &Catalog, id: &Id, rollout: &Rollout) -> Progress {
         let endpoints = catalog.endpoints(&rollout.version).len();
         let at_step_ms = millis(self.at_step(id));
@@ -183,7 +195,8 @@
     }
 }
 
-/// Endpoints that must hold the version for the step to come.
+/// Returns the number of endpoints that must hold the version before the next
+/// step.
 fn wanted(endpoints: usize, rollout: &Rollout) -> usize {
     let next = if rollout.state == State::Loading { rollout.step } else { rollout.step + 1 };
     let share = rollout.steps.get(next).copied().unwrap_or(1.0).min(ENOUGH);
@@ -194,11 +207,11 @@
         reason = "at most some ten thousand endpoints, times a share from 0 to 1"
     )]
     let needed = (endpoints as f64 * share).floor() as usize;
-    // A version without endpoints never takes traffic.
+    // At least one, so a version without endpoints never takes traffic.
     needed.max(FEWEST.min(endpoints)).max(1)
 }
 
-/// The object that a plan leaves behind; nothing while it waits.
+/// Applies a plan to a roll-out; `None` if the plan is to wait.
 fn carried_out(rollout: &Rollout, plan: &Plan) -> Option<Rollout> {
     let next = rollout.clone();
     Some(match plan {
@@ -213,6 +226,7 @@
     })
 }
 
+/// Returns the phase that the time line records for a roll-out's state.
 fn phase(rollout: &Rollout) -> Phase {
     match rollout.state {
         State::Loading => Phase::Loading,
--- a/crates/control/src/guard.rs
+++ b/crates/control/src/guard.rs
@@ -1,11 +1,13 @@
-//! The version guard: one instance's strong evidence stops a version everywhere.
+//! The version guard: stops a version at all instances as soon as the evidence
+//! of one instance or of the whole fleet is strong enough.
 //!
-//! The task owns the ledger. It tells peers its sums, judges the fleet's, and
-//! when they are strong enough stops the version here at once, tells every
-//! peer, and hands the stop to [`crate::withdraw`], which makes it last. News
-//! of a stop are repeated, and passed on by whoever heard them, until the
-//! configuration says so too: a link that loses one message, or two instances
-//! without a link, then only delay it.
+//! The task owns the ledger. It sends this instance's sums to its peers and
+//! judges the sums of the whole fleet. When the evidence against a version is
+//! strong enough, it stops the version here at once, notifies every peer, and
+//! hands the stop to [`crate::withdraw`], which writes it to the
+//! configuration. Every instance that has received a stop repeats it to its
+//! peers until the configuration contains it. A lost message, or two instances
+//! without a link, therefore only delays a stop.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -28,43 +30,49 @@
     wire::News,
 };
 
-/// Time between two judgements.
+/// Interval at which the evidence is judged.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Time between two messages to peers in a small fleet.
+/// Interval of updates to peers in a fleet of up to [`NEWS_PEERS`] peers.
 const NEWS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two repeats of a stop that is not in force yet.
+/// Interval at which a stop is repeated until the configuration contains it.
 const STOP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Peers up to which [`NEWS_INTERVAL`] holds; more make it longer, so that
-/// what an instance receives does not grow with the fleet.
+/// Number of peers up to which [`NEWS_INTERVAL`] holds. With more, the
+/// interval grows in proportion, so that what an instance receives does not
+/// grow with the fleet.
 const NEWS_PEERS: u32 = 8;
 
-/// Part of the interval after which bad news may go out already.
+/// Divisor of the interval after which an update may be sent if it contains
+/// new failures of a version under roll-out.
 const HURRY: u32 = 5;
 
-/// What is thought of each running roll-out's present step.
+/// Verdict on the present step of each running roll-out.
 pub(crate) type Verdicts = BTreeMap<rollout::Id, (usize, Verdict)>;
 
-/// The task's ends.
+/// The guard task.
 pub(crate) struct Guard {
     pub settings: Arc<Settings>,
     pub catalog: watch::Receiver<Arc<Catalog>>,
     pub recorder: Recorder,
     pub stops: watch::Sender<Arc<Stops>>,
     pub verdicts: watch::Sender<Arc<Verdicts>>,
+    /// Notified when this instance's own evidence stops a version.
     pub own_stop: Arc<Notify>,
+    /// Encoded updates for all peers.
     pub news: mpsc::Sender<Bytes>,
     pub ledger: Ledger,
     pub told: Told,
 }
 
-/// When peers were told last, and whether there is more to tell.
+/// When the last update was sent to peers, and what has changed since.
 #[derive(Debug)]
 pub(crate) struct Told {
     at: Instant,
+    /// Whether there are new observations.
     changed: bool,
+    /// Whether there are new failures of a version under roll-out.
     urgent: bool,
 }
 
@@ -109,6 +117,7 @@
         }
     }
 
+    /// Takes in a peer's update: its stops and its sums.
     fn hear(&mut self, catalog: &Catalog, news: News) {
         let (by, incarnation) = news.source;
         if by == self.settings.instance && incarnation == self.settings.incarnation {
@@ -120,6 +129,7 @@
         self.ledger.hear((by, incarnation), news.sums);
     }
 
+    /// Drops sums and stops that the new catalog makes obsolete.
     fn settle(&mut self) {
         let catalog = self.catalog.borrow().clone();
         self.ledger.settle(&catalog);
@@ -130,6 +140,7 @@
         }
     }
 
+    /// Judges every running roll-out and stops those with a bad version.
     fn judge(&mut self) {
         let catalog = self.catalog.borrow().clone();
         let mut verdicts = Verdicts::new();
@@ -147,13 +158,14 @@
         }
     }
 
+    /// Adds a stop found by instance `by`, unless it is known or already in the configuration.
     fn stop(&mut self, catalog: &Catalog, stop: Stop, by: instance::Id) {
         let mut stops = self.stops.borrow().as_ref().clone();
         let (version, reason) = (stop.version.clone(), stop.reason.clone());
         if !stops.insert(stop) {
             return;
         }
-        // Late news of a stop that is already in force.
+        // A late message about a stop that the configuration already contains.
         stops.settle(catalog);
         if !stops.contains(&version) {
             return;
@@ -167,6 +179,7 @@
         self.tell_now();
     }
 
+    /// Sends an update to peers if one is due.
     fn tell(&mut self) {
         let stopped = self.stops.borrow().iter().next().is_some();
         let peers = u32::try_from(self.ledger.sources()).unwrap_or(u32::MAX);
@@ -180,6 +193,7 @@
         }
     }
 
+    /// Sends all sums and stops to peers.
     fn tell_now(&mut self) {
         let sums = self.ledger.own().map(|(step, sums)| (step.clone(), *sums)).collect();
         let stops = self.stops.borrow().iter().cloned().collect();
@@ -189,14 +203,15 @@
         if news.sums.is_empty() && news.stops.is_empty() {
             return;
         }
-        // A full queue means that links are slower than our news: the next
-        // message holds all of this one.
+        // A full queue means that the links are slower than the updates. The next update
+        // contains all of this one.
         if self.news.try_send(news.encode()).is_err() {
             metrics::counter!("control_news_dropped_total").increment(1);
         }
     }
 }
 
+/// Builds the stop of a roll-out's version.
 fn stop(id: &rollout::Id, rollout: &rollout::Rollout, reason: &Reason) -> Stop {
     Stop { version: rollout.version.clone(), rollout: id.clone(), reason: reason.to_string() }
 }
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -1,4 +1,5 @@
-//! The way in to the tasks.
+//! Handle through which the other parts of an instance reach the control
+//! tasks.
 
 use std::sync::Arc;
 
@@ -8,19 +9,19 @@
 
 use crate::observation::Observation;
 
-/// Messages that may wait for the guard.
+/// Capacity of the guard's inbox, in messages.
 pub(crate) const INBOX: usize = 4_096;
 
 /// A message to the guard.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// A request told something.
+    /// An observation of a request.
     Observed(Observation),
-    /// A peer told something.
+    /// An encoded update from a peer.
     Heard(Bytes),
 }
 
-/// Control at this instance; cheap to clone.
+/// Handle to this instance's control tasks; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     pub(crate) inbox: mpsc::Sender<Message>,
@@ -28,25 +29,27 @@
 }
 
 impl Handle {
-    /// Tells what a request showed of a version. Never waits: under a backlog
-    /// an observation is dropped and counted, since requests go first.
+    /// Reports what a request showed of a version. Never waits: when the inbox
+    /// is full the observation is dropped and counted, so that requests are
+    /// not delayed.
     pub fn observe(&self, observation: Observation) {
         self.send(Message::Observed(observation));
     }
 
-    /// Takes in what a peer's control published.
+    /// Takes in an update that a peer's control tasks published.
     pub fn heard(&self, news: Bytes) {
         self.send(Message::Heard(news));
     }
 
-    /// Versions stopped by evidence, ahead of the configuration; decisions
-    /// treat them as withdrawn.
+    /// Returns the versions stopped by evidence that the configuration does
+    /// not show as withdrawn yet. Routing decisions treat them as withdrawn.
     #[must_use]
     pub fn stops(&self) -> Arc<Stops> {
         self.stops.borrow().clone()
     }
 
-    /// Changes whenever a stop is added or has come into force.
+    /// Returns a receiver that changes whenever a stop is added or taken over
+    /// by the configuration.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<Stops>> {
         self.stops.clone()
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -1,18 +1,20 @@
-//! A lease: the time-bound sole right to give orders.
+//! A lease: the exclusive right to give orders, for a limited time.
 //!
-//! The object `lease/NAME` names holder and epoch; every renewal changes it
-//! by a conditional update. No clock is compared between instances:
+//! The object `lease/NAME` names the holder and the epoch; every renewal
+//! changes it by a conditional update. Clocks are never compared between
+//! instances:
 //!
 //! - The holder counts its term from before it sent the write that began it,
 //!   on its own monotonic clock ([`Term`]).
-//! - A successor counts from when it first read the state it is about to
+//! - A successor counts from when it first read the state that it is about to
 //!   replace, which is never before that write took effect, and waits for the
-//!   term plus [`Settings::grace`]: the longest an order may be on its way.
+//!   term plus [`Settings::grace`], the longest time that an order may take to
+//!   arrive.
 //!
-//! So a successor's first order comes after the last byte of its
-//! predecessor's, also at engines that ignore the fencing number. A holder
-//! that was paused finds its term over by its own clock; a renewal that it
-//! sends then fails on its condition.
+//! So a successor's first order comes after the last byte of its predecessor's
+//! orders, also at engines that ignore the fencing number. A holder that was
+//! paused sees by its own clock that its term has ended; a renewal that it
+//! still sends fails on its condition.
 
 use std::time::{Duration, SystemTime};
 
@@ -26,25 +28,26 @@
 };
 use world::instance;
 
-/// How a lease is kept.
+/// Configuration of one instance's claim to a lease.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its name; the object is `lease/NAME`.
+    /// Name of the lease; its object is `lease/NAME`.
     pub name: String,
-    /// Who wants it.
+    /// Instance that wants the lease.
     pub instance: instance::Id,
-    /// Which run.
+    /// Incarnation of that instance.
     pub incarnation: instance::Incarnation,
-    /// Length of a term. Three renewals fit in one.
+    /// Length of a term. The holder renews three times in one.
     pub term: Duration,
-    /// How long a successor waits beyond the term: an order's time limit.
+    /// Time that a successor waits beyond the term: at least the time limit of
+    /// an order.
     pub grace: Duration,
-    /// Seed of the jitter.
+    /// Seed of the jitter between attempts to take the lease.
     pub seed: u64,
 }
 
 impl Settings {
-    /// The usual lease: terms of six seconds.
+    /// Returns the default configuration, with terms of six seconds.
     #[must_use]
     pub fn new(name: &str, instance: instance::Id, incarnation: instance::Incarnation) -> Self {
         let seed = world::hash::stable(instance.as_str().as_bytes());
@@ -55,32 +58,34 @@
 const TERM: Duration = Duration::from_secs(6);
 const GRACE: Duration = Duration::from_secs(2);
 
-/// Writes in a term, so that two may fail before it ends.
+/// Renewals per term, so that two may fail before it ends.
 const RENEWALS: u32 = 3;
 
-/// Pauses in a term while renewals fail.
+/// Number of retry intervals in a term while renewals fail.
 const RETRIES: u32 = 20;
 
-/// Part of a term that counts as clock drift between two machines.
+/// Divisor of the term: the part added to it for clock drift between two
+/// machines.
 const DRIFT: u32 = 50;
 
-/// A term that this instance holds.
+/// A term during which this instance holds the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Term {
-    /// Fencing number.
+    /// Epoch of the lease, sent with orders as their fencing number.
     pub epoch: u64,
-    /// When it ends, on this process's clock.
+    /// End of the term on this process's monotonic clock.
     pub until: Instant,
     began: SystemTime,
     span: Duration,
 }
 
 impl Term {
-    /// Time left; nothing once it has ended.
+    /// Returns the remaining time, zero once the term has ended.
     ///
-    /// The monotonic clock stands still while some machines are suspended. The
-    /// wall clock does not, so the shorter of both counts: a holder that slept
-    /// with its machine would otherwise wake into a term long since another's.
+    /// The monotonic clock stands still while some machines are suspended, the
+    /// wall clock does not. The shorter remainder of both counts; otherwise a
+    /// holder that was suspended with its machine would resume in a term that
+    /// another instance has held for long.
     #[must_use]
     pub fn left(&self) -> Duration {
         let by_wall = self.began.elapsed().map_or(self.span, |gone| self.span.saturating_sub(gone));
@@ -88,7 +93,7 @@
     }
 }
 
-/// The lease as kept in the platform.
+/// The lease as stored in the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Record {
     epoch: u64,
@@ -96,10 +101,11 @@
     incarnation: instance::Incarnation,
 }
 
-/// Starts a task that wants the lease; the receiver tells its terms.
+/// Starts a task that takes and renews the lease; the receiver shows its
+/// present term.
 ///
-/// A receiver must check [`Term::left`] before each use: a paused process may
-/// find an ended term here.
+/// A receiver must check [`Term::left`] before each use, because a paused
+/// process may see an ended term here.
 #[must_use]
 pub fn spawn(settings: Settings, platform: store::Handle, recorder: Recorder) -> watch::Receiver<Option<Term>> {
     let (sender, receiver) = watch::channel(None);
@@ -107,7 +113,7 @@
     receiver
 }
 
-/// Wants, takes and keeps the lease until nobody listens.
+/// Takes and renews the lease, again and again, until the receiver is dropped.
 pub async fn run(settings: Settings, platform: store::Handle, recorder: Recorder, terms: watch::Sender<Option<Term>>) {
     let random = StdRng::seed_from_u64(settings.seed);
     let platform = platform.within(settings.term / (2 * RENEWALS));
@@ -129,14 +135,14 @@
     seen: Option<Seen>,
 }
 
-/// The last state read, and since when it has stood.
+/// Version of the last state read, and when it was first read.
 struct Seen {
     version: u64,
     since: Instant,
 }
 
 impl Task {
-    /// Takes the lease if it is free or its holder's time is over.
+    /// Takes the lease if it is free or its holder has let it lapse.
     async fn take(&mut self) -> Option<(Item, Term)> {
         let key = self.key();
         let found = self.platform.get(Priority::Lease, &key).await.ok()?;
@@ -157,9 +163,11 @@
         self.taken(write, began, &record, Some(old.holder))
     }
 
-    /// Whether the state read has stood for a term and the grace.
+    /// Returns whether the state of the lease has been unchanged for a term
+    /// plus the grace.
     fn waited_out(&mut self, version: u64) -> bool {
-        // Read, so it stands by now: the wait starts here, not when it was sent.
+        // The state is in effect at the latest now that it has been read. The wait starts
+        // here, not when the read was sent.
         let now = Instant::now();
         let seen = self.seen.get_or_insert(Seen { version, since: now });
         if seen.version != version {
@@ -169,6 +177,7 @@
         now.duration_since(seen.since) >= term + term / DRIFT + self.settings.grace
     }
 
+    /// Handles the result of the write that takes the lease.
     fn taken(
         &mut self,
         write: Result<Write, store::Error>,
@@ -176,20 +185,20 @@
         record: &Record,
         from: Option<instance::Id>,
     ) -> Option<(Item, Term)> {
-        // An unknown outcome may have taken the lease. It is then waited out
-        // like anybody's: nothing was ordered under it, so only time is lost.
+        // A write with an unknown outcome may have taken the lease. It is then waited out like
+        // any other holder's: no order was given under it, so only time is lost.
         let Ok(Write::Done(item)) = write else { return None };
         let holding = Holding::Lease { name: self.settings.name.clone() };
         self.recorder.record(Event::TakeOver { holding, epoch: record.epoch, from });
         Some((item, self.term(record.epoch, began)))
     }
 
-    /// Renews until the term ends or another holds the lease.
+    /// Renews the lease until the term ends or another instance takes it.
     async fn hold(&mut self, mut item: Item, mut term: Term) {
         self.terms.send_replace(Some(term));
         let record = self.record(term.epoch);
         let mut pause = self.settings.term / RENEWALS;
-        let mut reason = "its term ended before it could be renewed";
+        let mut reason = "the term ended before it could be renewed";
         while !self.terms.is_closed() && !term.left().is_zero() {
             sleep(pause).await;
             pause = self.settings.term / RENEWALS;
@@ -205,7 +214,7 @@
                     break;
                 }
                 Err(error) => {
-                    tracing::warn!(lease = self.settings.name, %error, "renewal failed, will be tried again");
+                    tracing::warn!(lease = self.settings.name, %error, "lease renewal failed, will retry");
                     pause = self.settings.term / RETRIES;
                     item = self.reread(item, &record, &error).await;
                 }
@@ -217,31 +226,34 @@
         self.recorder.record(Event::HandOver { holding, epoch: term.epoch, reason: reason.into() });
     }
 
-    /// What the next renewal is built on.
+    /// Returns the item on which the next renewal is conditional.
     async fn reread(&self, item: Item, record: &Record, error: &store::Error) -> Item {
         if !matches!(error, store::Error::Unknown { .. }) {
             return item;
         }
-        // A renewal whose answer was lost may stand under another version; one
-        // built on the old version would lose against our own write.
+        // A renewal whose response was lost may have taken effect under a new version. A
+        // renewal based on the old version would then fail against this instance's own write.
         match self.platform.get(Priority::Lease, &item.key).await {
             Ok(Some(found)) if found.read::<Record>().is_ok_and(|r| r == *record) => found,
             _ => item,
         }
     }
 
-    /// Sleeps between two looks at a lease that another holds.
+    /// Waits before the next look at a lease that another instance holds, half
+    /// to three quarters of a term.
     async fn pause(&mut self) {
         let half = self.settings.term / 2;
         let jitter = self.random.random_range(0.0..0.5);
         sleep_until(Instant::now() + half.mul_f64(1.0 + jitter)).await;
     }
 
+    /// Returns the term that a write begun at `began` gives.
     fn term(&self, epoch: u64, began: Began) -> Term {
         let span = self.settings.term;
         Term { epoch, until: began.monotonic + span, began: began.wall, span }
     }
 
+    /// Returns the record of this instance as the holder.
     fn record(&self, epoch: u64) -> Record {
         let Settings { instance, incarnation, .. } = &self.settings;
         Record { epoch, holder: instance.clone(), incarnation: *incarnation }
@@ -252,7 +264,7 @@
     }
 }
 
-/// When a write was begun, on both clocks.
+/// Start of a write on the monotonic and the wall clock.
 #[derive(Clone, Copy)]
 struct Began {
     monotonic: Instant,
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -1,8 +1,8 @@
-//! What this instance and its peers have seen of versions under roll-out.
+//! Evidence on versions under roll-out, from this instance and its peers.
 //!
-//! Each instance keeps sums of its own and the last sums heard from each run
-//! of each peer; evidence is the sum over them. A peer that was lost keeps its
-//! say until the step ends.
+//! Each instance keeps its own sums and the last sums received from each run
+//! of each peer; the evidence is the total of them. The sums of a lost peer
+//! count until the step ends.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,22 +20,23 @@
 
 use crate::observation::{Observation, Outcome};
 
-/// Length of a window.
+/// Length of a window of evidence.
 const WINDOW: Duration = Duration::from_mins(5);
 
-/// The predecessor's quantile above which an answer is slow.
+/// Quantile of the predecessor's latency above which an answer is slow.
 const SLOW_QUANTILE: f64 = 0.95;
 
-/// Answers of the predecessor before its quantile is taken for known.
+/// Number of the predecessor's answers after which that quantile is fixed.
 const BASELINE_ANSWERS: u64 = 200;
 
-/// Longest latency told apart, in milliseconds.
+/// Longest latency that the histogram distinguishes, in milliseconds.
 const LONGEST_MS: u64 = 600_000;
 
-/// Bad sessions remembered, so that each counts once; then all are forgotten.
+/// Number of bad sessions remembered so that each counts once; beyond it, all
+/// are forgotten.
 const BAD_SESSIONS: usize = 100_000;
 
-/// One step of one roll-out.
+/// Identifies one step of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Step {
     pub rollout: rollout::Id,
@@ -43,52 +44,60 @@
     pub number: usize,
 }
 
-/// Which run of which instance.
+/// Instance and incarnation that observed or sent the sums.
 pub(crate) type Source = (instance::Id, instance::Incarnation);
 
-/// A session's signal in a roll-out.
+/// A session that was bad in a roll-out by the given signal.
 type BadSession = (rollout::Id, Unit, Signal);
 
-/// The fleet's evidence of one roll-out.
+/// Evidence of the whole fleet on one roll-out.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Fleet {
-    /// By step, up to the present one.
+    /// Evidence by step, up to the present one.
     pub steps: Vec<Evidence>,
-    /// The present step's latest window.
+    /// Latest window of the present step.
     pub window: Window,
 }
 
-/// One instance's sums at one step.
+/// One instance's evidence at one step: in total and in the latest window.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Sums {
     pub step: Evidence,
     pub window: Window,
 }
 
-/// All sums at this instance.
+/// Sums of this instance and its peers.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
+    /// This instance's sums.
     own: BTreeMap<Step, Own>,
+    /// Last sums received from each peer.
     others: HashMap<Source, BTreeMap<Step, Sums>>,
+    /// Latencies of the predecessors.
     baselines: HashMap<Version, Baseline>,
+    /// Bad sessions with the number of the last window that counted them.
     bad: HashMap<BadSession, u32>,
 }
 
+/// This instance's sums at one step, and when the step was first seen.
 #[derive(Debug)]
 struct Own {
     sums: Sums,
     since: Instant,
 }
 
-/// The predecessor's latencies before the roll-out met traffic.
+/// Latencies of a predecessor, collected until the limit for slow answers is
+/// fixed.
 #[derive(Debug)]
 struct Baseline {
     seen: Histogram<u32>,
+    /// Latency above which an answer is slow, once known.
     slow_ms: Option<Millis>,
 }
 
 impl Ledger {
-    /// Takes in what a request told; true when it was bad news of a new version.
+    /// Counts an observation. Returns true if it is a new failure of a version
+    /// under roll-out.
     pub fn observe(&mut self, catalog: &Catalog, observation: &Observation) -> bool {
         let mut bad_news = false;
         for (id, rollout) in running(catalog) {
@@ -116,22 +125,22 @@
         bad_news
     }
 
-    /// Takes in a peer's sums; they replace its earlier ones.
+    /// Replaces the sums of a peer.
     pub fn hear(&mut self, source: Source, sums: BTreeMap<Step, Sums>) {
         self.others.insert(source, sums);
     }
 
-    /// This instance's sums, for its peers.
+    /// Returns this instance's sums, which are sent to its peers.
     pub fn own(&self) -> impl Iterator<Item = (&Step, &Sums)> {
         self.own.iter().map(|(step, own)| (step, &own.sums))
     }
 
-    /// Instances that have told of a running step.
+    /// Returns the number of peers that have sent sums of a running roll-out.
     pub fn sources(&self) -> usize {
         self.others.values().filter(|steps| !steps.is_empty()).count()
     }
 
-    /// The fleet's evidence of a roll-out.
+    /// Returns the evidence of the whole fleet on a roll-out.
     pub fn fleet(&self, id: &rollout::Id, rollout: &Rollout) -> Fleet {
         let mut step = step_of(id, rollout);
         let mut fleet = Fleet::default();
@@ -144,13 +153,14 @@
         fleet
     }
 
+    /// Returns the fleet's total of one step.
     fn total(&self, step: &Step) -> Sums {
         let own = self.own.get(step).map(|own| own.sums);
         let heard = self.others.values().filter_map(|steps| steps.get(step).copied());
         let parts: Vec<_> = own.into_iter().chain(heard).collect();
         let mut total = Sums::default();
-        // Instances turn their windows by their own clocks. One that lags adds
-        // its older window only to the step, never to another window.
+        // Instances begin windows by their own clocks. The older window of one that lags
+        // counts only towards the step, never towards another window.
         total.window.number = parts.iter().map(|sums| sums.window.number).max().unwrap_or(0);
         for part in parts {
             total.step += part.step;
@@ -161,7 +171,7 @@
         total
     }
 
-    /// Forgets what belongs to no running roll-out.
+    /// Forgets everything that belongs to no running roll-out.
     pub fn settle(&mut self, catalog: &Catalog) {
         let keep = |step: &Step| {
             let rollout = catalog.rollouts().get(&step.rollout);
@@ -175,7 +185,8 @@
         self.baselines.retain(|version, _| watched.contains(version));
     }
 
-    /// Whether an answer is slow; nothing when that cannot be told.
+    /// Returns whether an answer is slow, or `None` if the limit is not known
+    /// yet.
     fn slow(&mut self, rollout: &Rollout, observation: &Observation) -> Option<bool> {
         let Outcome::Answered { latency_ms } = observation.outcome else { return None };
         let predecessor = predecessor(rollout);
@@ -184,8 +195,7 @@
         if let Some(slow_ms) = baseline.slow_ms {
             return Some(latency_ms > slow_ms);
         }
-        // Fixed once and for all: answers that shape the limit must not be
-        // counted against it.
+        // The limit is fixed once: answers that determine it must not be counted against it.
         if of_predecessor {
             baseline.take(latency_ms);
         }
@@ -198,6 +208,7 @@
         Self { sums: Sums::default(), since: Instant::now() }
     }
 
+    /// Begins a new window if the present one has ended.
     fn turn_window(&mut self) {
         let windows = self.since.elapsed().as_secs() / WINDOW.as_secs();
         let number = u32::try_from(windows).unwrap_or(u32::MAX);
@@ -209,11 +220,12 @@
 
 impl Baseline {
     fn new() -> Self {
-        let mut seen = Histogram::new_with_max(LONGEST_MS, 2).expect("bounds are constants that fit");
+        let mut seen = Histogram::new_with_max(LONGEST_MS, 2).expect("the constant bounds are valid");
         seen.auto(false);
         Self { seen, slow_ms: None }
     }
 
+    /// Adds a latency and fixes the limit once there are enough.
     fn take(&mut self, latency_ms: Millis) {
         self.seen.saturating_record(latency_ms.clamp(1, LONGEST_MS));
         if self.seen.len() >= BASELINE_ANSWERS {
@@ -222,7 +234,7 @@
     }
 }
 
-/// Roll-outs whose version may meet traffic.
+/// Returns the roll-outs whose version may receive traffic.
 pub(crate) fn running(catalog: &Catalog) -> impl Iterator<Item = (&rollout::Id, &Rollout)> {
     catalog.rollouts().iter().filter(|(_, rollout)| is_running(rollout))
 }
@@ -239,7 +251,7 @@
     Version { model: rollout.version.model.clone(), number: rollout.predecessor.clone() }
 }
 
-/// The arm an observation counts for in a roll-out, if any.
+/// Returns the arm for which an observation counts in a roll-out, if any.
 fn arm(catalog: &Catalog, rollout: &Rollout, observation: &Observation) -> Option<Arm> {
     if observation.version == rollout.version {
         return Some(Arm::New);
@@ -253,7 +265,7 @@
     (arm == Arm::Control).then_some(arm)
 }
 
-/// What an outcome says of each signal.
+/// Returns the signals that an outcome gives, and whether each is bad.
 fn seen(outcome: Outcome, slow: Option<bool>) -> impl Iterator<Item = (Signal, bool)> {
     let (first, second) = match outcome {
         Outcome::Answered { .. } => (Some((Signal::Errors, false)), slow.map(|slow| (Signal::Latency, slow))),
@@ -263,14 +275,15 @@
     first.into_iter().chain(second)
 }
 
-/// Whether a session's bad thing is its first in the roll-out, and in the window.
+/// Records a bad signal of a session. Returns whether it is the session's
+/// first in the roll-out, and whether it is its first in the window.
 ///
-/// A session that fails once often fails again, with the same hard task. Each
-/// session is dealt to an arm once; counting its failures one by one would
-/// take one unlucky session for many.
+/// A session that fails once often fails again on the same hard task. Each
+/// session is assigned to an arm once; counting its failures one by one would
+/// make one failing session look like many.
 fn first_bad(known: &mut HashMap<BadSession, u32>, session: BadSession, window: u32) -> (bool, bool) {
     if known.len() >= BAD_SESSIONS {
-        // A guard that counts some twice is better than one that is blind.
+        // Counting some sessions twice is better than ignoring all further failures.
         known.clear();
     }
     match known.insert(session, window) {
@@ -279,6 +292,7 @@
     }
 }
 
+/// Adds one result to an arm's tally of a signal.
 fn count(evidence: &mut Evidence, arm: Arm, signal: Signal, bad: bool) {
     let tally: &mut Tally = if arm == Arm::New { &mut evidence.new } else { &mut evidence.control };
     tally.of_mut(signal).add(bad);
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! [`spawn`] starts this instance's tasks:
 //!
-//! - the guard gathers what requests tell of versions under roll-out
+//! - the guard collects observations of versions under roll-out
 //!   ([`observation`]), shares sums with its peers and stops a bad version;
-//! - the withdrawer makes a stop last by a conditional write;
-//! - the [`lease`] decides which instance carries roll-outs on;
+//! - the withdrawer makes a stop permanent by a conditional write;
+//! - the [`lease`] decides which instance coordinates roll-outs;
 //! - the coordinator, on that instance, has engines load versions ([`order`])
 //!   and moves roll-outs from step to step.
 //!
-//! What operators do with a roll-out is worked out in [`operate`].
+//! Actions of operators on a roll-out are computed in [`operate`].
 
 mod coordinator;
 mod guard;
@@ -40,26 +40,27 @@
     ledger::Ledger,
 };
 
-/// News that may wait for the links.
+/// Capacity of the queue of updates to peers.
 const NEWS: usize = 16;
 
-/// What control works with.
+/// Handles to the other parts of the instance that the control tasks use.
 #[derive(Debug, Clone)]
 pub struct Edges {
-    /// The object API, for the lease.
+    /// Object API of the platform, which stores the lease.
     pub platform: store::Handle,
-    /// The configuration, read and written.
+    /// Configuration, which is read and changed.
     pub config: config::Handle,
-    /// Calls to engines; see [`order::spawn`].
+    /// Channel for calls to engines; see [`order::spawn`].
     pub engines: mpsc::Sender<order::Call>,
-    /// Where events are recorded.
+    /// Recorder for time line events.
     pub recorder: Recorder,
 }
 
-/// Starts control's tasks; they end with the last handle.
+/// Starts this instance's control tasks; they end when the last handle is
+/// dropped.
 ///
-/// What comes out of the receiver is to be published to every live instance;
-/// what peers published goes into [`Handle::heard`].
+/// Each message from the receiver is to be published to every live instance;
+/// messages published by peers are passed to [`Handle::heard`].
 #[must_use]
 pub fn spawn(settings: Settings, edges: Edges) -> (Handle, mpsc::Receiver<Bytes>) {
     let settings = Arc::new(settings);
@@ -86,15 +87,15 @@
     let helpers = [tokio::spawn(withdrawing), tokio::spawn(coordinator.run())];
     tokio::spawn(async move {
         guard.run(messages).await;
-        // The handles are gone: nobody needs a coordinator here, and its end
-        // lets the lease go too.
+        // The handles are gone, so this instance needs no coordinator. Aborting it also drops
+        // the receiver of the lease, which ends the lease task.
         helpers.iter().for_each(tokio::task::JoinHandle::abort);
     });
     (Handle { inbox, stops }, published)
 }
 
-/// A handle without tasks behind it, for tests of other crates: it takes
-/// observations and news, and no version is ever stopped.
+/// Returns a handle without tasks, for tests of other crates. It accepts and
+/// ignores observations and updates, and no version is ever stopped.
 #[must_use]
 pub fn idle() -> Handle {
     let (inbox, _) = mpsc::channel(1);
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -1,9 +1,10 @@
-//! Which endpoints hold a version, and the orders that bring them there.
+//! Tracks which endpoints hold a version and sends the orders that load or
+//! drop it.
 //!
-//! The wanted end follows from the configuration alone, so that a successor
-//! needs nothing from its predecessor: it asks the engines what they hold and
-//! orders what is missing. Loads draw on the weight store, which is
-//! rate-limited; only so many are under way at a time.
+//! The wanted state follows from the configuration alone, so a successor needs
+//! nothing from its predecessor: it queries which versions the engines hold
+//! and orders what is missing. Loading reads from the weight store, which is
+//! rate-limited, so the number of concurrent loads is bounded.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -28,43 +29,48 @@
     order::{Call, Error},
 };
 
-/// Time between two questions to an engine that is to load.
+/// Interval of queries to an engine that is not in the wanted state yet.
 const ASK_LOADING: Duration = Duration::from_secs(1);
 
-/// Time between two questions to an engine that has what is wanted; one that
-/// was restarted has lost it.
+/// Interval of queries to an engine in the wanted state; a restart would have
+/// changed it.
 const ASK_LOADED: Duration = Duration::from_secs(30);
 
-/// Time after which an order that had no effect is sent again.
+/// Time after which an order without effect is sent again.
 const ORDER_AGAIN: Duration = Duration::from_secs(20);
 
-/// Questions to engines at a time.
+/// Largest number of concurrent queries to engines.
 const ASKS_AT_ONCE: usize = 32;
 
-/// All that is wanted and known; belongs to one term.
+/// Wanted and known state of all endpoints, for one lease term.
 #[derive(Debug)]
 pub(crate) struct Loads {
     calls: mpsc::Sender<Call>,
+    /// Largest number of concurrent loads.
     at_once: usize,
     engines: HashMap<(Version, Id), Engine>,
     asks: JoinSet<Answer>,
 }
 
-/// One endpoint with one version.
+/// State of one version at one endpoint.
 #[derive(Debug)]
 struct Engine {
     address: SocketAddr,
     wanted: Wanted,
+    /// Whether it holds the version; `None` if unknown.
     holds: Option<bool>,
+    /// When it was last queried.
     asked: Option<Instant>,
+    /// When it was last sent an order.
     ordered: Option<Instant>,
 }
 
-/// What an engine answered.
+/// An engine's response to a query.
 #[derive(Debug)]
 struct Answer {
     version: Version,
     id: Id,
+    /// Versions that it holds; `None` if it did not respond.
     versions: Option<Vec<Version>>,
 }
 
@@ -73,8 +79,8 @@
         Self { calls, at_once, engines: HashMap::new(), asks: JoinSet::new() }
     }
 
-    /// Sets what is wanted of a version's endpoints; those not named any more
-    /// are forgotten.
+    /// Sets the wanted state of each version's endpoints and forgets endpoints
+    /// that are no longer listed.
     pub fn want(&mut self, wanted: &BTreeMap<Version, (Wanted, Vec<Endpoint>)>) {
         let named = |version: &Version, id: &Id| {
             wanted.get(version).is_some_and(|(_, endpoints)| endpoints.iter().any(|e| e.id == *id))
@@ -97,13 +103,13 @@
         }
     }
 
-    /// Endpoints known to hold a version.
+    /// Returns the number of endpoints known to hold a version.
     pub fn loaded(&self, version: &Version) -> usize {
         self.engines.iter().filter(|((v, _), engine)| v == version && engine.holds == Some(true)).count()
     }
 
-    /// Takes in answers, asks engines whose time has come, and orders what is
-    /// missing, all as far as the term and the limits allow.
+    /// Handles responses, queries engines that are due, and sends missing
+    /// orders as far as the term and the limits allow.
     pub async fn step(&mut self, term: Term, recorder: &Recorder) {
         while let Some(Ok(answer)) = self.asks.try_join_next() {
             self.learn(answer);
@@ -117,6 +123,7 @@
         }
     }
 
+    /// Handles a response to a query.
     fn learn(&mut self, answer: Answer) {
         let Answer { version, id, versions } = answer;
         let holds = versions.map(|versions| versions.contains(&version));
@@ -125,6 +132,7 @@
         }
     }
 
+    /// Starts the queries that are due, within [`ASKS_AT_ONCE`].
     fn ask(&mut self) {
         let now = Instant::now();
         let room = ASKS_AT_ONCE.saturating_sub(self.asks.len());
@@ -137,7 +145,8 @@
         }
     }
 
-    /// Orders to send now, at most as many as there is room for.
+    /// Returns the orders to send now and marks them as sent; loads are
+    /// bounded by the limit of concurrent ones.
     fn due(&mut self, fence: u64) -> Vec<((Version, Id), Order)> {
         let now = Instant::now();
         let under_way = self.engines.values().filter(|engine| engine.loading(now)).count();
@@ -162,8 +171,9 @@
         orders
     }
 
+    /// Sends an order and returns its outcome for the time line.
     async fn order(&self, key: &(Version, Id), order: Order, term: Term) -> String {
-        let Some(engine) = self.engines.get(key) else { return "no longer wanted".into() };
+        let Some(engine) = self.engines.get(key) else { return "endpoint no longer listed".into() };
         let (reply, answer) = oneshot::channel();
         let call = Call::Order { address: engine.address, order, term, reply };
         if self.calls.send(call).await.is_err() {
@@ -177,6 +187,7 @@
 }
 
 impl Engine {
+    /// Returns whether the endpoint is known to be in the wanted state.
     fn satisfied(&self) -> bool {
         self.holds == Some(self.wanted == Wanted::Loaded)
     }
@@ -187,8 +198,8 @@
     }
 
     fn order_due(&self, now: Instant) -> bool {
-        // An engine that does not answer gets no order: it may load nothing,
-        // and would take a place from one that can.
+        // An engine that does not respond gets no order: it may load nothing and would take a
+        // slot from one that can.
         let known = self.holds.is_some();
         known && !self.satisfied() && !self.recently_ordered(now)
     }
@@ -202,6 +213,7 @@
     }
 }
 
+/// Queries an engine for the versions that it holds.
 async fn ask(calls: &mpsc::Sender<Call>, address: SocketAddr) -> Option<Vec<Version>> {
     let (reply, answer) = oneshot::channel();
     calls.send(Call::Loaded { address, reply }).await.ok()?;
--- a/crates/control/src/observation.rs
+++ b/crates/control/src/observation.rs
@@ -1,36 +1,37 @@
-//! What one request tells about the version that ran it.
+//! Observations of a version by single requests.
 
 use route::rollout::Unit;
 use world::{Millis, contract::Customer, model::Version};
 
-/// One thing seen of a version.
+/// One observation of a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Observation {
-    /// Whose request.
+    /// Customer that sent the request.
     pub customer: Customer,
-    /// The session, or the request where it had none; the same at every
-    /// request of a session.
+    /// Unit of assignment to an arm: the session, or the request if it has
+    /// none. The same for every request of a session.
     pub unit: Unit,
-    /// The version that ran it.
+    /// Version that ran the request.
     pub version: Version,
-    /// What was seen.
+    /// Outcome that was observed.
     pub outcome: Outcome,
 }
 
-/// What was seen of a version.
+/// Outcome of a request, as far as it tells about the version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// The request got a complete answer.
     Answered {
-        /// Time to its first token, in milliseconds.
+        /// Time to the first token, in milliseconds.
         latency_ms: Millis,
     },
-    /// It ran and gave no whole answer. A refusal before it ran, for want of
-    /// room say, is no failure of the version and is not told.
+    /// The request ran and got no complete answer. A refusal before it ran,
+    /// for example for lack of capacity, is not the version's failure and is
+    /// not reported.
     Failed,
-    /// The answer's rating came, now or later.
+    /// The answer was rated, now or later.
     Rated {
-        /// Whether it passed.
+        /// Whether the answer passed.
         pass: bool,
     },
 }
--- a/crates/control/src/operate.rs
+++ b/crates/control/src/operate.rs
@@ -1,8 +1,9 @@
-//! What operators do with a roll-out, as the object it leaves behind.
+//! Operators' actions on a roll-out, computed as the resulting object.
 //!
-//! Each action reads a catalog and gives the object to apply on the condition
-//! that the old one is still in place; whoever lost a race reads again. The
-//! action decides nothing that the coordinator could not undo or carry on.
+//! Each action reads a catalog and returns the object, which is to be applied
+//! on the condition that the old one is unchanged; on a conflict the caller
+//! reads again. An action does nothing that the coordinator could not undo or
+//! continue.
 
 use std::fmt;
 
@@ -13,31 +14,31 @@
     rollout::{self, Rollout, State},
 };
 
-/// What an operator does.
+/// An operator's action on a roll-out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Begins a roll-out.
+    /// Starts a roll-out.
     Start {
         /// The new version.
         version: Version,
         /// The version it replaces.
         predecessor: Number,
     },
-    /// Keeps its sessions and takes no new ones.
+    /// Keeps the version's sessions and gives it no new ones.
     Pause,
-    /// Goes on where it was paused.
+    /// Continues a paused roll-out.
     Resume,
     /// Replaces the predecessor at once.
     Promote,
-    /// Stops it for good.
+    /// Withdraws the version permanently.
     Withdraw {
-        /// Why, for people.
+        /// Reason, shown to operators.
         reason: String,
     },
 }
 
 impl Action {
-    /// The action as the command line spells it.
+    /// Returns the action's name on the command line.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -50,22 +51,22 @@
     }
 }
 
-/// Why an action is refused; nothing was changed.
+/// Reason for refusing an action; nothing was changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// There is no such roll-out.
+    /// The roll-out does not exist.
     Missing(rollout::Id),
-    /// There is one of this name already.
+    /// A roll-out of this name exists already.
     Exists(rollout::Id),
     /// Another roll-out of the same version or its predecessor is under way.
     Busy(rollout::Id),
-    /// It does not stand where the action needs it.
+    /// The roll-out is in a state that does not allow the action.
     State {
         /// The roll-out.
         rollout: rollout::Id,
         /// The action.
         action: &'static str,
-        /// Where it stands.
+        /// The roll-out's state.
         state: State,
     },
 }
@@ -91,11 +92,11 @@
 
 impl std::error::Error for Error {}
 
-/// The object that an action leaves behind.
+/// Returns the object that results from an action.
 ///
 /// # Errors
 ///
-/// [`Error`] when the roll-out does not stand where the action needs it.
+/// [`Error`] if the roll-out's state does not allow the action.
 pub fn act(catalog: &Catalog, id: &rollout::Id, action: &Action) -> Result<Object, Error> {
     let next = match action {
         Action::Start { version, predecessor } => start(catalog, id, version, predecessor)?,
@@ -104,12 +105,13 @@
     Ok(Object::Rollout(id.clone(), next))
 }
 
+/// Returns the new roll-out, if its name and tier are free.
 fn start(catalog: &Catalog, id: &rollout::Id, version: &Version, predecessor: &Number) -> Result<Rollout, Error> {
     if catalog.rollouts().contains_key(id) {
         return Err(Error::Exists(id.clone()));
     }
-    // Two roll-outs that expose against one predecessor would split its
-    // control group, and a bad one would spoil the other's comparison.
+    // Two roll-outs with the same predecessor would split its control group,
+    // and a bad one would distort the other's comparison.
     let rival = catalog.rollouts().iter().find(|(_, other)| {
         let running = matches!(other.state, State::Loading | State::Exposing | State::Paused);
         let related = other.predecessor == *predecessor
@@ -123,12 +125,13 @@
     Ok(Rollout::new(version.clone(), predecessor.clone()))
 }
 
+/// Returns the existing roll-out in its new state.
 fn change(catalog: &Catalog, id: &rollout::Id, action: &Action) -> Result<Rollout, Error> {
     let old = catalog.rollouts().get(id).ok_or_else(|| Error::Missing(id.clone()))?;
     let refused = || Error::State { rollout: id.clone(), action: action.as_str(), state: old.state };
     let (state, reason) = match (action, old.state) {
         (Action::Pause, State::Loading | State::Exposing) => (State::Paused, "paused by an operator".into()),
-        // Back through Loading: endpoints may have been replaced meanwhile.
+        // Resumes with `Loading`, since endpoints may have been replaced meanwhile.
         (Action::Resume, State::Paused) => (State::Loading, "resumed by an operator".into()),
         (Action::Promote, State::Exposing | State::Paused) => (State::Promoted, "promoted by an operator".into()),
         (Action::Withdraw { reason }, State::Loading | State::Exposing | State::Paused | State::Promoted) => {
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -1,11 +1,11 @@
-//! Orders to engines, sent only while the lease lasts.
+//! Orders to engines, sent only while this instance holds the lease.
 //!
 //! Some engines refuse an order with an old fencing number, others ignore the
-//! number. For those an order is sent only while the holder's term leaves more
-//! than the order's time limit, and the term is looked at again at every step
-//! of the sending: a process that was paused in between wakes, finds its term
-//! over and sends nothing. Orders state the wanted end, so that one sent twice
-//! does no harm.
+//! number. For the latter an order is sent only while the remaining term
+//! exceeds the order's time limit, and the term is checked again before each
+//! step of the sending: a process that was paused in between resumes, sees
+//! that its term has ended and sends nothing. An order states the wanted
+//! result, so sending it twice does no harm.
 
 use std::{fmt, future::poll_fn, net::SocketAddr, pin::pin, task::Poll, time::Duration};
 
@@ -15,40 +15,40 @@
 
 use crate::lease::Term;
 
-/// Longest time of an order; [`crate::lease::Settings::grace`] is at least this.
+/// Time limit of an order; [`crate::lease::Settings::grace`] is at least this.
 pub const LIMIT: Duration = Duration::from_secs(2);
 
 /// A call to an engine.
 #[derive(Debug)]
 pub enum Call {
-    /// Gives an order.
+    /// Sends an order.
     Order {
-        /// The engine.
+        /// Address of the engine.
         address: SocketAddr,
         /// The order.
         order: Order,
-        /// The lease it is given under.
+        /// Lease term under which the order is given.
         term: Term,
-        /// Gets the versions loaded or under way.
+        /// Receives the versions that are loaded or being loaded.
         reply: oneshot::Sender<Result<Vec<Version>, Error>>,
     },
-    /// Asks which versions are loaded.
+    /// Queries which versions are loaded.
     Loaded {
-        /// The engine.
+        /// Address of the engine.
         address: SocketAddr,
-        /// Gets the versions; nothing when it did not answer.
+        /// Receives the versions, or `None` if the engine did not respond.
         reply: oneshot::Sender<Option<Vec<Version>>>,
     },
 }
 
-/// Why an order had no effect that is known.
+/// Reason why an order is not known to have taken effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The term leaves too little time; nothing was sent.
+    /// The remaining term was too short; nothing was sent.
     Lapsed,
-    /// The term ended while it was sent; its effect is unknown.
+    /// The term ended while the order was being sent; its effect is unknown.
     Cut,
-    /// The engine or the way to it failed.
+    /// The engine or the connection to it failed.
     Endpoint(endpoint::order::Error),
 }
 
@@ -64,7 +64,7 @@
 
 impl std::error::Error for Error {}
 
-/// Calls that may wait for the engines.
+/// Capacity of the queue of calls.
 const QUEUE: usize = 64;
 
 /// Starts the task that passes calls on to engines.
@@ -79,6 +79,7 @@
     sender
 }
 
+/// Carries out a call and replies with its result.
 async fn pass(endpoint: endpoint::Handle, call: Call) {
     match call {
         Call::Order { address, order, term, reply } => {
@@ -95,19 +96,21 @@
     }
 }
 
-/// Sends while the term lasts.
+/// Runs `sending` for as long as the term lasts.
 ///
 /// # Errors
 ///
-/// [`Error::Lapsed`] before the first byte, [`Error::Cut`] after.
+/// [`Error::Lapsed`] if nothing was sent, [`Error::Cut`] if the term ended
+/// during the sending.
 pub async fn within<T>(term: Term, sending: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
     if term.left() <= LIMIT {
         return Err(Error::Lapsed);
     }
     let mut sending = pin!(sending);
-    // A timeout beside the sending would look at the clock only after it had
-    // written: a process that wakes from a pause would send first and learn
-    // of its ended lease next. So the clock is read before each step.
+    // A timeout around the sending would check the clock only after the
+    // sending had been polled: a process that resumes from a pause would write
+    // first and notice the end of its lease afterwards. So the clock is read
+    // before each poll.
     poll_fn(|context| {
         if term.left().is_zero() {
             return Poll::Ready(Err(Error::Cut));
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,35 +1,37 @@
-//! How control works at one instance.
+//! Settings of the control tasks of one instance.
 
 use route::guard;
 use world::instance;
 
 use crate::lease;
 
-/// How control works at one instance.
+/// Settings of the control tasks of one instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// This instance.
     pub instance: instance::Id,
-    /// Which run.
+    /// Incarnation of this instance.
     pub incarnation: instance::Incarnation,
-    /// The lease that decides who carries roll-outs on.
+    /// Settings of the lease that decides which instance coordinates
+    /// roll-outs.
     pub lease: lease::Settings,
-    /// How strict the version guard is.
+    /// Thresholds of the version guard.
     pub guard: guard::Policy,
-    /// Loads that the weight store bears at a time.
+    /// Number of concurrent loads that the weight store can serve.
     pub loads_at_once: usize,
-    /// Seed of jitter.
+    /// Seed of the jitter between attempts to withdraw a version.
     pub seed: u64,
 }
 
 /// Name of the lease.
 const LEASE: &str = "rollouts";
 
-/// Loads at a time; a store that bears more is told so in the settings.
+/// Default number of concurrent loads; can be raised in the settings for a
+/// faster weight store.
 const LOADS_AT_ONCE: usize = 2;
 
 impl Settings {
-    /// The defaults for one instance.
+    /// Returns the default settings for one instance.
     #[must_use]
     pub fn new(instance: instance::Id, incarnation: instance::Incarnation) -> Self {
         let lease = lease::Settings::new(LEASE, instance.clone(), incarnation);
@@ -38,7 +40,8 @@
         Self { instance, incarnation, lease, guard, loads_at_once: LOADS_AT_ONCE, seed }
     }
 
-    /// Who makes this instance's configuration changes.
+    /// Returns the author of configuration changes made by this instance's
+    /// control tasks.
     pub(crate) fn author(&self) -> String {
         format!("control at {}", self.instance)
     }
--- a/crates/control/src/wire.rs
+++ b/crates/control/src/wire.rs
@@ -1,7 +1,8 @@
-//! News between instances: sums of what was seen, and stops.
+//! Messages between the control tasks of instances: sums of evidence, and
+//! stops.
 //!
-//! Numbers of fields are never reused; a build that does not know a field
-//! leaves it out, one that misses a field reads it as nothing.
+//! Field numbers are never reused. A build skips fields that it does not know
+//! and reads missing fields as their defaults.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 
 use crate::ledger::{Source, Step, Sums};
 
-/// What one instance tells all others.
+/// Update that one instance sends to all others.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct News {
     pub source: Source,
@@ -23,7 +24,7 @@
     pub stops: Vec<rollout::Stop>,
 }
 
-/// Why a message is no news; it is left out.
+/// Error for a message that cannot be decoded; it is ignored.
 #[derive(Debug)]
 pub(crate) struct Malformed;
 
@@ -118,7 +119,7 @@
             step: step.number as u64,
             total: Some(EvidenceMessage::from(&sums.step)),
             window: sums.window.number,
-            // The first window is the step so far; it travels once.
+            // The first window equals the step so far, so it is sent only once.
             latest: (sums.window.number > 0).then(|| EvidenceMessage::from(&sums.window.evidence)),
         }
     }
--- a/crates/control/src/withdraw.rs
+++ b/crates/control/src/withdraw.rs
@@ -1,9 +1,10 @@
-//! Makes stops last: the conditional write that withdraws a stopped version.
+//! Makes stops permanent: writes the withdrawal of a stopped version to the
+//! configuration.
 //!
-//! The instance whose evidence stopped a version writes at once. The others
-//! wait a moment and write only if the configuration still does not say so:
-//! then the first is lost or cut off. Each tries again, through outages, until
-//! the catalog has taken the stop over.
+//! The instance whose evidence stopped the version writes at once. The others
+//! wait a moment and write only if the configuration still does not contain
+//! the withdrawal, because then the first instance is lost or cut off. Each
+//! retries, through outages, until the catalog shows the version as withdrawn.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,16 +20,16 @@
     rollout::{Rollout, State},
 };
 
-/// Bounds of the wait before the first write where another's evidence stopped
-/// the version, in milliseconds.
+/// Bounds of the wait before the first write if another instance's evidence
+/// stopped the version, in milliseconds.
 const FIRST_WAIT_MS: std::ops::RangeInclusive<u64> = 1_000..=4_000;
 
-/// Bounds of the wait between two tries, in milliseconds.
+/// Bounds of the wait between two attempts, in milliseconds.
 const RETRY_MS: std::ops::RangeInclusive<u64> = 500..=2_000;
 
-/// Withdraws every version that is stopped, until nobody stops any more.
+/// Withdraws every stopped version, until the guard has ended.
 ///
-/// `own` is notified when this instance's evidence was the one that stopped.
+/// `own` is notified when this instance's own evidence stopped a version.
 pub(crate) async fn run(
     config: config::Handle,
     author: String,
@@ -50,8 +51,8 @@
         for stop in pending {
             withdraw(&config, &author, &stop).await;
         }
-        // Whether it was this write or another's, the catalog empties the
-        // list; until then there is more to do.
+        // Once a withdrawal is in the catalog, whoever wrote it, the guard removes the stop.
+        // Until then, try again.
         let pause = Duration::from_millis(random.random_range(RETRY_MS));
         if let Ok(Err(_)) = timeout(pause, stops.changed()).await {
             return;
@@ -59,10 +60,11 @@
     }
 }
 
+/// Writes the withdrawal of one stopped version, unless the catalog shows it already.
 async fn withdraw(config: &config::Handle, author: &str, stop: &Stop) {
     let key = Key { kind: Kind::Rollout, name: stop.rollout.to_string() };
-    // Revision before catalog: read the other way round, a change in between
-    // would be overwritten unseen.
+    // Reads the revision before the catalog. In the opposite order, a change
+    // in between would be overwritten unnoticed.
     let Some(revision) = config.revision(&key) else { return };
     let catalog = config.current();
     let Some(rollout) = catalog.rollouts().get(&stop.rollout) else { return };
@@ -72,6 +74,6 @@
     let next = Rollout { state: State::Withdrawn, reason: Some(stop.reason.clone()), ..rollout.clone() };
     let edit = Edit::Put(Object::Rollout(stop.rollout.clone(), next), Expected::At(revision.generation));
     if let Err(error) = config.apply(author, vec![edit]).await {
-        tracing::warn!(rollout = %stop.rollout, %error, "withdrawal not written yet, will be tried again");
+        tracing::warn!(rollout = %stop.rollout, %error, "withdrawal of a stopped version not written, will retry");
     }
 }
--- a/crates/control/tests/it/engines.rs
+++ b/crates/control/tests/it/engines.rs
@@ -1,4 +1,4 @@
-//! Model engines as far as orders go.
+//! Simulated model engines, as far as loads and orders are concerned.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,10 +13,10 @@
 
 use crate::site::lock;
 
-/// How long an engine takes to load a version.
+/// Time that an engine takes to load a version.
 const LOADING: Duration = Duration::from_secs(3);
 
-/// Engines that take orders; they ignore the fencing number.
+/// Engines that accept every order; they ignore the fencing number.
 #[derive(Clone, Default)]
 pub struct Engines {
     by_address: Arc<Mutex<BTreeMap<SocketAddr, Engine>>>,
@@ -24,34 +24,35 @@
     lost: Arc<Mutex<BTreeSet<SocketAddr>>>,
 }
 
+/// State of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Engine {
-    /// What it holds.
+    /// Versions that it has loaded.
     pub versions: BTreeSet<Version>,
-    /// Versions it is loading now.
+    /// Number of loads under way.
     pub loading: usize,
-    /// Fencing numbers of its orders.
+    /// Fencing numbers of the orders it has accepted.
     pub fences: Vec<u64>,
 }
 
 impl Engines {
-    /// What the engines are like now.
+    /// Returns the state of all engines.
     pub fn all(&self) -> Vec<Engine> {
         lock(&self.by_address).values().cloned().collect()
     }
 
-    /// Engines that hold a version.
+    /// Returns the number of engines that hold a version.
     pub fn holding(&self, version: &Version) -> usize {
         self.all().iter().filter(|engine| engine.versions.contains(version)).count()
     }
 
-    /// Forgets what an engine held, as a restart does.
+    /// Clears an engine's state, as a restart does.
     pub fn restart(&self, port: u16) {
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         lock(&self.by_address).insert(address, Engine::default());
     }
 
-    /// Whether an engine answers nothing and takes no order.
+    /// Sets whether an engine leaves all calls unanswered.
     pub fn set_lost(&self, port: u16, is_lost: bool) {
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         let mut lost = lock(&self.lost);
@@ -67,7 +68,7 @@
         *lock(&self.order_time) = time;
     }
 
-    /// An instance's way to them.
+    /// Returns an instance's channel to the engines.
     pub fn spawn(&self) -> mpsc::Sender<Call> {
         let (sender, mut calls) = mpsc::channel(64);
         let engines = self.clone();
@@ -82,7 +83,7 @@
     async fn answer(self, call: Call) {
         let (Call::Loaded { address, .. } | Call::Order { address, .. }) = &call;
         if lock(&self.lost).contains(address) {
-            // The call hangs until its limit, and its reply is dropped.
+            // The call hangs until its time limit, then its reply is dropped.
             sleep(order::LIMIT).await;
             return;
         }
--- a/crates/control/tests/it/lease.rs
+++ b/crates/control/tests/it/lease.rs
@@ -1,4 +1,4 @@
-//! Who holds the lease under faults.
+//! Tests of which instance holds the lease under faults.
 
 use std::time::Duration;
 
@@ -9,6 +9,7 @@
 
 use crate::support::{self, Pause, Process, seconds};
 
+/// An instance that wants the lease.
 struct Holder {
     pause: Pause,
     client: Client,
@@ -26,29 +27,36 @@
         Self { pause, client, terms }
     }
 
-    /// The epoch it would give orders under now.
+    /// Returns the epoch under which it would give orders now, if any.
     fn epoch(&self) -> Option<u64> {
         self.terms.borrow().filter(|term| !term.left().is_zero()).map(|term| term.epoch)
     }
 }
 
-/// What goes wrong at a time.
+/// A fault, injected at a given time.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
+    /// Pauses an instance.
     Pause(usize),
+    /// Resumes an instance.
     Wake(usize),
+    /// Takes the platform down.
     Down,
+    /// Brings the platform back.
     Up,
+    /// Cuts an instance off from the platform.
     Cut(usize),
+    /// Reconnects an instance to the platform.
     Mend(usize),
+    /// Delays every response of the platform.
     Slow(Duration),
-    /// The holder's `n`th write from now.
+    /// Makes an instance's `n`th write from now fail.
     Lose(usize, u64, Loss),
-    /// No fault: nobody may hold at this time.
+    /// No fault: checks that no instance holds the lease at this time.
     Free,
 }
 
-/// Who holds at the end.
+/// Expected holder at the end.
 #[derive(Debug, Clone, Copy)]
 enum End {
     Only(usize),
@@ -61,7 +69,7 @@
 }
 
 impl World {
-    fn strike(&self, fault: Fault) {
+    fn inject(&self, fault: Fault) {
         match fault {
             Fault::Pause(who) => self.holders[who].pause.set(true),
             Fault::Wake(who) => self.holders[who].pause.set(false),
@@ -71,19 +79,22 @@
             Fault::Mend(who) => self.holders[who].client.set_down(false),
             Fault::Slow(by) => self.platform.set_slow(by),
             Fault::Lose(who, n, loss) => self.holders[who].client.lose(n, loss),
-            Fault::Free => assert!(self.holders.iter().all(|holder| holder.epoch().is_none()), "somebody holds"),
+            Fault::Free => {
+                assert!(self.holders.iter().all(|holder| holder.epoch().is_none()), "an instance holds the lease")
+            }
         }
     }
 }
 
-/// Runs two holders through faults at their seconds, the first a second ahead
-/// of the other; faults before second 0 strike it before it starts. At no time may both hold; at the end the given one holds,
-/// under the given epoch.
+/// Runs two instances through faults at the given seconds. The first starts
+/// one second ahead of the second; faults before second 0 are injected before
+/// the second one starts. At no time may both hold the lease; at the end the
+/// given one must hold it under the given epoch.
 async fn check(faults: &[(f64, Fault)], end: f64, holder: End, epoch: u64) {
     let platform = Platform::open();
     let mut world = World { platform: platform.clone(), holders: vec![Holder::spawn(&platform, 0)] };
     for (_, fault) in faults.iter().filter(|(at, _)| *at < 0.0) {
-        world.strike(*fault);
+        world.inject(*fault);
     }
     seconds(1.0).await;
     world.holders.push(Holder::spawn(&platform, 1));
@@ -91,10 +102,10 @@
     let mut now = 0.0;
     while now < end {
         while pending.first().is_some_and(|(at, _)| *at <= now) {
-            world.strike(pending.remove(0).1);
+            world.inject(pending.remove(0).1);
         }
         let held: Vec<_> = world.holders.iter().filter_map(Holder::epoch).collect();
-        assert!(held.len() <= 1, "at {now} s two hold: {held:?}");
+        assert!(held.len() <= 1, "two instances hold the lease at {now} s: {held:?}");
         seconds(0.1).await;
         now += 0.1;
     }
@@ -104,7 +115,7 @@
         End::Only(place) => held[place] == Some(epoch) && other(place),
         End::Either => (0..2).any(|place| held[place] == Some(epoch) && other(place)),
     };
-    assert!(right, "{held:?}, {holder:?} wanted under epoch {epoch}");
+    assert!(right, "epochs held: {held:?}, expected {holder:?} under epoch {epoch}");
 }
 
 const FIRST: End = End::Only(0);
@@ -121,67 +132,74 @@
 }
 
 cases! {
-    /// Nothing goes wrong: the first keeps it over many terms.
+    /// Without faults the first instance keeps the lease over many terms.
     undisturbed: [], after 60.0 s, FIRST holds epoch 1;
 
-    /// Operators see a roll-out stand still, then go on. The holder is paused
-    /// for 20 s and wakes; meanwhile the other waited out its term and took
-    /// over. The one that wakes must find its term over by its own clock.
+    /// The holder is paused for 20 s and resumes; meanwhile the other instance
+    /// has waited out the term and taken over. The resumed instance must see
+    /// by its own clock that its term has ended.
     paused_and_woken: [(3.0, Fault::Pause(0)), (23.0, Fault::Wake(0))], after 40.0 s, SECOND holds epoch 2;
 
-    /// A pause shorter than the term costs nothing: no take-over, because the
+    /// A pause shorter than the term causes no take-over, because the
     /// successor counts from when it read the last renewal.
     short_pause: [(3.0, Fault::Pause(0)), (6.0, Fault::Wake(0))], after 40.0 s, FIRST holds epoch 1;
 
-    /// Both were paused, the holder wakes last. Each finds what it knew out of
-    /// date: the first to wake must wait a whole term again before it takes.
+    /// Both are paused and the holder resumes last. What each has read is out
+    /// of date: the first to resume must wait a whole term again before it
+    /// takes the lease.
     both_paused: [
         (3.0, Fault::Pause(0)), (4.0, Fault::Pause(1)), (30.0, Fault::Wake(1)), (50.0, Fault::Wake(0)),
     ], after 70.0 s, SECOND holds epoch 2;
 
-    /// Taking the free lease takes effect, its answer is lost. Reading back
-    /// shows the own nonce: it holds, nobody waits.
+    /// The write that takes the free lease takes effect and its response is
+    /// lost. Reading the lease back shows the own write, so the instance holds
+    /// it without a wait.
     answer_lost_on_create: [(-1.0, Fault::Lose(0, 1, Loss::After))], after 20.0 s, FIRST holds epoch 1;
 
-    /// The same request never arrived: it is sent again.
+    /// The write that takes the free lease is lost before it takes effect: it
+    /// is sent again.
     create_lost: [(-1.0, Fault::Lose(0, 1, Loss::Before))], after 20.0 s, FIRST holds epoch 1;
 
-    /// A renewal takes effect, its answer is lost, then another's is refused.
+    /// A renewal takes effect and its response is lost; the next write is
+    /// refused.
     answer_lost_on_renewal: [
         (3.0, Fault::Lose(0, 1, Loss::After)), (3.0, Fault::Lose(0, 2, Loss::Refused)),
     ], after 30.0 s, FIRST holds epoch 1;
 
-    /// A renewal arrives only after 4 s, long after the try was given up. The
-    /// next one stands by then, so the late one fails on its condition.
+    /// A renewal arrives after 4 s, long after the attempt timed out. The next
+    /// renewal has taken effect by then, so the late one fails on its
+    /// condition.
     late_renewal: [(3.0, Fault::Lose(0, 1, Loss::Late(Duration::from_secs(4))))], after 30.0 s, FIRST holds epoch 1;
 
-    /// The holder loses the platform, the other does not: its term ends by its
-    /// own clock before the other takes over.
+    /// The holder is cut off from the platform, the other instance is not: its
+    /// term ends by its own clock before the other takes over.
     holder_cut_off: [(3.0, Fault::Cut(0)), (40.0, Fault::Mend(0))], after 60.0 s, SECOND holds epoch 2;
 
-    /// A take-over's answer is lost after its effect.
+    /// A take-over takes effect and its response is lost.
     answer_lost_on_take_over: [
         (3.0, Fault::Pause(0)), (3.0, Fault::Lose(1, 1, Loss::After)), (40.0, Fault::Wake(0)),
     ], after 60.0 s, SECOND holds epoch 2;
 
-    /// The platform is down for 30 s: nobody may hold past the term, and one
-    /// takes it again afterwards. Neither had read the last renewal, so both
-    /// wait anew from their first read, and whoever reads first takes it.
+    /// The platform is down for 30 s: no instance may hold the lease past the
+    /// term, and one takes it afterwards. Neither has read the last renewal,
+    /// so both wait anew from their first read, and whichever reads first
+    /// takes it.
     platform_down: [
         (3.0, Fault::Down), (9.0, Fault::Free), (32.0, Fault::Free), (33.0, Fault::Up),
     ], after 60.0 s, EITHER holds epoch 2;
 
-    /// Every answer takes 900 ms: renewals still fit into the term.
+    /// Every response takes 900 ms: renewals still fit into the term.
     platform_slow: [(3.0, Fault::Slow(Duration::from_millis(900)))], after 60.0 s, FIRST holds epoch 1;
 
     /// Two faults together: the holder is paused while the platform is down,
-    /// and wakes during the outage.
+    /// and resumes during the outage.
     paused_in_an_outage: [
         (3.0, Fault::Pause(0)), (4.0, Fault::Down), (15.0, Fault::Wake(0)), (30.0, Fault::Up),
     ], after 60.0 s, SECOND holds epoch 2;
 
-    /// Two faults together: the follower takes over while the holder sleeps,
-    /// loses its answer, and is cut off from reading it back.
+    /// Two faults together: the second instance takes over while the holder is
+    /// paused, the response is lost, and it is cut off from reading the lease
+    /// back.
     take_over_unknown: [
         (3.0, Fault::Pause(0)), (3.0, Fault::Lose(1, 1, Loss::After)), (11.0, Fault::Cut(1)),
         (20.0, Fault::Mend(1)), (60.0, Fault::Wake(0)),
--- a/crates/control/tests/it/main.rs
+++ b/crates/control/tests/it/main.rs
@@ -1,4 +1,5 @@
-//! Control's failure tests, on a paused clock with seeded faults.
+//! Tests of leases, orders and roll-outs under seeded faults, on a paused
+//! clock.
 
 mod engines;
 mod lease;
--- a/crates/control/tests/it/operate.rs
+++ b/crates/control/tests/it/operate.rs
@@ -1,4 +1,4 @@
-//! Which actions are taken where a roll-out stands.
+//! Tests of which actions are accepted in which state of a roll-out.
 
 use control::operate::{self, Action};
 use world::{
@@ -25,14 +25,14 @@
     Catalog::build(1, objects).unwrap()
 }
 
-/// The state left behind; nothing when the action is refused.
+/// Checks the state that an action results in; `None` if it must be refused.
 fn check(state: State, action: &Action, wanted: Option<State>) {
     let left = operate::act(&catalog(state), &Id::parse("r").unwrap(), action);
     let left = left.ok().map(|object| match object {
         Object::Rollout(_, rollout) => rollout.state,
-        other => panic!("no roll-out: {other:?}"),
+        other => panic!("not a roll-out: {other:?}"),
     });
-    assert_eq!(left, wanted, "{action:?} of one that is {state:?}");
+    assert_eq!(left, wanted, "{action:?} on a roll-out that is {state:?}");
 }
 
 #[test]
--- a/crates/control/tests/it/orders.rs
+++ b/crates/control/tests/it/orders.rs
@@ -1,5 +1,5 @@
-//! Whose orders take effect at engines that check the fencing number and at
-//! engines that ignore it.
+//! Tests of the order in which orders of successive lease holders take effect,
+//! at engines that check the fencing number and at engines that ignore it.
 
 use std::{
     cell::RefCell,
@@ -21,9 +21,10 @@
 
 use crate::support::{self, Pause, Process, seconds};
 
-/// An engine's record: epochs of the orders that took effect, in order.
+/// An engine that records the epochs of the orders that took effect, in order.
 #[derive(Debug, Clone)]
 struct Engine {
+    /// Whether it refuses orders with an old fencing number.
     checks: bool,
     effects: Arc<Mutex<Vec<u64>>>,
 }
@@ -41,7 +42,7 @@
         }
     }
 
-    /// An order's way: a connection, its bytes, then their way to the engine.
+    /// Sends an order: connects, then its bytes take `way` to the engine.
     async fn send(self, fence: u64, connect: Duration, way: Duration) -> Result<(), order::Error> {
         sleep(connect).await;
         tokio::spawn(async move {
@@ -52,10 +53,12 @@
     }
 }
 
-/// Longer than usual, so that a successor that does not wait for it is caught.
+/// Grace of the lease. Longer than the default, so that a successor that does
+/// not wait for it is caught.
 const GRACE: Duration = Duration::from_secs(6);
 
-/// How long an order takes, in milliseconds.
+/// Bounds of the time that connecting and transmitting an order take, in
+/// milliseconds.
 #[derive(Debug, Clone)]
 struct Network {
     connect_ms: RangeInclusive<u64>,
@@ -63,21 +66,23 @@
 }
 
 impl Network {
-    /// An engine that checks bears any delay; for the others an order is on
-    /// its way for less than the grace that a successor waits.
+    /// Returns the networks of both holders. An engine that checks the number
+    /// tolerates any delay; for the others an order is under way for less than
+    /// the grace that a successor waits.
     fn to(engine: &Engine) -> [Self; 2] {
         let longest = if engine.checks { 30_000 } else { 5_900 };
         [(); 2].map(|()| Self { connect_ms: 0..=2_000, way_ms: 0..=longest })
     }
 
-    /// As slow as it may be towards an engine that ignores the number for the
-    /// first holder, at once for the second.
+    /// Returns a network for the first holder that is as slow as allowed
+    /// towards an engine that ignores the number, and one without delay for
+    /// the second.
     fn slow_then_fast() -> [Self; 2] {
         [Self { connect_ms: 1_600..=2_000, way_ms: 5_900..=5_900 }, Self { connect_ms: 0..=0, way_ms: 0..=0 }]
     }
 }
 
-/// Sends an order every 300 ms while it holds the lease.
+/// Sends an order every 300 ms while the instance holds the lease.
 async fn give(terms: watch::Receiver<Option<Term>>, engine: Engine, network: Network, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     loop {
@@ -89,6 +94,7 @@
     }
 }
 
+/// One step of an interleaving. The instance is paused, resumed, cut off from the platform, reconnected to it, or its next write fails.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Pause(usize),
@@ -116,8 +122,8 @@
     (50u64..12_000, step)
 }
 
-/// Plays one interleaving, the second holder `lag_ms` behind the first, and
-/// returns the epochs that took effect.
+/// Plays one interleaving, the second holder starting `lag_ms` after the
+/// first, and returns the epochs of the orders that took effect.
 fn play(steps: &[(u64, Step)], engine: &Engine, networks: &[Network; 2], lag_ms: u64, seed: u64) -> Vec<u64> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
@@ -133,7 +139,7 @@
             let holding = lease::run(settings, handle, support::recorder(number), sender);
             let giving = give(terms, engine.clone(), network.clone(), seed + number as u64);
             let pause = Pause::default();
-            // Lease and orders are one process: both stop and wake together.
+            // The lease and the orders belong to one process: both pause and resume together.
             let work = async move {
                 tokio::join!(holding, giving);
             };
@@ -156,14 +162,15 @@
     engine.effects.lock().unwrap().clone()
 }
 
+/// Plays one interleaving and checks that the epochs that took effect never decrease.
 fn check(steps: &[(u64, Step)], checks: bool, seed: u64) {
     let engine = Engine::new(checks);
     let effects = play(steps, &engine, &Network::to(&engine), 0, seed);
     assert!(effects.is_sorted(), "an old holder's order took effect after its successor's: {effects:?}");
 }
 
-/// A roll-out's old coordinator is paused amid an order and wakes after its
-/// successor has ordered something else. Its order must not take effect: the
+/// A coordinator is paused while it sends an order and resumes after its
+/// successor has given other orders. Its order must not take effect: the
 /// version it loads may have been withdrawn meanwhile.
 #[test]
 fn paused_amid_an_order() {
@@ -178,11 +185,11 @@
     }
 }
 
-/// An old coordinator, cut off from the platform, gives orders to the very end
-/// of its term, and each takes almost its whole time limit. A successor
+/// A coordinator that is cut off from the platform gives orders until the very
+/// end of its term, and each takes almost its whole time limit. A successor
 /// that waited for the term alone would be overtaken by the last of them, so
-/// it waits for the order's limit too. Tried at many offsets between
-/// the two; without that wait some of them fail.
+/// it must wait for the order's limit too. The offset between the two varies;
+/// without that wait some offsets fail.
 #[test]
 fn last_orders_of_a_term() {
     for (seed, lag_ms) in (0..SEEDS).flat_map(|seed| (100..4_100).step_by(200).map(move |lag_ms| (seed, lag_ms))) {
@@ -193,10 +200,11 @@
     }
 }
 
-/// Seeds tried at each offset.
+/// Number of seeds for each offset.
 const SEEDS: u64 = 4;
 
-/// Cases: 48 in CI; `PROPTEST_CASES=10000` for a release run.
+/// Returns the configuration: 48 cases in CI; `PROPTEST_CASES=10000` for a
+/// release run.
 fn cases() -> ProptestConfig {
     let cases = std::env::var("PROPTEST_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(48);
     ProptestConfig { cases, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() }
@@ -206,14 +214,15 @@
     #![proptest_config(cases())]
 
     /// Two holders under pauses, cuts, lost and late writes, at an engine that
-    /// ignores the number: the term's margin and the successor's wait alone
-    /// keep orders in the order of their epochs.
+    /// ignores the number: the margin of the term and the wait of the
+    /// successor alone keep orders in the order of their epochs.
     #[test]
     fn engines_that_ignore_the_number(steps in prop::collection::vec(step(), 1..14), seed in 0u64..1_000) {
         check(&steps, false, seed);
     }
 
-    /// The same at an engine that checks it, with orders up to 30 s on their way.
+    /// Two holders under the same faults, at an engine that checks the number,
+    /// with orders that take up to 30 s to arrive.
     #[test]
     fn engines_that_check_the_number(steps in prop::collection::vec(step(), 1..14), seed in 0u64..1_000) {
         check(&steps, true, seed);
--- a/crates/control/tests/it/rollout.rs
+++ b/crates/control/tests/it/rollout.rs
@@ -1,4 +1,5 @@
-//! Roll-outs under lost coordinators, operators' races and outages.
+//! Roll-outs under lost coordinators, concurrent actions of operators and
+//! outages.
 
 use std::time::Duration;
 
@@ -12,15 +13,15 @@
     support::seconds,
 };
 
-/// Most answers of a bad version before the fleet has stopped it.
+/// Largest number of answers of a bad version before the fleet has stopped it.
 const MOST_BAD: u64 = 120;
 
 fn withdraw() -> Action {
     Action::Withdraw { reason: "an operator's reason".into() }
 }
 
-/// Nothing goes wrong: the version is loaded, two loads at a time, exposed
-/// step by step and promoted.
+/// Without faults the version is loaded, two loads at a time, exposed step by
+/// step and promoted.
 #[tokio::test(start_paused = true)]
 async fn clean() {
     let site = Site::open(3).await;
@@ -30,13 +31,14 @@
         at_once = at_once.max(site.engines.all().iter().map(|engine| engine.loading).sum());
         sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(at_once, 2, "the weight store bears two loads at a time");
+    assert_eq!(at_once, 2, "two loads run at a time");
     assert!(site.engines.holding(&new_version()) >= 2);
     site.wait_for(1, State::Promoted).await;
     assert_eq!(site.engines.holding(&new_version()), 4);
 }
 
-/// Where a roll-out stands when its coordinator is lost.
+/// Opens a site, waits until its roll-out satisfies `reached`, and loses the
+/// coordinator.
 async fn lose_leader_at(reached: impl Fn(&Rollout) -> bool) -> Site {
     let mut site = Site::open(3).await;
     site.roll_out().await;
@@ -53,28 +55,32 @@
             let site = lose_leader_at($reached).await;
             let left = (site.leader() + 1) % 3;
             site.wait_for(left, State::Promoted).await;
-            assert_ne!(site.leader(), (left + 2) % 3, "another carried it on");
+            assert_ne!(site.leader(), (left + 2) % 3, "another instance continues the roll-out");
         })*
     };
 }
 
 lost! {
     /// The coordinator is lost before any engine has loaded the version: the
-    /// next asks the engines what they hold and orders the rest.
+    /// next one queries which versions the engines hold and orders the rest.
     lost_while_loading: |rollout| rollout.state == State::Loading;
 
-    /// Lost as the first sessions meet the version.
+    /// The coordinator is lost when the first sessions are routed to the
+    /// version.
     lost_at_first_step: |rollout| rollout.state == State::Exposing;
 
-    /// Lost between two steps: the next waits the step's time anew.
+    /// The coordinator is lost between two steps: the next one waits for the
+    /// step's time anew.
     lost_at_second_step: |rollout| rollout.step == 1;
 
-    /// Lost at the last step, which leaves no predecessor to compare with.
+    /// The coordinator is lost at the last step, when no predecessor is left
+    /// to compare with.
     lost_at_last_step: |rollout| rollout.step == 3;
 }
 
-/// The version fails 30 ratings in 100 more than its predecessor. Every
-/// instance sees a seventh of it; together they stop it, everywhere.
+/// The version fails 30 ratings in 100 more than its predecessor. Each of
+/// seven instances sees a seventh of its answers; together they stop it
+/// everywhere.
 #[tokio::test(start_paused = true)]
 async fn bad_version() {
     let site = Site::open(7).await;
@@ -86,12 +92,12 @@
     let met = site.traffic().new;
     assert!(met <= MOST_BAD, "{met} answers of the bad version");
     seconds(5.0).await;
-    assert_eq!(site.traffic().new, met, "no new session meets a withdrawn version");
+    assert_eq!(site.traffic().new, met, "no new session is routed to a withdrawn version");
 }
 
-/// One session asks for something impossible, again and again, and every
-/// answer fails. It was dealt to the new version once; it counts once, and a
-/// good version is not stopped for one customer's bad morning.
+/// One session sends the same impossible task again and again, and every
+/// answer fails. The session was assigned to the new version once, so it
+/// counts once: one failing session must not stop a good version.
 #[tokio::test(start_paused = true)]
 async fn one_failing_session_stops_nothing() {
     let site = Site::open(2).await;
@@ -104,7 +110,7 @@
     site.wait_for(1, State::Promoted).await;
 }
 
-/// A version turns bad after its first step went well. What was seen at that
+/// A version turns bad after its first step went well. The evidence of that
 /// step must not hide it.
 #[tokio::test(start_paused = true)]
 async fn turns_bad_while_serving() {
@@ -118,7 +124,7 @@
     assert!(met <= 2 * MOST_BAD, "{met} answers since it turned bad");
 }
 
-/// Waits until the first instance stops the version; returns which, and when.
+/// Waits until an instance stops the version. Returns its number and the time.
 async fn first_stop(site: &Site) -> (usize, Instant) {
     let limit = Instant::now() + Duration::from_mins(5);
     while Instant::now() < limit {
@@ -127,9 +133,10 @@
         }
         sleep(Duration::from_millis(10)).await;
     }
-    panic!("nobody stopped it");
+    panic!("no instance stopped the version");
 }
 
+/// Waits until all instances have stopped the version, for at most 30 s, and returns the time.
 async fn stopped_everywhere(site: &Site) -> Instant {
     let limit = Instant::now() + Duration::from_secs(30);
     while Instant::now() < limit && !(0..site.instances.len()).all(|number| site.is_stopped(number)) {
@@ -138,8 +145,9 @@
     Instant::now()
 }
 
-/// The platform is down when the guard stops a version. Peers hear of it at
-/// once and expose nobody more; the withdrawal is written when it is back.
+/// The platform is down when the guard stops a version. Peers are notified at
+/// once and route no further sessions to it; the withdrawal is written when
+/// the platform is back.
 #[tokio::test(start_paused = true)]
 async fn stopped_in_an_outage() {
     let site = Site::open(5).await;
@@ -152,7 +160,7 @@
     assert!(last - first <= Duration::from_secs(1), "{:?}", last - first);
     let met = site.traffic().new;
     seconds(60.0).await;
-    assert_eq!(site.traffic().new, met, "stopped all through the outage");
+    assert_eq!(site.traffic().new, met, "the version stays stopped during the outage");
     assert_eq!(site.rollout(1).unwrap().state, State::Exposing, "nothing can be written yet");
     site.platform.set_down(false);
     for number in 0..5 {
@@ -160,14 +168,16 @@
     }
 }
 
-/// The link between the instance that stops a version and another is cut. The
-/// other hears it from those that did hear, a repeat later.
+/// The link between the instance that stops a version and another one is cut.
+/// The other is notified by the repeat of an instance that has received the
+/// stop.
 #[tokio::test(start_paused = true)]
 async fn stop_lost_on_one_link() {
     let site = Site::open(4).await;
     site.roll_out().await;
     site.wait_for(1, State::Exposing).await;
-    // Down, so that the withdrawal itself does not tell it.
+    // The platform is down, so that the stop does not arrive through the
+    // configuration.
     site.platform.set_down(true);
     site.set_bad(350);
     let (first, at) = first_stop(&site).await;
@@ -177,8 +187,9 @@
     assert!(last - at <= Duration::from_secs(1) + 2 * LINK, "{:?}", last - at);
 }
 
-/// The instance whose evidence stopped the version dies right after it told
-/// its peers, before it could write. Another makes the stop last.
+/// The instance whose evidence stopped the version is lost right after
+/// notifying its peers, before it could write the withdrawal. Another instance
+/// writes it.
 #[tokio::test(start_paused = true)]
 async fn lost_right_after_the_stop() {
     let mut site = Site::open(4).await;
@@ -208,7 +219,7 @@
     site.wait_for((leader + 1) % 3, State::Promoted).await;
 }
 
-/// One instance alone finds a version bad. All others stop it on its word,
+/// Only one instance judges a version bad. All others stop it when notified,
 /// with the platform down, within a second.
 #[tokio::test(start_paused = true)]
 async fn one_instances_evidence_is_enough() {
@@ -223,7 +234,8 @@
     assert!(last - at <= Duration::from_secs(1), "{:?}", last - at);
 }
 
-/// Pauses at another instance than the coordinator's; the pause must hold.
+/// Pauses the roll-out at an instance other than the coordinator, and checks
+/// that the pause holds until it is resumed.
 async fn pause_holds(site: &Site) {
     while let Err(error) = site.operate(1, &Action::Pause).await {
         assert!(error.contains("nothing was changed"), "{error}");
@@ -235,15 +247,16 @@
     site.wait_for(0, State::Promoted).await;
 }
 
-/// An operator pauses while the coordinator is about to go a step on, each
-/// call taking 300 ms. Whoever writes first, the pause holds at the end and no
-/// step follows it: the loser reads again, and a paused roll-out is left alone.
+/// An operator pauses the roll-out while the coordinator is about to write the
+/// next step, each call taking 300 ms. Whichever writes first, the pause holds
+/// in the end and no step follows it: the loser reads again, and the
+/// coordinator leaves a paused roll-out as it is.
 #[tokio::test(start_paused = true)]
 async fn pause_races_with_a_step() {
     for offset_ms in (0..1_500).step_by(150) {
         let site = Site::open(2).await;
         site.roll_out().await;
-        // The first step waits for answers; this one ends by its time.
+        // The first step ends when there are enough answers; this one ends by its time.
         site.wait(1, |rollout| rollout.step == 1).await;
         site.platform.set_slow(Duration::from_millis(300));
         sleep(Duration::from_millis(3_200 + offset_ms)).await;
@@ -252,8 +265,9 @@
 }
 
 /// Two engines have loaded the version, so it may be exposed; the orders to
-/// the other two take 1.5 s each. An operator pauses meanwhile. The plan to
-/// expose was made for a roll-out that was still loading and must be dropped.
+/// the other two take 1.5 s each. An operator pauses the roll-out meanwhile.
+/// The plan to expose was made for a roll-out that was still loading and must
+/// be dropped.
 #[tokio::test(start_paused = true)]
 async fn pause_while_orders_are_sent() {
     for offset_ms in (0..3_000).step_by(500) {
@@ -270,8 +284,8 @@
     }
 }
 
-/// An operator promotes a version at the moment that the guard stops it. The
-/// stop wins: promoted or not, it is bad.
+/// An operator promotes a version at the moment when the guard stops it. The
+/// stop takes precedence, whether or not the version was promoted.
 #[tokio::test(start_paused = true)]
 async fn promote_races_with_a_stop() {
     let site = Site::open(4).await;
@@ -285,8 +299,9 @@
     }
 }
 
-/// An operator withdraws: no instance exposes anybody within a second, and
-/// engines drop the version only after running answers had time to end.
+/// An operator withdraws the version: within a second no instance routes new
+/// sessions to it, and engines drop it only after running answers had time to
+/// end.
 #[tokio::test(start_paused = true)]
 async fn withdrawn_by_an_operator() {
     let site = Site::open(3).await;
@@ -297,14 +312,14 @@
     seconds(30.0).await;
     let late = site.traffic().exposures.iter().filter(|(_, when)| *when > at + Duration::from_secs(1)).count();
     assert_eq!(late, 0);
-    assert!(site.engines.holding(&new_version()) >= 2, "answers under way are not cut off");
+    assert!(site.engines.holding(&new_version()) >= 2, "running answers are not cut off");
     seconds(180.0).await;
     assert_eq!(site.engines.holding(&new_version()), 0);
-    assert_eq!(site.orders(Wanted::Dropped), 4, "the time line says what was ordered");
+    assert_eq!(site.orders(Wanted::Dropped), 4, "the time line records the orders");
     assert!(site.operate(0, &Action::Resume).await.unwrap_err().contains("never comes back"));
 }
 
-/// An engine restarts amid the roll-out and has lost the version: it is
+/// An engine restarts during the roll-out and has lost the version: it is
 /// ordered to load it again.
 #[tokio::test(start_paused = true)]
 async fn engine_restarted() {
--- a/crates/control/tests/it/site.rs
+++ b/crates/control/tests/it/site.rs
@@ -1,5 +1,5 @@
-//! Instances with control on one fake platform, engines and traffic beside
-//! them, peer links as tasks of one process.
+//! A test site: instances with control tasks on one fake platform, with
+//! simulated engines and traffic, and peer links as tasks of one process.
 
 use std::{
     collections::BTreeSet,
@@ -34,13 +34,13 @@
 
 use crate::{engines::Engines, support};
 
-/// How long a message between two instances is under way: the news delay.
+/// Delay of a message between two instances.
 pub const LINK: Duration = Duration::from_millis(200);
 
-/// Requests a second at each instance.
+/// Requests per second at each instance.
 const RATE: u64 = 50;
 
-/// Failed ratings in a thousand of a good version.
+/// Failed ratings per thousand of a good version.
 const GOOD: u64 = 50;
 
 const OBJECTS: &str = r#"
@@ -81,7 +81,7 @@
     one_judge: bool,
 }
 
-/// One instance; nothing in it works on after [`Site::lose`].
+/// One instance; none of its tasks runs after [`Site::lose`].
 pub struct Instance {
     pub config: config::Handle,
     pub client: Client,
@@ -90,20 +90,22 @@
     tasks: Vec<AbortHandle>,
 }
 
+/// Ends of all links, by instance, and the pairs that are cut.
 #[derive(Default)]
 struct Links {
     ends: Vec<(config::Handle, Handle)>,
     cut: BTreeSet<(usize, usize)>,
 }
 
-/// What requests met.
+/// What happened to requests, and how bad `m@2` is.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
-    /// Failed ratings in a thousand of `m@2`.
+    /// Failed ratings per thousand of `m@2`.
     pub bad: u64,
-    /// Answers of `m@2`.
+    /// Number of answers of `m@2`.
     pub new: u64,
-    /// New sessions that `m@2` took, by instance, at their times.
+    /// New sessions that were routed to `m@2`: the instance and the time of
+    /// each.
     pub exposures: Vec<(usize, Instant)>,
 }
 
@@ -116,12 +118,13 @@
 }
 
 impl Site {
-    /// Opens a fleet with everything but the roll-out in force.
+    /// Opens a fleet with all objects in force except the roll-out.
     pub async fn open(instances: usize) -> Self {
         Self::open_with(instances, false).await
     }
 
-    /// The same, with the first instance alone judging versions.
+    /// Opens a fleet in which only the first instance's own evidence can stop
+    /// a version.
     pub async fn open_with_one_judge(instances: usize) -> Self {
         Self::open_with(instances, true).await
     }
@@ -171,7 +174,8 @@
         self.instances.push(Instance { config, client, recorder, control: Some(control), tasks });
     }
 
-    /// An instance dies at once: cut off from everybody, all its handles gone.
+    /// Loses an instance at once: it is cut off from all others and its
+    /// handles are gone.
     pub fn lose(&mut self, number: usize) {
         for other in 0..self.instances.len() {
             self.cut(number, other, true);
@@ -182,8 +186,8 @@
         instance.control = None;
     }
 
-    /// An instance leaves in order: its work ends while everybody can still
-    /// be reached.
+    /// Shuts an instance down in order: its tasks end while it can still reach
+    /// all others.
     pub fn leave(&mut self, number: usize) {
         let instance = &mut self.instances[number];
         instance.tasks.iter().for_each(AbortHandle::abort);
@@ -191,7 +195,7 @@
         lock(&self.links).ends[number].1 = control::idle();
     }
 
-    /// Cuts or joins both directions of a link.
+    /// Cuts or restores both directions of a link.
     pub fn cut(&self, a: usize, b: usize, cut: bool) {
         let mut links = lock(&self.links);
         for link in [(a, b), (b, a)] {
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Makes `m@2` fail this many ratings in a thousand.
+    /// Makes `m@2` fail this many ratings per thousand.
     pub fn set_bad(&self, bad: u64) {
         lock(&self.traffic).bad = bad;
     }
@@ -212,7 +216,7 @@
         lock(&self.traffic).clone()
     }
 
-    /// An operator's action at an instance.
+    /// Applies an operator's action at an instance.
     pub async fn operate(&self, number: usize, action: &Action) -> Result<(), String> {
         let config = &self.instances[number].config;
         let object = operate::act(&config.current(), &rollout_id(), action).map_err(|error| error.to_string())?;
@@ -222,7 +226,7 @@
         applied.map(|_| ()).map_err(|error| error.to_string())
     }
 
-    /// Begins the roll-out, with steps that suit a test.
+    /// Starts the roll-out, with steps short enough for a test.
     pub async fn roll_out(&self) {
         let mut rollout = Rollout::new(new_version(), Number::parse("1").unwrap());
         rollout.steps = vec![0.05, 0.25, 0.5, 1.0];
@@ -231,12 +235,12 @@
         self.instances[0].config.apply("ann", vec![edit]).await.unwrap();
     }
 
-    /// The roll-out as an instance's catalog has it.
+    /// Returns the roll-out in an instance's catalog.
     pub fn rollout(&self, number: usize) -> Option<Rollout> {
         self.instances[number].config.current().rollouts().get(&rollout_id()).cloned()
     }
 
-    /// Waits until an instance's catalog has the roll-out as wanted.
+    /// Waits until the roll-out in an instance's catalog satisfies `wanted`.
     pub async fn wait(&self, number: usize, mut wanted: impl FnMut(&Rollout) -> bool) -> Rollout {
         let waiting = async {
             loop {
@@ -247,14 +251,15 @@
             }
         };
         let reached = timeout(Duration::from_mins(20), waiting).await;
-        reached.unwrap_or_else(|_| panic!("never came, stands at {:?}", self.rollout(number)))
+        reached.unwrap_or_else(|_| panic!("state not reached, roll-out is {:?}", self.rollout(number)))
     }
 
     pub async fn wait_for(&self, number: usize, state: State) -> Rollout {
         self.wait(number, |rollout| rollout.state == state).await
     }
 
-    /// The instance that took the lease last, among those that are left.
+    /// Returns the instance whose take-over of the lease has the highest
+    /// epoch.
     pub fn leader(&self) -> usize {
         let takes = |instance: &Instance| {
             let page = instance.recorder.query(&Filter::default());
@@ -267,7 +272,7 @@
         number
     }
 
-    /// One session of `m@2` whose every answer fails its rating.
+    /// Reports a session of `m@2` whose every answer fails its rating.
     pub fn fail_session(&self, number: usize, answers: usize) {
         let control = self.instances[number].control.as_ref().expect("not lost");
         let customer = Customer::parse("c").unwrap();
@@ -278,7 +283,7 @@
         }
     }
 
-    /// Orders of a kind on all time lines.
+    /// Returns the number of orders of a kind on all time lines.
     pub fn orders(&self, kind: Wanted) -> usize {
         let of = |instance: &Instance| {
             let records = instance.recorder.query(&Filter::default()).records;
@@ -288,7 +293,8 @@
         self.instances.iter().map(of).sum()
     }
 
-    /// Whether the version is stopped at an instance, by signal or by catalog.
+    /// Returns whether the version is stopped at an instance, by the guard or
+    /// in the catalog.
     pub fn is_stopped(&self, number: usize) -> bool {
         let instance = &self.instances[number];
         let withdrawn = self.rollout(number).is_some_and(|rollout| rollout.state == State::Withdrawn);
@@ -296,7 +302,7 @@
     }
 }
 
-/// Sessions of one request each, until aborted.
+/// Sends sessions of one request each, until aborted.
 async fn requests(number: usize, config: config::Handle, control: Handle, traffic: Arc<Mutex<Traffic>>) {
     let mut random = StdRng::seed_from_u64(number as u64);
     let customer = Customer::parse("c").unwrap();
@@ -327,6 +333,7 @@
     }
 }
 
+/// Delivers an instance's control updates to the instances it can reach.
 async fn carry_news(links: Arc<Mutex<Links>>, from: usize, mut news: mpsc::Receiver<Bytes>) {
     while let Some(bytes) = news.recv().await {
         for (_, control) in reachable(&links, from) {
@@ -339,6 +346,7 @@
     }
 }
 
+/// Delivers an instance's configuration messages to the instances it can reach.
 async fn carry_config(links: Arc<Mutex<Links>>, from: usize, mut outbound: mpsc::Receiver<Outbound>) {
     while let Some(Outbound::News(bytes) | Outbound::Want { bytes, .. }) = outbound.recv().await {
         for (config, _) in reachable(&links, from) {
@@ -351,6 +359,7 @@
     }
 }
 
+/// Returns the handles of the other instances with an intact link.
 fn reachable(links: &Mutex<Links>, from: usize) -> Vec<(config::Handle, Handle)> {
     let links = lock(links);
     let ends = links.ends.iter().enumerate();
--- a/crates/control/tests/it/steps.rs
+++ b/crates/control/tests/it/steps.rs
@@ -1,4 +1,5 @@
-//! Faults that strike a whole site at each step of a roll-out.
+//! Faults injected into a whole site at each step of a roll-out; tests are
+//! named `fault_at_step`.
 
 use std::time::Duration;
 
@@ -11,11 +12,14 @@
     support::seconds,
 };
 
-/// Where the roll-out stands when the fault strikes.
+/// Point of the roll-out at which the fault is injected.
 #[derive(Debug, Clone, Copy)]
 enum At {
+    /// While engines load the version.
     Load,
+    /// When the first sessions are routed to the version.
     Expose,
+    /// At the last step before the promotion.
     Promote,
 }
 
@@ -31,12 +35,13 @@
 
 /// Ports of the engines.
 const ENGINES: std::ops::Range<u16> = 9_000..9_004;
-/// Writes by the coordinator of which one's answer gets lost, in turn. A step
-/// takes two, and renewals of the lease fall between them.
+/// Positions of the coordinator's write whose response is lost, tried in turn.
+/// A step takes two writes, and renewals of the lease fall between them.
 const WRITES: std::ops::RangeInclusive<u64> = 1..=6;
 
-/// A site whose roll-out has come there, as an instance other than the
-/// coordinator sees it; that instance's number.
+/// Opens a site and waits until the roll-out is at the given point in the
+/// catalog of an instance other than the coordinator. Returns the site and
+/// that instance's number.
 async fn open_at(at: At) -> (Site, usize) {
     let site = Site::open(3).await;
     site.roll_out().await;
@@ -45,30 +50,33 @@
     (site, watcher)
 }
 
-/// The roll-out ends well at every given instance.
+/// Waits until the version is promoted in the catalog of every given instance.
 async fn promoted(site: &Site, numbers: impl IntoIterator<Item = usize>) {
     for number in numbers {
         site.wait_for(number, State::Promoted).await;
     }
 }
 
+/// The platform responds slowly.
 async fn check_slow(at: At) {
     let (site, _) = open_at(at).await;
     site.platform.set_slow(Duration::from_millis(900));
     promoted(&site, 0..3).await;
 }
 
+/// The platform is down for half a minute.
 async fn check_down(at: At) {
     let (site, watcher) = open_at(at).await;
     site.platform.set_down(true);
     seconds(2.0).await;
-    let stands = site.rollout(watcher);
+    let before = site.rollout(watcher);
     seconds(30.0).await;
-    assert_eq!(site.rollout(watcher), stands, "a step that nobody could write");
+    assert_eq!(site.rollout(watcher), before, "the roll-out advanced while the platform was down");
     site.platform.set_down(false);
     promoted(&site, 0..3).await;
 }
 
+/// The response to one of the coordinator's writes is lost.
 async fn check_answer_lost(at: At) {
     for nth in WRITES {
         let (site, watcher) = open_at(at).await;
@@ -82,10 +90,11 @@
         })
         .await;
         promoted(&site, 0..3).await;
-        assert_eq!(site.leader(), leader, "write {nth}: its lease was lost over one answer");
+        assert_eq!(site.leader(), leader, "write {nth}: the lease was lost because of one lost response");
     }
 }
 
+/// The coordinator's links to all peers are cut.
 async fn check_peers_cut(at: At) {
     let (site, _) = open_at(at).await;
     let leader = site.leader();
@@ -95,17 +104,18 @@
     promoted(&site, 0..3).await;
 }
 
+/// The coordinator shuts down in order.
 async fn check_leaving(at: At) {
     let (mut site, watcher) = open_at(at).await;
     let leader = site.leader();
     site.leave(leader);
     promoted(&site, (0..3).filter(|number| *number != leader)).await;
-    assert_ne!(site.leader(), leader, "another carried it on");
+    assert_ne!(site.leader(), leader, "another instance continues the roll-out");
     assert!(site.rollout(watcher).is_some_and(|rollout| rollout.step == 3));
 }
 
 /// The coordinator cannot reach the platform for long enough to lose its
-/// lease, and then can again.
+/// lease, then reconnects.
 async fn check_lapsed(at: At) {
     let (site, _) = open_at(at).await;
     let leader = site.leader();
@@ -113,7 +123,7 @@
     seconds(20.0).await;
     site.instances[leader].client.set_down(false);
     promoted(&site, 0..3).await;
-    assert_ne!(site.leader(), leader, "its lease lapsed");
+    assert_ne!(site.leader(), leader, "its lease has lapsed");
     seconds(30.0).await;
     assert!((0..3).all(|number| site.rollout(number).is_some_and(|rollout| rollout.state == State::Promoted)));
 }
@@ -128,81 +138,84 @@
 }
 
 steps! {
-    /// Operators see the roll-out move on as ever: each answer of the platform
-    /// takes 900 ms from here on, and neither the lease nor a step is lost to
-    /// that, because both wait longer than a call takes.
+    /// Each response of the platform takes 900 ms. Neither the lease nor a
+    /// step is lost, because both wait longer than a call takes.
     platform_slow_at_load: check_slow at Load;
 
-    /// The same from the first sessions on: each step waits its time and for
-    /// its answers, whose observations do not go over the platform.
+    /// The platform responds slowly from the first sessions on. Each step
+    /// waits its time and for its answers, whose observations do not pass
+    /// through the platform.
     platform_slow_at_expose: check_slow at Expose;
 
-    /// The same before the last step ends: the write that promotes is waited
-    /// for, and every instance hears of it.
+    /// The platform responds slowly before the last step ends. The coordinator
+    /// waits for the write that promotes, and every instance receives it.
     platform_slow_at_promote: check_slow at Promote;
 
-    /// The platform is down for half a minute while engines load. They go on
-    /// loading as ordered; no session meets the version until the step that
-    /// says so can be written.
+    /// The platform is down for half a minute while engines load. They
+    /// continue loading as ordered; no session is routed to the version until
+    /// the next state can be written.
     platform_down_at_load: check_down at Load;
 
-    /// The platform is down for half a minute as the first sessions meet the
-    /// version. Operators see the step stand until it is back, then go on: a
-    /// step is in force only once it is written.
+    /// The platform is down for half a minute when the first sessions are
+    /// routed to the version. The step stays as it is until the platform is
+    /// back: a step takes effect only once it is written.
     platform_down_at_expose: check_down at Expose;
 
-    /// The same before the last step ends: no instance holds the version for
-    /// promoted until that is written.
+    /// The platform is down before the last step ends. No instance sees the
+    /// version as promoted until that is written.
     platform_down_at_promote: check_down at Promote;
 
-    /// One of the coordinator's writes takes effect and its answer is lost.
-    /// Operators see each step once and none left out: the coordinator reads
-    /// back what stands, and plans from that.
+    /// One of the coordinator's writes takes effect and its response is lost.
+    /// Each step happens once and none is skipped: the coordinator reads the
+    /// object back and plans from it.
     answer_lost_at_expose: check_answer_lost at Expose;
 
-    /// The same before the last step ends: promoted once, by the same holder,
-    /// which reads its write back and finds it done.
+    /// A write's response is lost before the last step ends. The version is
+    /// promoted once, by the same holder, which reads its write back and finds
+    /// it done.
     answer_lost_at_promote: check_answer_lost at Promote;
 
-    /// The coordinator's lease lapses as the first sessions meet the version,
-    /// and it comes back. Operators see the roll-out go on at another, and no
-    /// step by the old one: it finds its term over by its own clock.
+    /// The coordinator's lease lapses when the first sessions are routed to
+    /// the version, and the coordinator reconnects later. Another instance
+    /// continues the roll-out, and the old one writes no step: it sees by its
+    /// own clock that its term has ended.
     lease_lapsed_at_expose: check_lapsed at Expose;
 
-    /// The same before the last step ends: another promotes the version, and
-    /// the old coordinator changes nothing of that when it is back.
+    /// The lease lapses before the last step ends. Another instance promotes
+    /// the version, and the old coordinator changes nothing when it is back.
     lease_lapsed_at_promote: check_lapsed at Promote;
 
-    /// The coordinator's links to all peers are cut while engines load.
-    /// Operators see the roll-out go on everywhere, because orders go to the
-    /// engines and steps over the platform, not over the links.
+    /// The coordinator's links to all peers are cut while engines load. The
+    /// roll-out continues everywhere, because orders go to the engines and
+    /// steps through the platform, not over the links.
     peers_cut_at_load: check_peers_cut at Load;
 
-    /// The same from the first sessions on: the peers' observations do not
-    /// reach the coordinator, its own let the steps end.
+    /// The links are cut from the first sessions on. The peers' observations
+    /// do not reach the coordinator; its own are enough to complete the steps.
     peers_cut_at_expose: check_peers_cut at Expose;
 
-    /// The same before the last step ends: promoted is in the object, which
-    /// each instance reads from the platform too.
+    /// The links are cut before the last step ends. The promotion is in the
+    /// object, which each instance reads from the platform too.
     peers_cut_at_promote: check_peers_cut at Promote;
 
-    /// The coordinator shuts down in order while engines load. Operators see
-    /// the roll-out stand for a term of the lease and go on at another: what
-    /// engines hold is asked anew, so nothing has to be handed over.
+    /// The coordinator shuts down in order while engines load. The roll-out
+    /// pauses for a term of the lease and continues at another instance, which
+    /// queries the engines anew, so nothing has to be handed over.
     instance_leaving_at_load: check_leaving at Load;
 
-    /// The same as the first sessions meet the version: the step stands in the
-    /// object, and the next coordinator waits its time anew.
+    /// The coordinator shuts down when the first sessions are routed to the
+    /// version. The step is in the object, and the next coordinator waits for
+    /// the step's time anew.
     instance_leaving_at_expose: check_leaving at Expose;
 
-    /// The same before the last step ends: the version is promoted by another,
-    /// once the step has lasted its time anew.
+    /// The coordinator shuts down before the last step ends. Another instance
+    /// promotes the version after waiting for the step's time anew.
     instance_leaving_at_promote: check_leaving at Promote;
 }
 
-/// Three of four engines are lost before they have loaded the version.
-/// Operators see the roll-out stand at loading and no session meets it: one
-/// engine alone would make it slow. When they are back it goes on.
+/// Three of four engines are lost before they have loaded the version. The
+/// roll-out stays at loading and no session is routed to the version, since a
+/// single engine would be slow. It continues when they are back.
 #[tokio::test(start_paused = true)]
 async fn endpoint_lost_at_load() {
     let site = Site::open(3).await;
@@ -215,9 +228,9 @@
     promoted(&site, 0..3).await;
 }
 
-/// One of four engines is lost before it has loaded the version, for good.
-/// Operators see the roll-out promoted with the other three: a tenth of the
-/// engines or one may be down without holding everybody up.
+/// One of four engines is lost for good before it has loaded the version. The
+/// version is promoted with the other three: a tenth of the engines, or one,
+/// may be down without blocking the roll-out.
 #[tokio::test(start_paused = true)]
 async fn endpoint_lost_at_promote() {
     let site = Site::open(3).await;
@@ -227,9 +240,9 @@
     assert_eq!(site.engines.holding(&new_version()), 3);
 }
 
-/// An engine is lost while the version is withdrawn. Operators see no session
-/// meet it any more; the engine that cannot be told to drop it is told when it
-/// is back, since the wanted end stands in the object.
+/// An engine is lost while the version is withdrawn. No further session is
+/// routed to the version. The lost engine is ordered to drop it when it is
+/// back, since the wanted state follows from the object.
 #[tokio::test(start_paused = true)]
 async fn endpoint_lost_at_stop() {
     let (site, _) = open_at(At::Promote).await;
@@ -245,14 +258,14 @@
 }
 
 /// The coordinator's lease lapses and the version turns bad meanwhile. It is
-/// stopped and withdrawn, since the guard needs no lease, and the coordinator
-/// that comes back leaves it so: withdrawn is an end.
+/// stopped and withdrawn, since the guard needs no lease, and the returning
+/// coordinator does not change that: withdrawn is a final state.
 #[tokio::test(start_paused = true)]
 async fn lease_lapsed_at_stop() {
     let (site, _) = open_at(At::Expose).await;
     let leader = site.leader();
     site.instances[leader].client.set_down(true);
-    // Past its term, and before a successor may order anything.
+    // After the end of its term and before a successor may give orders.
     seconds(7.0).await;
     site.set_bad(350);
     let other = (leader + 1) % 3;
@@ -265,9 +278,9 @@
     }
 }
 
-/// A version turns bad, and each instance loses the answer of one of its
-/// writes, the withdrawal among them. Operators see it withdrawn everywhere
-/// and once: what stands is read back before anything is written again.
+/// A version turns bad, and each instance loses the response to one of its
+/// writes, the withdrawal among them. The version is withdrawn everywhere and
+/// once: the object is read back before anything is written again.
 #[tokio::test(start_paused = true)]
 async fn answer_lost_at_stop() {
     for nth in WRITES {
--- a/crates/control/tests/it/support.rs
+++ b/crates/control/tests/it/support.rs
@@ -1,4 +1,4 @@
-//! Processes that can be paused, and what they share.
+//! Processes that can be paused, and handles that several tests use.
 
 use std::{
     pin::Pin,
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 use world::instance::{Id, Incarnation};
 
-/// Stops and continues a process, as a hypervisor or a full swap would.
+/// Pauses and resumes a process, as a hypervisor or heavy swapping would.
 #[derive(Debug, Clone, Default)]
 pub struct Pause(Arc<Mutex<PauseState>>);
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// A process's work: not polled while paused.
+/// A process's future, which is not polled while paused.
 pub struct Process<F> {
     pause: Pause,
     work: Pin<Box<F>>,
@@ -67,7 +67,8 @@
     Recorder::open(Source { instance: instance(number), incarnation: Incarnation(1) }, Capacity::default())
 }
 
-/// An instance's way to the platform, and the handle over it.
+/// Returns an instance's connection to the platform and the store handle over
+/// it.
 pub fn platform(platform: &Platform, number: usize) -> (Client, store::Handle) {
     let client = platform.client();
     let settings = store::Settings::fake(format!("i{number}"), 7);
