--- a/crates/control/src/coordinator.rs
+++ b/crates/control/src/coordinator.rs
@@ -35,21 +35,21 @@
 use crate::{Settings, guard::Verdicts, lease::Term, loads::Loads, order::Call};
 
 /// Interval at which all roll-outs are checked.
-const TICK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time from a withdrawal until engines are ordered to drop the version.
 /// Running requests end meanwhile; unloading at once would cut off their
 /// answers.
-const DRAIN: Duration = Duration::from_mins(2);
+const DRAIN_TIME: Duration = Duration::from_mins(2);
 
 /// Largest share of a version's endpoints that is required to have loaded it
 /// before it takes all of its tier's work; the rest may be down.
-const ENOUGH: f64 = 0.9;
+const MAX_REQUIRED_SHARE: f64 = 0.9;
 
 /// Fewest endpoints that must have loaded the version before it takes any
 /// traffic, if it has as many: a single one would be slow, and the guard would
 /// stop the version for that.
-const FEWEST: usize = 2;
+const MIN_LOADED_ENDPOINTS: usize = 2;
 
 /// The coordinator task.
 pub(crate) struct Coordinator {
@@ -62,15 +62,15 @@
 }
 
 /// State kept beside the objects, for the length of one lease term.
-struct Office {
+struct TermState {
     epoch: u64,
     loads: Loads,
     /// When each roll-out reached its present state and step.
-    since: HashMap<Id, Seen>,
+    step_starts: HashMap<Id, StepStart>,
 }
 
 /// A roll-out's state and step, and when they were first seen.
-struct Seen {
+struct StepStart {
     state: State,
     step: usize,
     at: Instant,
@@ -78,44 +78,45 @@
 
 impl Coordinator {
     pub async fn run(mut self) {
-        let mut tick = interval(TICK);
+        let mut tick = interval(CHECK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut office: Option<Office> = None;
+        let mut term_state: Option<TermState> = None;
         loop {
             tokio::select! {
                 _ = tick.tick() => {}
                 changed = self.terms.changed() => if changed.is_err() { return },
             }
             let Some(term) = self.term() else {
-                office = None;
+                term_state = None;
                 continue;
             };
-            let mut present = office.take().filter(|o| o.epoch == term.epoch).unwrap_or_else(|| self.enter(term));
-            self.work(&mut present, term).await;
-            office = Some(present);
+            let mut current =
+                term_state.take().filter(|o| o.epoch == term.epoch).unwrap_or_else(|| self.begin_term(term));
+            self.advance(&mut current, term).await;
+            term_state = Some(current);
         }
     }
 
     /// Returns the lease term in force, if this instance holds the lease.
     fn term(&self) -> Option<Term> {
-        self.terms.borrow().filter(|term| !term.left().is_zero())
+        self.terms.borrow().filter(|term| !term.remaining().is_zero())
     }
 
-    fn enter(&self, term: Term) -> Office {
-        let loads = Loads::new(self.calls.clone(), self.settings.loads_at_once);
-        Office { epoch: term.epoch, loads, since: HashMap::new() }
+    fn begin_term(&self, term: Term) -> TermState {
+        let loads = Loads::new(self.calls.clone(), self.settings.max_concurrent_loads);
+        TermState { epoch: term.epoch, loads, step_starts: HashMap::new() }
     }
 
     /// Updates the orders to engines and carries out the next transition of each roll-out.
-    async fn work(&self, office: &mut Office, term: Term) {
+    async fn advance(&self, term_state: &mut TermState, term: Term) {
         let catalog = self.config.current();
-        office.see(&catalog);
-        office.loads.want(&office.wanted(&catalog));
-        office.loads.step(term, &self.recorder).await;
+        term_state.track_steps(&catalog);
+        term_state.loads.set_wanted(&term_state.wanted(&catalog));
+        term_state.loads.advance(term, &self.recorder).await;
         for (id, rollout) in catalog.rollouts() {
             let verdict = self.verdict(id, rollout);
-            let plan = exposure::plan(rollout, &verdict, &office.progress(&catalog, id, rollout));
-            if let Some(next) = carried_out(rollout, &plan) {
+            let plan = exposure::plan(rollout, &verdict, &term_state.progress(&catalog, id, rollout));
+            if let Some(next) = apply_plan(rollout, &plan) {
                 self.write(id, rollout, next).await;
             }
         }
@@ -153,22 +154,22 @@
     }
 }
 
-impl Office {
+impl TermState {
     /// Notes when roll-outs changed their state or step.
-    fn see(&mut self, catalog: &Catalog) {
-        self.since.retain(|id, _| catalog.rollouts().contains_key(id));
+    fn track_steps(&mut self, catalog: &Catalog) {
+        self.step_starts.retain(|id, _| catalog.rollouts().contains_key(id));
         for (id, rollout) in catalog.rollouts() {
-            let fresh = Seen { state: rollout.state, step: rollout.step, at: Instant::now() };
-            let seen = self.since.entry(id.clone()).or_insert(Seen { ..fresh });
-            if seen.state != rollout.state || seen.step != rollout.step {
-                *seen = fresh;
+            let fresh = StepStart { state: rollout.state, step: rollout.step, at: Instant::now() };
+            let start = self.step_starts.entry(id.clone()).or_insert(StepStart { ..fresh });
+            if start.state != rollout.state || start.step != rollout.step {
+                *start = fresh;
             }
         }
     }
 
     /// Returns how long a roll-out has been at its state and step.
-    fn at_step(&self, id: &Id) -> Duration {
-        self.since.get(id).map_or(Duration::ZERO, |seen| seen.at.elapsed())
+    fn time_at_step(&self, id: &Id) -> Duration {
+        self.step_starts.get(id).map_or(Duration::ZERO, |start| start.at.elapsed())
     }
 
     /// Returns, for each version, what its endpoints are to hold: versions
@@ -179,7 +180,7 @@
         for (id, rollout) in catalog.rollouts() {
             let want = match rollout.state {
                 State::Loading | State::Exposing | State::Paused => Wanted::Loaded,
-                State::Withdrawn if self.at_step(id) >= DRAIN => Wanted::Dropped,
+                State::Withdrawn if self.time_at_step(id) >= DRAIN_TIME => Wanted::Dropped,
                 State::Withdrawn | State::Promoted => continue,
             };
             wanted.insert(rollout.version.clone(), (want, catalog.endpoints(&rollout.version).to_vec()));
@@ -190,16 +191,20 @@
     /// Returns the progress of a roll-out's present step.
     fn progress(&self, catalog: &Catalog, id: &Id, rollout: &Rollout) -> Progress {
         let endpoints = catalog.endpoints(&rollout.version).len();
-        let at_step_ms = millis(self.at_step(id));
-        Progress { at_step_ms, loaded: self.loads.loaded(&rollout.version), wanted: wanted(endpoints, rollout) }
+        let at_step_ms = millis(self.time_at_step(id));
+        Progress {
+            at_step_ms,
+            loaded: self.loads.loaded(&rollout.version),
+            wanted: required_endpoints(endpoints, rollout),
+        }
     }
 }
 
 /// Returns the number of endpoints that must hold the version before the next
 /// step.
-fn wanted(endpoints: usize, rollout: &Rollout) -> usize {
+fn required_endpoints(endpoints: usize, rollout: &Rollout) -> usize {
     let next = if rollout.state == State::Loading { rollout.step } else { rollout.step + 1 };
-    let share = rollout.steps.get(next).copied().unwrap_or(1.0).min(ENOUGH);
+    let share = rollout.steps.get(next).copied().unwrap_or(1.0).min(MAX_REQUIRED_SHARE);
     #[expect(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
@@ -208,11 +213,11 @@
     )]
     let needed = (endpoints as f64 * share).floor() as usize;
     // At least one, so a version without endpoints never takes traffic.
-    needed.max(FEWEST.min(endpoints)).max(1)
+    needed.max(MIN_LOADED_ENDPOINTS.min(endpoints)).max(1)
 }
 
 /// Applies a plan to a roll-out; `None` if the plan is to wait.
-fn carried_out(rollout: &Rollout, plan: &Plan) -> Option<Rollout> {
+fn apply_plan(rollout: &Rollout, plan: &Plan) -> Option<Rollout> {
     let next = rollout.clone();
     Some(match plan {
         Plan::Wait(_) => return None,
--- a/crates/control/src/guard.rs
+++ b/crates/control/src/guard.rs
@@ -27,26 +27,26 @@
     Settings,
     handle::Message,
     ledger::{self, Ledger},
-    wire::News,
+    wire::Update,
 };
 
 /// Interval at which the evidence is judged.
-const TICK: Duration = Duration::from_millis(100);
+const JUDGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval of updates to peers in a fleet of up to [`NEWS_PEERS`] peers.
-const NEWS_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of updates to peers in a fleet of up to [`PEERS_PER_INTERVAL`] peers.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Interval at which a stop is repeated until the configuration contains it.
-const STOP_INTERVAL: Duration = Duration::from_millis(500);
+const STOP_REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Number of peers up to which [`NEWS_INTERVAL`] holds. With more, the
+/// Number of peers up to which [`UPDATE_INTERVAL`] holds. With more, the
 /// interval grows in proportion, so that what an instance receives does not
 /// grow with the fleet.
-const NEWS_PEERS: u32 = 8;
+const PEERS_PER_INTERVAL: u32 = 8;
 
 /// Divisor of the interval after which an update may be sent if it contains
 /// new failures of a version under roll-out.
-const HURRY: u32 = 5;
+const URGENT_DIVISOR: u32 = 5;
 
 /// Verdict on the present step of each running roll-out.
 pub(crate) type Verdicts = BTreeMap<rollout::Id, (usize, Verdict)>;
@@ -61,14 +61,14 @@
     /// Notified when this instance's own evidence stops a version.
     pub own_stop: Arc<Notify>,
     /// Encoded updates for all peers.
-    pub news: mpsc::Sender<Bytes>,
+    pub updates: mpsc::Sender<Bytes>,
     pub ledger: Ledger,
-    pub told: Told,
+    pub publication: Publication,
 }
 
 /// When the last update was sent to peers, and what has changed since.
 #[derive(Debug)]
-pub(crate) struct Told {
+pub(crate) struct Publication {
     at: Instant,
     /// Whether there are new observations.
     changed: bool,
@@ -76,7 +76,7 @@
     urgent: bool,
 }
 
-impl Default for Told {
+impl Default for Publication {
     fn default() -> Self {
         Self { at: Instant::now(), changed: false, urgent: false }
     }
@@ -84,55 +84,55 @@
 
 impl Guard {
     pub async fn run(mut self, mut inbox: mpsc::Receiver<Message>) {
-        let mut tick = interval(TICK);
+        let mut tick = interval(JUDGE_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut catalogs = self.catalog.clone();
         loop {
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 changed = catalogs.changed() => match changed {
-                    Ok(()) => self.settle(),
+                    Ok(()) => self.on_catalog(),
                     Err(_) => return,
                 },
                 _ = tick.tick() => self.judge(),
             }
-            self.tell();
+            self.publish_if_due();
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let catalog = self.catalog.borrow().clone();
         match message {
             Message::Observed(observation) => {
-                self.told.urgent |= self.ledger.observe(&catalog, &observation);
-                self.told.changed = true;
+                self.publication.urgent |= self.ledger.observe(&catalog, &observation);
+                self.publication.changed = true;
             }
-            Message::Heard(bytes) => match News::decode(&bytes) {
-                Ok(news) => self.hear(&catalog, news),
+            Message::PeerUpdate(bytes) => match Update::decode(&bytes) {
+                Ok(update) => self.handle_update(&catalog, update),
                 Err(_) => metrics::counter!("control_news_malformed_total").increment(1),
             },
         }
     }
 
     /// Takes in a peer's update: its stops and its sums.
-    fn hear(&mut self, catalog: &Catalog, news: News) {
-        let (by, incarnation) = news.source;
+    fn handle_update(&mut self, catalog: &Catalog, update: Update) {
+        let (by, incarnation) = update.source;
         if by == self.settings.instance && incarnation == self.settings.incarnation {
             return;
         }
-        for stop in news.stops {
-            self.stop(catalog, stop, by.clone());
+        for stop in update.stops {
+            self.add_stop(catalog, stop, by.clone());
         }
-        self.ledger.hear((by, incarnation), news.sums);
+        self.ledger.set_peer_sums((by, incarnation), update.sums);
     }
 
     /// Drops sums and stops that the new catalog makes obsolete.
-    fn settle(&mut self) {
+    fn on_catalog(&mut self) {
         let catalog = self.catalog.borrow().clone();
-        self.ledger.settle(&catalog);
+        self.ledger.retain_running(&catalog);
         let mut stops = self.stops.borrow().as_ref().clone();
         stops.settle(&catalog);
         if stops != **self.stops.borrow() {
@@ -148,8 +148,8 @@
             let fleet = self.ledger.fleet(id, rollout);
             let verdict = guard::judge(&self.settings.guard, rollout, &fleet.steps, &fleet.window);
             if let Verdict::Stop(reason) = &verdict {
-                let stop = stop(id, rollout, reason);
-                self.stop(&catalog, stop, self.settings.instance.clone());
+                let stop = stop_of(id, rollout, reason);
+                self.add_stop(&catalog, stop, self.settings.instance.clone());
             }
             verdicts.insert(id.clone(), (rollout.step, verdict));
         }
@@ -159,7 +159,7 @@
     }
 
     /// Adds a stop found by instance `by`, unless it is known or already in the configuration.
-    fn stop(&mut self, catalog: &Catalog, stop: Stop, by: instance::Id) {
+    fn add_stop(&mut self, catalog: &Catalog, stop: Stop, by: instance::Id) {
         let mut stops = self.stops.borrow().as_ref().clone();
         let (version, reason) = (stop.version.clone(), stop.reason.clone());
         if !stops.insert(stop) {
@@ -176,42 +176,42 @@
         }
         self.recorder.record(Event::Stop { version, by, reason });
         metrics::counter!("control_stops_total").increment(1);
-        self.tell_now();
+        self.publish();
     }
 
     /// Sends an update to peers if one is due.
-    fn tell(&mut self) {
+    fn publish_if_due(&mut self) {
         let stopped = self.stops.borrow().iter().next().is_some();
-        let peers = u32::try_from(self.ledger.sources()).unwrap_or(u32::MAX);
-        let interval = NEWS_INTERVAL * peers.div_ceil(NEWS_PEERS).max(1);
-        let gone = self.told.at.elapsed();
-        let due = (self.told.changed && gone >= interval)
-            || (self.told.urgent && gone >= interval / HURRY)
-            || (stopped && gone >= STOP_INTERVAL);
+        let peers = u32::try_from(self.ledger.peer_count()).unwrap_or(u32::MAX);
+        let interval = UPDATE_INTERVAL * peers.div_ceil(PEERS_PER_INTERVAL).max(1);
+        let elapsed = self.publication.at.elapsed();
+        let due = (self.publication.changed && elapsed >= interval)
+            || (self.publication.urgent && elapsed >= interval / URGENT_DIVISOR)
+            || (stopped && elapsed >= STOP_REPEAT_INTERVAL);
         if due {
-            self.tell_now();
+            self.publish();
         }
     }
 
     /// Sends all sums and stops to peers.
-    fn tell_now(&mut self) {
-        let sums = self.ledger.own().map(|(step, sums)| (step.clone(), *sums)).collect();
+    fn publish(&mut self) {
+        let sums = self.ledger.own_sums().map(|(step, sums)| (step.clone(), *sums)).collect();
         let stops = self.stops.borrow().iter().cloned().collect();
         let source = (self.settings.instance.clone(), self.settings.incarnation);
-        let news = News { source, sums, stops };
-        self.told = Told { at: Instant::now(), changed: false, urgent: false };
-        if news.sums.is_empty() && news.stops.is_empty() {
+        let update = Update { source, sums, stops };
+        self.publication = Publication { at: Instant::now(), changed: false, urgent: false };
+        if update.sums.is_empty() && update.stops.is_empty() {
             return;
         }
         // A full queue means that the links are slower than the updates. The next update
         // contains all of this one.
-        if self.news.try_send(news.encode()).is_err() {
+        if self.updates.try_send(update.encode()).is_err() {
             metrics::counter!("control_news_dropped_total").increment(1);
         }
     }
 }
 
 /// Builds the stop of a roll-out's version.
-fn stop(id: &rollout::Id, rollout: &rollout::Rollout, reason: &Reason) -> Stop {
+fn stop_of(id: &rollout::Id, rollout: &rollout::Rollout, reason: &Reason) -> Stop {
     Stop { version: rollout.version.clone(), rollout: id.clone(), reason: reason.to_string() }
 }
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -10,7 +10,7 @@
 use crate::observation::Observation;
 
 /// Capacity of the guard's inbox, in messages.
-pub(crate) const INBOX: usize = 4_096;
+pub(crate) const INBOX_CAPACITY: usize = 4_096;
 
 /// A message to the guard.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     /// An observation of a request.
     Observed(Observation),
     /// An encoded update from a peer.
-    Heard(Bytes),
+    PeerUpdate(Bytes),
 }
 
 /// Handle to this instance's control tasks; cheap to clone.
@@ -37,8 +37,8 @@
     }
 
     /// Takes in an update that a peer's control tasks published.
-    pub fn heard(&self, news: Bytes) {
-        self.send(Message::Heard(news));
+    pub fn heard(&self, update: Bytes) {
+        self.send(Message::PeerUpdate(update));
     }
 
     /// Returns the versions stopped by evidence that the configuration does
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -51,22 +51,22 @@
     #[must_use]
     pub fn new(name: &str, instance: instance::Id, incarnation: instance::Incarnation) -> Self {
         let seed = world::hash::stable(instance.as_str().as_bytes());
-        Self { name: name.into(), instance, incarnation, term: TERM, grace: GRACE, seed }
+        Self { name: name.into(), instance, incarnation, term: DEFAULT_TERM, grace: DEFAULT_GRACE, seed }
     }
 }
 
-const TERM: Duration = Duration::from_secs(6);
-const GRACE: Duration = Duration::from_secs(2);
+const DEFAULT_TERM: Duration = Duration::from_secs(6);
+const DEFAULT_GRACE: Duration = Duration::from_secs(2);
 
 /// Renewals per term, so that two may fail before it ends.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_TERM: u32 = 3;
 
 /// Number of retry intervals in a term while renewals fail.
-const RETRIES: u32 = 20;
+const RETRIES_PER_TERM: u32 = 20;
 
 /// Divisor of the term: the part added to it for clock drift between two
 /// machines.
-const DRIFT: u32 = 50;
+const DRIFT_DIVISOR: u32 = 50;
 
 /// A term during which this instance holds the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -75,8 +75,8 @@
     pub epoch: u64,
     /// End of the term on this process's monotonic clock.
     pub until: Instant,
-    began: SystemTime,
-    span: Duration,
+    started: SystemTime,
+    length: Duration,
 }
 
 impl Term {
@@ -87,8 +87,8 @@
     /// holder that was suspended with its machine would resume in a term that
     /// another instance has held for long.
     #[must_use]
-    pub fn left(&self) -> Duration {
-        let by_wall = self.began.elapsed().map_or(self.span, |gone| self.span.saturating_sub(gone));
+    pub fn remaining(&self) -> Duration {
+        let by_wall = self.started.elapsed().map_or(self.length, |elapsed| self.length.saturating_sub(elapsed));
         self.until.saturating_duration_since(Instant::now()).min(by_wall)
     }
 }
@@ -104,7 +104,7 @@
 /// Starts a task that takes and renews the lease; the receiver shows its
 /// present term.
 ///
-/// A receiver must check [`Term::left`] before each use, because a paused
+/// A receiver must check [`Term::remaining`] before each use, because a paused
 /// process may see an ended term here.
 #[must_use]
 pub fn spawn(settings: Settings, platform: store::Handle, recorder: Recorder) -> watch::Receiver<Option<Term>> {
@@ -116,12 +116,12 @@
 /// Takes and renews the lease, again and again, until the receiver is dropped.
 pub async fn run(settings: Settings, platform: store::Handle, recorder: Recorder, terms: watch::Sender<Option<Term>>) {
     let random = StdRng::seed_from_u64(settings.seed);
-    let platform = platform.within(settings.term / (2 * RENEWALS));
-    let mut task = Task { settings, platform, recorder, terms, random, seen: None };
+    let platform = platform.within(settings.term / (2 * RENEWALS_PER_TERM));
+    let mut task = Task { settings, platform, recorder, terms, random, observed: None };
     while !task.terms.is_closed() {
-        match task.take().await {
-            Some((item, term)) => task.hold(item, term).await,
-            None => task.pause().await,
+        match task.try_acquire().await {
+            Some((item, term)) => task.renew_until_lost(item, term).await,
+            None => task.wait_before_retry().await,
         }
     }
 }
@@ -132,56 +132,56 @@
     recorder: Recorder,
     terms: watch::Sender<Option<Term>>,
     random: StdRng,
-    seen: Option<Seen>,
+    observed: Option<Observed>,
 }
 
 /// Version of the last state read, and when it was first read.
-struct Seen {
+struct Observed {
     version: u64,
     since: Instant,
 }
 
 impl Task {
     /// Takes the lease if it is free or its holder has let it lapse.
-    async fn take(&mut self) -> Option<(Item, Term)> {
+    async fn try_acquire(&mut self) -> Option<(Item, Term)> {
         let key = self.key();
         let found = self.platform.get(Priority::Lease, &key).await.ok()?;
         let Some(item) = found else {
-            self.seen = None;
+            self.observed = None;
             let record = self.record(1);
-            let began = Began::now();
+            let started = StartTime::now();
             let write = self.platform.create(Priority::Lease, &key, &record).await;
-            return self.taken(write, began, &record, None);
+            return self.on_acquire_result(write, started, &record, None);
         };
         let old: Record = item.read().ok()?;
-        if !self.waited_out(item.version) {
+        if !self.is_lapsed(item.version) {
             return None;
         }
         let record = self.record(old.epoch + 1);
-        let began = Began::now();
+        let started = StartTime::now();
         let write = self.platform.update(Priority::Lease, &item, &record).await;
-        self.taken(write, began, &record, Some(old.holder))
+        self.on_acquire_result(write, started, &record, Some(old.holder))
     }
 
     /// Returns whether the state of the lease has been unchanged for a term
     /// plus the grace.
-    fn waited_out(&mut self, version: u64) -> bool {
+    fn is_lapsed(&mut self, version: u64) -> bool {
         // The state is in effect at the latest now that it has been read. The wait starts
         // here, not when the read was sent.
         let now = Instant::now();
-        let seen = self.seen.get_or_insert(Seen { version, since: now });
-        if seen.version != version {
-            *seen = Seen { version, since: now };
+        let observed = self.observed.get_or_insert(Observed { version, since: now });
+        if observed.version != version {
+            *observed = Observed { version, since: now };
         }
         let term = self.settings.term;
-        now.duration_since(seen.since) >= term + term / DRIFT + self.settings.grace
+        now.duration_since(observed.since) >= term + term / DRIFT_DIVISOR + self.settings.grace
     }
 
     /// Handles the result of the write that takes the lease.
-    fn taken(
+    fn on_acquire_result(
         &mut self,
         write: Result<Write, store::Error>,
-        began: Began,
+        started: StartTime,
         record: &Record,
         from: Option<instance::Id>,
     ) -> Option<(Item, Term)> {
@@ -190,23 +190,23 @@
         let Ok(Write::Done(item)) = write else { return None };
         let holding = Holding::Lease { name: self.settings.name.clone() };
         self.recorder.record(Event::TakeOver { holding, epoch: record.epoch, from });
-        Some((item, self.term(record.epoch, began)))
+        Some((item, self.term(record.epoch, started)))
     }
 
     /// Renews the lease until the term ends or another instance takes it.
-    async fn hold(&mut self, mut item: Item, mut term: Term) {
+    async fn renew_until_lost(&mut self, mut item: Item, mut term: Term) {
         self.terms.send_replace(Some(term));
         let record = self.record(term.epoch);
-        let mut pause = self.settings.term / RENEWALS;
+        let mut delay = self.settings.term / RENEWALS_PER_TERM;
         let mut reason = "the term ended before it could be renewed";
-        while !self.terms.is_closed() && !term.left().is_zero() {
-            sleep(pause).await;
-            pause = self.settings.term / RENEWALS;
-            let began = Began::now();
+        while !self.terms.is_closed() && !term.remaining().is_zero() {
+            sleep(delay).await;
+            delay = self.settings.term / RENEWALS_PER_TERM;
+            let started = StartTime::now();
             match self.platform.update(Priority::Lease, &item, &record).await {
                 Ok(Write::Done(renewed)) => {
                     item = renewed;
-                    term = self.term(term.epoch, began);
+                    term = self.term(term.epoch, started);
                     self.terms.send_replace(Some(term));
                 }
                 Ok(Write::Lost { .. }) => {
@@ -215,19 +215,19 @@
                 }
                 Err(error) => {
                     tracing::warn!(lease = self.settings.name, %error, "lease renewal failed, will retry");
-                    pause = self.settings.term / RETRIES;
-                    item = self.reread(item, &record, &error).await;
+                    delay = self.settings.term / RETRIES_PER_TERM;
+                    item = self.refresh_item(item, &record, &error).await;
                 }
             }
         }
         self.terms.send_replace(None);
-        self.seen = None;
+        self.observed = None;
         let holding = Holding::Lease { name: self.settings.name.clone() };
         self.recorder.record(Event::HandOver { holding, epoch: term.epoch, reason: reason.into() });
     }
 
     /// Returns the item on which the next renewal is conditional.
-    async fn reread(&self, item: Item, record: &Record, error: &store::Error) -> Item {
+    async fn refresh_item(&self, item: Item, record: &Record, error: &store::Error) -> Item {
         if !matches!(error, store::Error::Unknown { .. }) {
             return item;
         }
@@ -241,16 +241,16 @@
 
     /// Waits before the next look at a lease that another instance holds, half
     /// to three quarters of a term.
-    async fn pause(&mut self) {
+    async fn wait_before_retry(&mut self) {
         let half = self.settings.term / 2;
         let jitter = self.random.random_range(0.0..0.5);
         sleep_until(Instant::now() + half.mul_f64(1.0 + jitter)).await;
     }
 
-    /// Returns the term that a write begun at `began` gives.
-    fn term(&self, epoch: u64, began: Began) -> Term {
-        let span = self.settings.term;
-        Term { epoch, until: began.monotonic + span, began: began.wall, span }
+    /// Returns the term that a write begun at `started` gives.
+    fn term(&self, epoch: u64, started: StartTime) -> Term {
+        let length = self.settings.term;
+        Term { epoch, until: started.monotonic + length, started: started.wall, length }
     }
 
     /// Returns the record of this instance as the holder.
@@ -266,12 +266,12 @@
 
 /// Start of a write on the monotonic and the wall clock.
 #[derive(Clone, Copy)]
-struct Began {
+struct StartTime {
     monotonic: Instant,
     wall: SystemTime,
 }
 
-impl Began {
+impl StartTime {
     fn now() -> Self {
         Self { monotonic: Instant::now(), wall: SystemTime::now() }
     }
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -21,20 +21,20 @@
 use crate::observation::{Observation, Outcome};
 
 /// Length of a window of evidence.
-const WINDOW: Duration = Duration::from_mins(5);
+const WINDOW_LENGTH: Duration = Duration::from_mins(5);
 
 /// Quantile of the predecessor's latency above which an answer is slow.
 const SLOW_QUANTILE: f64 = 0.95;
 
 /// Number of the predecessor's answers after which that quantile is fixed.
-const BASELINE_ANSWERS: u64 = 200;
+const MIN_BASELINE_ANSWERS: u64 = 200;
 
 /// Longest latency that the histogram distinguishes, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
+const MAX_LATENCY_MS: u64 = 600_000;
 
 /// Number of bad sessions remembered so that each counts once; beyond it, all
 /// are forgotten.
-const BAD_SESSIONS: usize = 100_000;
+const MAX_BAD_SESSIONS: usize = 100_000;
 
 /// Identifies one step of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -72,11 +72,11 @@
     /// This instance's sums.
     own: BTreeMap<Step, Own>,
     /// Last sums received from each peer.
-    others: HashMap<Source, BTreeMap<Step, Sums>>,
+    peers: HashMap<Source, BTreeMap<Step, Sums>>,
     /// Latencies of the predecessors.
     baselines: HashMap<Version, Baseline>,
     /// Bad sessions with the number of the last window that counted them.
-    bad: HashMap<BadSession, u32>,
+    bad_sessions: HashMap<BadSession, u32>,
 }
 
 /// This instance's sums at one step, and when the step was first seen.
@@ -90,7 +90,7 @@
 /// fixed.
 #[derive(Debug)]
 struct Baseline {
-    seen: Histogram<u32>,
+    latencies: Histogram<u32>,
     /// Latency above which an answer is slow, once known.
     slow_ms: Option<Millis>,
 }
@@ -99,17 +99,17 @@
     /// Counts an observation. Returns true if it is a new failure of a version
     /// under roll-out.
     pub fn observe(&mut self, catalog: &Catalog, observation: &Observation) -> bool {
-        let mut bad_news = false;
+        let mut is_new_failure = false;
         for (id, rollout) in running(catalog) {
             let Some(arm) = arm(catalog, rollout, observation) else { continue };
-            let slow = self.slow(rollout, observation);
+            let slow = self.is_slow(rollout, observation);
             let step = step_of(id, rollout);
             let own = self.own.entry(step.clone()).or_insert_with(Own::new);
-            own.turn_window();
+            own.advance_window();
             let window = own.sums.window.number;
-            for (signal, bad) in seen(observation.outcome, slow) {
+            for (signal, bad) in signals(observation.outcome, slow) {
                 let (first, first_in_window) = if bad {
-                    first_bad(&mut self.bad, (id.clone(), observation.unit, signal), window)
+                    record_bad(&mut self.bad_sessions, (id.clone(), observation.unit, signal), window)
                 } else {
                     (true, true)
                 };
@@ -119,25 +119,25 @@
                 if first_in_window {
                     count(&mut own.sums.window.evidence, arm, signal, bad);
                 }
-                bad_news |= first && bad && arm == Arm::New;
+                is_new_failure |= first && bad && arm == Arm::New;
             }
         }
-        bad_news
+        is_new_failure
     }
 
     /// Replaces the sums of a peer.
-    pub fn hear(&mut self, source: Source, sums: BTreeMap<Step, Sums>) {
-        self.others.insert(source, sums);
+    pub fn set_peer_sums(&mut self, source: Source, sums: BTreeMap<Step, Sums>) {
+        self.peers.insert(source, sums);
     }
 
     /// Returns this instance's sums, which are sent to its peers.
-    pub fn own(&self) -> impl Iterator<Item = (&Step, &Sums)> {
+    pub fn own_sums(&self) -> impl Iterator<Item = (&Step, &Sums)> {
         self.own.iter().map(|(step, own)| (step, &own.sums))
     }
 
     /// Returns the number of peers that have sent sums of a running roll-out.
-    pub fn sources(&self) -> usize {
-        self.others.values().filter(|steps| !steps.is_empty()).count()
+    pub fn peer_count(&self) -> usize {
+        self.peers.values().filter(|steps| !steps.is_empty()).count()
     }
 
     /// Returns the evidence of the whole fleet on a roll-out.
@@ -146,7 +146,7 @@
         let mut fleet = Fleet::default();
         for number in 0..=rollout.step {
             step.number = number;
-            let total = self.total(&step);
+            let total = self.fleet_sums(&step);
             fleet.steps.push(total.step);
             fleet.window = total.window;
         }
@@ -154,10 +154,10 @@
     }
 
     /// Returns the fleet's total of one step.
-    fn total(&self, step: &Step) -> Sums {
+    fn fleet_sums(&self, step: &Step) -> Sums {
         let own = self.own.get(step).map(|own| own.sums);
-        let heard = self.others.values().filter_map(|steps| steps.get(step).copied());
-        let parts: Vec<_> = own.into_iter().chain(heard).collect();
+        let from_peers = self.peers.values().filter_map(|steps| steps.get(step).copied());
+        let parts: Vec<_> = own.into_iter().chain(from_peers).collect();
         let mut total = Sums::default();
         // Instances begin windows by their own clocks. The older window of one that lags
         // counts only towards the step, never towards another window.
@@ -172,22 +172,22 @@
     }
 
     /// Forgets everything that belongs to no running roll-out.
-    pub fn settle(&mut self, catalog: &Catalog) {
+    pub fn retain_running(&mut self, catalog: &Catalog) {
         let keep = |step: &Step| {
             let rollout = catalog.rollouts().get(&step.rollout);
             rollout.is_some_and(|r| is_running(r) && r.version == step.version)
         };
         self.own.retain(|step, _| keep(step));
-        self.bad.retain(|(id, ..), _| catalog.rollouts().get(id).is_some_and(is_running));
-        self.others.values_mut().for_each(|steps| steps.retain(|step, _| keep(step)));
-        self.others.retain(|_, steps| !steps.is_empty());
+        self.bad_sessions.retain(|(id, ..), _| catalog.rollouts().get(id).is_some_and(is_running));
+        self.peers.values_mut().for_each(|steps| steps.retain(|step, _| keep(step)));
+        self.peers.retain(|_, steps| !steps.is_empty());
         let watched: Vec<_> = running(catalog).map(|(_, rollout)| predecessor(rollout)).collect();
         self.baselines.retain(|version, _| watched.contains(version));
     }
 
     /// Returns whether an answer is slow, or `None` if the limit is not known
     /// yet.
-    fn slow(&mut self, rollout: &Rollout, observation: &Observation) -> Option<bool> {
+    fn is_slow(&mut self, rollout: &Rollout, observation: &Observation) -> Option<bool> {
         let Outcome::Answered { latency_ms } = observation.outcome else { return None };
         let predecessor = predecessor(rollout);
         let of_predecessor = observation.version == predecessor;
@@ -197,7 +197,7 @@
         }
         // The limit is fixed once: answers that determine it must not be counted against it.
         if of_predecessor {
-            baseline.take(latency_ms);
+            baseline.record(latency_ms);
         }
         None
     }
@@ -209,8 +209,8 @@
     }
 
     /// Begins a new window if the present one has ended.
-    fn turn_window(&mut self) {
-        let windows = self.since.elapsed().as_secs() / WINDOW.as_secs();
+    fn advance_window(&mut self) {
+        let windows = self.since.elapsed().as_secs() / WINDOW_LENGTH.as_secs();
         let number = u32::try_from(windows).unwrap_or(u32::MAX);
         if number > self.sums.window.number {
             self.sums.window = Window { number, evidence: Evidence::default() };
@@ -220,16 +220,16 @@
 
 impl Baseline {
     fn new() -> Self {
-        let mut seen = Histogram::new_with_max(LONGEST_MS, 2).expect("the constant bounds are valid");
-        seen.auto(false);
-        Self { seen, slow_ms: None }
+        let mut latencies = Histogram::new_with_max(MAX_LATENCY_MS, 2).expect("the constant bounds are valid");
+        latencies.auto(false);
+        Self { latencies, slow_ms: None }
     }
 
     /// Adds a latency and fixes the limit once there are enough.
-    fn take(&mut self, latency_ms: Millis) {
-        self.seen.saturating_record(latency_ms.clamp(1, LONGEST_MS));
-        if self.seen.len() >= BASELINE_ANSWERS {
-            self.slow_ms = Some(self.seen.value_at_quantile(SLOW_QUANTILE));
+    fn record(&mut self, latency_ms: Millis) {
+        self.latencies.saturating_record(latency_ms.clamp(1, MAX_LATENCY_MS));
+        if self.latencies.len() >= MIN_BASELINE_ANSWERS {
+            self.slow_ms = Some(self.latencies.value_at_quantile(SLOW_QUANTILE));
         }
     }
 }
@@ -266,7 +266,7 @@
 }
 
 /// Returns the signals that an outcome gives, and whether each is bad.
-fn seen(outcome: Outcome, slow: Option<bool>) -> impl Iterator<Item = (Signal, bool)> {
+fn signals(outcome: Outcome, slow: Option<bool>) -> impl Iterator<Item = (Signal, bool)> {
     let (first, second) = match outcome {
         Outcome::Answered { .. } => (Some((Signal::Errors, false)), slow.map(|slow| (Signal::Latency, slow))),
         Outcome::Failed => (Some((Signal::Errors, true)), None),
@@ -281,8 +281,8 @@
 /// A session that fails once often fails again on the same hard task. Each
 /// session is assigned to an arm once; counting its failures one by one would
 /// make one failing session look like many.
-fn first_bad(known: &mut HashMap<BadSession, u32>, session: BadSession, window: u32) -> (bool, bool) {
-    if known.len() >= BAD_SESSIONS {
+fn record_bad(known: &mut HashMap<BadSession, u32>, session: BadSession, window: u32) -> (bool, bool) {
+    if known.len() >= MAX_BAD_SESSIONS {
         // Counting some sessions twice is better than ignoring all further failures.
         known.clear();
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -36,12 +36,12 @@
 
 use crate::{
     coordinator::Coordinator,
-    guard::{Guard, Told, Verdicts},
+    guard::{Guard, Publication, Verdicts},
     ledger::Ledger,
 };
 
 /// Capacity of the queue of updates to peers.
-const NEWS: usize = 16;
+const UPDATE_QUEUE_CAPACITY: usize = 16;
 
 /// Handles to the other parts of the instance that the control tasks use.
 #[derive(Debug, Clone)]
@@ -64,8 +64,8 @@
 #[must_use]
 pub fn spawn(settings: Settings, edges: Edges) -> (Handle, mpsc::Receiver<Bytes>) {
     let settings = Arc::new(settings);
-    let (inbox, messages) = mpsc::channel(handle::INBOX);
-    let (news, published) = mpsc::channel(NEWS);
+    let (inbox, messages) = mpsc::channel(handle::INBOX_CAPACITY);
+    let (updates, published) = mpsc::channel(UPDATE_QUEUE_CAPACITY);
     let (stop, stops) = watch::channel(Arc::new(Stops::default()));
     let (verdict, verdicts) = watch::channel(Arc::new(Verdicts::new()));
     let own_stop = Arc::new(Notify::new());
@@ -77,19 +77,19 @@
         stops: stop,
         verdicts: verdict,
         own_stop: own_stop.clone(),
-        news,
+        updates,
         ledger: Ledger::default(),
-        told: Told::default(),
+        publication: Publication::default(),
     };
     let withdrawing = withdraw::run(config.clone(), settings.author(), stops.clone(), own_stop, settings.seed);
     let terms = lease::spawn(settings.lease.clone(), platform, recorder.clone());
     let coordinator = Coordinator { settings, config, recorder, terms, verdicts, calls: engines };
-    let helpers = [tokio::spawn(withdrawing), tokio::spawn(coordinator.run())];
+    let background = [tokio::spawn(withdrawing), tokio::spawn(coordinator.run())];
     tokio::spawn(async move {
         guard.run(messages).await;
         // The handles are gone, so this instance needs no coordinator. Aborting it also drops
         // the receiver of the lease, which ends the lease task.
-        helpers.iter().for_each(tokio::task::JoinHandle::abort);
+        background.iter().for_each(tokio::task::JoinHandle::abort);
     });
     (Handle { inbox, stops }, published)
 }
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -30,26 +30,26 @@
 };
 
 /// Interval of queries to an engine that is not in the wanted state yet.
-const ASK_LOADING: Duration = Duration::from_secs(1);
+const PENDING_QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Interval of queries to an engine in the wanted state; a restart would have
 /// changed it.
-const ASK_LOADED: Duration = Duration::from_secs(30);
+const SETTLED_QUERY_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Time after which an order without effect is sent again.
-const ORDER_AGAIN: Duration = Duration::from_secs(20);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Largest number of concurrent queries to engines.
-const ASKS_AT_ONCE: usize = 32;
+const MAX_QUERIES: usize = 32;
 
 /// Wanted and known state of all endpoints, for one lease term.
 #[derive(Debug)]
 pub(crate) struct Loads {
     calls: mpsc::Sender<Call>,
     /// Largest number of concurrent loads.
-    at_once: usize,
+    max_loads: usize,
     engines: HashMap<(Version, Id), Engine>,
-    asks: JoinSet<Answer>,
+    queries: JoinSet<QueryResult>,
 }
 
 /// State of one version at one endpoint.
@@ -60,14 +60,14 @@
     /// Whether it holds the version; `None` if unknown.
     holds: Option<bool>,
     /// When it was last queried.
-    asked: Option<Instant>,
+    queried_at: Option<Instant>,
     /// When it was last sent an order.
-    ordered: Option<Instant>,
+    ordered_at: Option<Instant>,
 }
 
 /// An engine's response to a query.
 #[derive(Debug)]
-struct Answer {
+struct QueryResult {
     version: Version,
     id: Id,
     /// Versions that it holds; `None` if it did not respond.
@@ -75,13 +75,13 @@
 }
 
 impl Loads {
-    pub fn new(calls: mpsc::Sender<Call>, at_once: usize) -> Self {
-        Self { calls, at_once, engines: HashMap::new(), asks: JoinSet::new() }
+    pub fn new(calls: mpsc::Sender<Call>, max_loads: usize) -> Self {
+        Self { calls, max_loads, engines: HashMap::new(), queries: JoinSet::new() }
     }
 
     /// Sets the wanted state of each version's endpoints and forgets endpoints
     /// that are no longer listed.
-    pub fn want(&mut self, wanted: &BTreeMap<Version, (Wanted, Vec<Endpoint>)>) {
+    pub fn set_wanted(&mut self, wanted: &BTreeMap<Version, (Wanted, Vec<Endpoint>)>) {
         let named = |version: &Version, id: &Id| {
             wanted.get(version).is_some_and(|(_, endpoints)| endpoints.iter().any(|e| e.id == *id))
         };
@@ -92,12 +92,17 @@
                     address: endpoint.address,
                     wanted: *wanted,
                     holds: None,
-                    asked: None,
-                    ordered: None,
+                    queried_at: None,
+                    ordered_at: None,
                 });
                 if engine.wanted != *wanted || engine.address != endpoint.address {
-                    *engine =
-                        Engine { address: endpoint.address, wanted: *wanted, holds: None, asked: None, ordered: None };
+                    *engine = Engine {
+                        address: endpoint.address,
+                        wanted: *wanted,
+                        holds: None,
+                        queried_at: None,
+                        ordered_at: None,
+                    };
                 }
             }
         }
@@ -110,58 +115,59 @@
 
     /// Handles responses, queries engines that are due, and sends missing
     /// orders as far as the term and the limits allow.
-    pub async fn step(&mut self, term: Term, recorder: &Recorder) {
-        while let Some(Ok(answer)) = self.asks.try_join_next() {
-            self.learn(answer);
+    pub async fn advance(&mut self, term: Term, recorder: &Recorder) {
+        while let Some(Ok(answer)) = self.queries.try_join_next() {
+            self.on_query_result(answer);
         }
-        self.ask();
-        for (key, order) in self.due(term.epoch) {
+        self.start_queries();
+        for (key, order) in self.take_due_orders(term.epoch) {
             let wanted = if order.load.is_empty() { Wanted::Dropped } else { Wanted::Loaded };
-            let outcome = self.order(&key, order, term).await;
+            let outcome = self.send_order(&key, order, term).await;
             let (version, endpoint) = key;
             recorder.record(Event::Order { endpoint, version, wanted, epoch: term.epoch, outcome });
         }
     }
 
     /// Handles a response to a query.
-    fn learn(&mut self, answer: Answer) {
-        let Answer { version, id, versions } = answer;
+    fn on_query_result(&mut self, answer: QueryResult) {
+        let QueryResult { version, id, versions } = answer;
         let holds = versions.map(|versions| versions.contains(&version));
         if let Some(engine) = self.engines.get_mut(&(version, id)) {
             engine.holds = holds;
         }
     }
 
-    /// Starts the queries that are due, within [`ASKS_AT_ONCE`].
-    fn ask(&mut self) {
+    /// Starts the queries that are due, within [`MAX_QUERIES`].
+    fn start_queries(&mut self) {
         let now = Instant::now();
-        let room = ASKS_AT_ONCE.saturating_sub(self.asks.len());
-        let due = self.engines.iter_mut().filter(|(_, engine)| engine.ask_due(now)).take(room);
+        let free_slots = MAX_QUERIES.saturating_sub(self.queries.len());
+        let due = self.engines.iter_mut().filter(|(_, engine)| engine.is_query_due(now)).take(free_slots);
         for ((version, id), engine) in due {
-            engine.asked = Some(now);
+            engine.queried_at = Some(now);
             let (calls, address) = (self.calls.clone(), engine.address);
             let (version, id) = (version.clone(), id.clone());
-            self.asks.spawn(async move { Answer { version, id, versions: ask(&calls, address).await } });
+            self.queries
+                .spawn(async move { QueryResult { version, id, versions: query_versions(&calls, address).await } });
         }
     }
 
     /// Returns the orders to send now and marks them as sent; loads are
     /// bounded by the limit of concurrent ones.
-    fn due(&mut self, fence: u64) -> Vec<((Version, Id), Order)> {
+    fn take_due_orders(&mut self, fence: u64) -> Vec<((Version, Id), Order)> {
         let now = Instant::now();
-        let under_way = self.engines.values().filter(|engine| engine.loading(now)).count();
-        let room = self.at_once.saturating_sub(under_way);
-        let due = self.engines.iter_mut().filter(|(_, engine)| engine.order_due(now));
+        let loading_count = self.engines.values().filter(|engine| engine.is_loading(now)).count();
+        let free_slots = self.max_loads.saturating_sub(loading_count);
+        let due = self.engines.iter_mut().filter(|(_, engine)| engine.is_order_due(now));
         let mut orders = Vec::new();
         let mut loads = 0;
         for ((version, id), engine) in due {
             if engine.wanted == Wanted::Loaded {
                 loads += 1;
-                if loads > room {
+                if loads > free_slots {
                     continue;
                 }
             }
-            engine.ordered = Some(now);
+            engine.ordered_at = Some(now);
             let (load, unload) = match engine.wanted {
                 Wanted::Loaded => (vec![version.clone()], Vec::new()),
                 Wanted::Dropped => (Vec::new(), vec![version.clone()]),
@@ -172,7 +178,7 @@
     }
 
     /// Sends an order and returns its outcome for the time line.
-    async fn order(&self, key: &(Version, Id), order: Order, term: Term) -> String {
+    async fn send_order(&self, key: &(Version, Id), order: Order, term: Term) -> String {
         let Some(engine) = self.engines.get(key) else { return "endpoint no longer listed".into() };
         let (reply, answer) = oneshot::channel();
         let call = Call::Order { address: engine.address, order, term, reply };
@@ -188,33 +194,33 @@
 
 impl Engine {
     /// Returns whether the endpoint is known to be in the wanted state.
-    fn satisfied(&self) -> bool {
+    fn is_satisfied(&self) -> bool {
         self.holds == Some(self.wanted == Wanted::Loaded)
     }
 
-    fn ask_due(&self, now: Instant) -> bool {
-        let pause = if self.satisfied() { ASK_LOADED } else { ASK_LOADING };
-        self.asked.is_none_or(|asked| now.duration_since(asked) >= pause)
+    fn is_query_due(&self, now: Instant) -> bool {
+        let pause = if self.is_satisfied() { SETTLED_QUERY_INTERVAL } else { PENDING_QUERY_INTERVAL };
+        self.queried_at.is_none_or(|queried_at| now.duration_since(queried_at) >= pause)
     }
 
-    fn order_due(&self, now: Instant) -> bool {
+    fn is_order_due(&self, now: Instant) -> bool {
         // An engine that does not respond gets no order: it may load nothing and would take a
         // slot from one that can.
         let known = self.holds.is_some();
-        known && !self.satisfied() && !self.recently_ordered(now)
+        known && !self.is_satisfied() && !self.recently_ordered(now)
     }
 
-    fn loading(&self, now: Instant) -> bool {
+    fn is_loading(&self, now: Instant) -> bool {
         self.wanted == Wanted::Loaded && self.holds == Some(false) && self.recently_ordered(now)
     }
 
     fn recently_ordered(&self, now: Instant) -> bool {
-        self.ordered.is_some_and(|ordered| now.duration_since(ordered) < ORDER_AGAIN)
+        self.ordered_at.is_some_and(|ordered_at| now.duration_since(ordered_at) < ORDER_RETRY_INTERVAL)
     }
 }
 
 /// Queries an engine for the versions that it holds.
-async fn ask(calls: &mpsc::Sender<Call>, address: SocketAddr) -> Option<Vec<Version>> {
+async fn query_versions(calls: &mpsc::Sender<Call>, address: SocketAddr) -> Option<Vec<Version>> {
     let (reply, answer) = oneshot::channel();
     calls.send(Call::Loaded { address, reply }).await.ok()?;
     answer.await.ok()?
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -16,7 +16,7 @@
 use crate::lease::Term;
 
 /// Time limit of an order; [`crate::lease::Settings::grace`] is at least this.
-pub const LIMIT: Duration = Duration::from_secs(2);
+pub const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A call to an engine.
 #[derive(Debug)]
@@ -73,18 +73,18 @@
     let (sender, mut calls) = mpsc::channel(QUEUE);
     tokio::spawn(async move {
         while let Some(call) = calls.recv().await {
-            tokio::spawn(pass(endpoint.clone(), call));
+            tokio::spawn(forward(endpoint.clone(), call));
         }
     });
     sender
 }
 
 /// Carries out a call and replies with its result.
-async fn pass(endpoint: endpoint::Handle, call: Call) {
+async fn forward(endpoint: endpoint::Handle, call: Call) {
     match call {
         Call::Order { address, order, term, reply } => {
             let sent = async {
-                let sent = endpoint.order(address, &order, LIMIT).await;
+                let sent = endpoint.order(address, &order, TIMEOUT).await;
                 sent.map_err(Error::Endpoint)
             };
             let _ = reply.send(within(term, sent).await);
@@ -103,7 +103,7 @@
 /// [`Error::Lapsed`] if nothing was sent, [`Error::Cut`] if the term ended
 /// during the sending.
 pub async fn within<T>(term: Term, sending: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-    if term.left() <= LIMIT {
+    if term.remaining() <= TIMEOUT {
         return Err(Error::Lapsed);
     }
     let mut sending = pin!(sending);
@@ -112,7 +112,7 @@
     // first and notice the end of its lease afterwards. So the clock is read
     // before each poll.
     poll_fn(|context| {
-        if term.left().is_zero() {
+        if term.remaining().is_zero() {
             return Poll::Ready(Err(Error::Cut));
         }
         sending.as_mut().poll(context)
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -18,7 +18,7 @@
     /// Thresholds of the version guard.
     pub guard: guard::Policy,
     /// Number of concurrent loads that the weight store can serve.
-    pub loads_at_once: usize,
+    pub max_concurrent_loads: usize,
     /// Seed of the jitter between attempts to withdraw a version.
     pub seed: u64,
 }
@@ -28,7 +28,7 @@
 
 /// Default number of concurrent loads; can be raised in the settings for a
 /// faster weight store.
-const LOADS_AT_ONCE: usize = 2;
+const DEFAULT_CONCURRENT_LOADS: usize = 2;
 
 impl Settings {
     /// Returns the default settings for one instance.
@@ -37,7 +37,7 @@
         let lease = lease::Settings::new(LEASE, instance.clone(), incarnation);
         let seed = lease.seed;
         let guard = guard::Policy::default();
-        Self { instance, incarnation, lease, guard, loads_at_once: LOADS_AT_ONCE, seed }
+        Self { instance, incarnation, lease, guard, max_concurrent_loads: DEFAULT_CONCURRENT_LOADS, seed }
     }
 
     /// Returns the author of configuration changes made by this instance's
--- a/crates/control/src/wire.rs
+++ b/crates/control/src/wire.rs
@@ -18,7 +18,7 @@
 
 /// Update that one instance sends to all others.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct News {
+pub(crate) struct Update {
     pub source: Source,
     pub sums: BTreeMap<Step, Sums>,
     pub stops: Vec<rollout::Stop>,
@@ -28,10 +28,10 @@
 #[derive(Debug)]
 pub(crate) struct Malformed;
 
-impl News {
+impl Update {
     pub fn encode(&self) -> Bytes {
         let (instance, incarnation) = &self.source;
-        let message = NewsMessage {
+        let message = UpdateMessage {
             instance: instance.to_string(),
             incarnation: incarnation.0,
             sums: self.sums.iter().map(|(step, sums)| SumsMessage::from((step, sums))).collect(),
@@ -41,7 +41,7 @@
     }
 
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
-        let message = NewsMessage::decode(bytes).map_err(|_| Malformed)?;
+        let message = UpdateMessage::decode(bytes).map_err(|_| Malformed)?;
         let instance = instance::Id::parse(&message.instance).map_err(|_| Malformed)?;
         let sums = message.sums.into_iter().map(TryInto::try_into).collect::<Result<_, _>>()?;
         let stops = message.stops.into_iter().map(TryInto::try_into).collect::<Result<_, _>>()?;
@@ -50,7 +50,7 @@
 }
 
 #[derive(prost::Message)]
-struct NewsMessage {
+struct UpdateMessage {
     #[prost(string, tag = "1")]
     instance: String,
     #[prost(uint64, tag = "2")]
--- a/crates/control/src/withdraw.rs
+++ b/crates/control/src/withdraw.rs
@@ -29,12 +29,12 @@
 
 /// Withdraws every stopped version, until the guard has ended.
 ///
-/// `own` is notified when this instance's own evidence stopped a version.
+/// `own_stop` is notified when this instance's own evidence stopped a version.
 pub(crate) async fn run(
     config: config::Handle,
     author: String,
     mut stops: watch::Receiver<Arc<Stops>>,
-    own: Arc<Notify>,
+    own_stop: Arc<Notify>,
     seed: u64,
 ) {
     let mut random = StdRng::seed_from_u64(seed);
@@ -45,7 +45,7 @@
                 return;
             }
             let wait = Duration::from_millis(random.random_range(FIRST_WAIT_MS));
-            let _ = timeout(wait, own.notified()).await;
+            let _ = timeout(wait, own_stop.notified()).await;
             continue;
         }
         for stop in pending {
--- a/crates/control/tests/it/engines.rs
+++ b/crates/control/tests/it/engines.rs
@@ -84,7 +84,7 @@
         let (Call::Loaded { address, .. } | Call::Order { address, .. }) = &call;
         if lock(&self.lost).contains(address) {
             // The call hangs until its time limit, then its reply is dropped.
-            sleep(order::LIMIT).await;
+            sleep(order::TIMEOUT).await;
             return;
         }
         match call {
--- a/crates/control/tests/it/lease.rs
+++ b/crates/control/tests/it/lease.rs
@@ -29,7 +29,7 @@
 
     /// Returns the epoch under which it would give orders now, if any.
     fn epoch(&self) -> Option<u64> {
-        self.terms.borrow().filter(|term| !term.left().is_zero()).map(|term| term.epoch)
+        self.terms.borrow().filter(|term| !term.remaining().is_zero()).map(|term| term.epoch)
     }
 }
 
