--- a/crates/control/tests/it/engines.rs
+++ b/crates/control/tests/it/engines.rs
@@ -14,14 +14,14 @@
 use crate::site::lock;
 
 /// Time that an engine takes to load a version.
-const LOADING: Duration = Duration::from_secs(3);
+const LOAD_TIME: Duration = Duration::from_secs(3);
 
 /// Engines that accept every order; they ignore the fencing number.
 #[derive(Clone, Default)]
 pub struct Engines {
     by_address: Arc<Mutex<BTreeMap<SocketAddr, Engine>>>,
     order_time: Arc<Mutex<Duration>>,
-    lost: Arc<Mutex<BTreeSet<SocketAddr>>>,
+    unreachable: Arc<Mutex<BTreeSet<SocketAddr>>>,
 }
 
 /// State of one engine.
@@ -53,13 +53,13 @@
     }
 
     /// Sets whether an engine leaves all calls unanswered.
-    pub fn set_lost(&self, port: u16, is_lost: bool) {
+    pub fn set_unreachable(&self, port: u16, is_unreachable: bool) {
         let address = SocketAddr::from(([127, 0, 0, 1], port));
-        let mut lost = lock(&self.lost);
-        if is_lost {
-            lost.insert(address)
+        let mut unreachable = lock(&self.unreachable);
+        if is_unreachable {
+            unreachable.insert(address)
         } else {
-            lost.remove(&address)
+            unreachable.remove(&address)
         };
     }
 
@@ -82,7 +82,7 @@
 
     async fn answer(self, call: Call) {
         let (Call::Loaded { address, .. } | Call::Order { address, .. }) = &call;
-        if lock(&self.lost).contains(address) {
+        if lock(&self.unreachable).contains(address) {
             // The call hangs until its time limit, then its reply is dropped.
             sleep(order::TIMEOUT).await;
             return;
@@ -97,14 +97,14 @@
                 let time = *lock(&self.order_time);
                 let sent = order::within(term, async {
                     sleep(time).await;
-                    Ok(self.take(address, &order))
+                    Ok(self.accept(address, &order))
                 });
                 let _ = reply.send(sent.await);
             }
         }
     }
 
-    fn take(&self, address: SocketAddr, order: &endpoint::order::Order) -> Vec<Version> {
+    fn accept(&self, address: SocketAddr, order: &endpoint::order::Order) -> Vec<Version> {
         let mut engines = lock(&self.by_address);
         let engine = engines.entry(address).or_default();
         engine.fences.push(order.fence);
@@ -117,7 +117,7 @@
     }
 
     async fn load(self, address: SocketAddr, versions: Vec<Version>) {
-        sleep(LOADING).await;
+        sleep(LOAD_TIME).await;
         let mut engines = lock(&self.by_address);
         let engine = engines.entry(address).or_default();
         engine.loading = engine.loading.saturating_sub(1);
--- a/crates/control/tests/it/lease.rs
+++ b/crates/control/tests/it/lease.rs
@@ -63,12 +63,12 @@
     Either,
 }
 
-struct World {
+struct Fixture {
     platform: Platform,
     holders: Vec<Holder>,
 }
 
-impl World {
+impl Fixture {
     fn inject(&self, fault: Fault) {
         match fault {
             Fault::Pause(who) => self.holders[who].pause.set(true),
@@ -92,30 +92,30 @@
 /// given one must hold it under the given epoch.
 async fn check(faults: &[(f64, Fault)], end: f64, holder: End, epoch: u64) {
     let platform = Platform::open();
-    let mut world = World { platform: platform.clone(), holders: vec![Holder::spawn(&platform, 0)] };
+    let mut fixture = Fixture { platform: platform.clone(), holders: vec![Holder::spawn(&platform, 0)] };
     for (_, fault) in faults.iter().filter(|(at, _)| *at < 0.0) {
-        world.inject(*fault);
+        fixture.inject(*fault);
     }
     seconds(1.0).await;
-    world.holders.push(Holder::spawn(&platform, 1));
+    fixture.holders.push(Holder::spawn(&platform, 1));
     let mut pending: Vec<_> = faults.iter().filter(|(at, _)| *at >= 0.0).collect();
     let mut now = 0.0;
     while now < end {
         while pending.first().is_some_and(|(at, _)| *at <= now) {
-            world.inject(pending.remove(0).1);
+            fixture.inject(pending.remove(0).1);
         }
-        let held: Vec<_> = world.holders.iter().filter_map(Holder::epoch).collect();
+        let held: Vec<_> = fixture.holders.iter().filter_map(Holder::epoch).collect();
         assert!(held.len() <= 1, "two instances hold the lease at {now} s: {held:?}");
         seconds(0.1).await;
         now += 0.1;
     }
-    let held: Vec<_> = world.holders.iter().map(Holder::epoch).collect();
+    let held: Vec<_> = fixture.holders.iter().map(Holder::epoch).collect();
     let other = |place: usize| held[1 - place].is_none();
-    let right = match holder {
+    let as_expected = match holder {
         End::Only(place) => held[place] == Some(epoch) && other(place),
         End::Either => (0..2).any(|place| held[place] == Some(epoch) && other(place)),
     };
-    assert!(right, "epochs held: {held:?}, expected {holder:?} under epoch {epoch}");
+    assert!(as_expected, "epochs held: {held:?}, expected {holder:?} under epoch {epoch}");
 }
 
 const FIRST: End = End::Only(0);
@@ -133,12 +133,12 @@
 
 cases! {
     /// Without faults the first instance keeps the lease over many terms.
-    undisturbed: [], after 60.0 s, FIRST holds epoch 1;
+    no_faults: [], after 60.0 s, FIRST holds epoch 1;
 
     /// The holder is paused for 20 s and resumes; meanwhile the other instance
     /// has waited out the term and taken over. The resumed instance must see
     /// by its own clock that its term has ended.
-    paused_and_woken: [(3.0, Fault::Pause(0)), (23.0, Fault::Wake(0))], after 40.0 s, SECOND holds epoch 2;
+    holder_paused_and_resumed: [(3.0, Fault::Pause(0)), (23.0, Fault::Wake(0))], after 40.0 s, SECOND holds epoch 2;
 
     /// A pause shorter than the term causes no take-over, because the
     /// successor counts from when it read the last renewal.
--- a/crates/control/tests/it/orders.rs
+++ b/crates/control/tests/it/orders.rs
@@ -25,29 +25,29 @@
 #[derive(Debug, Clone)]
 struct Engine {
     /// Whether it refuses orders with an old fencing number.
-    checks: bool,
+    checks_fence: bool,
     effects: Arc<Mutex<Vec<u64>>>,
 }
 
 impl Engine {
-    fn new(checks: bool) -> Self {
-        Self { checks, effects: Arc::default() }
+    fn new(checks_fence: bool) -> Self {
+        Self { checks_fence, effects: Arc::default() }
     }
 
-    fn take(&self, fence: u64) {
+    fn accept(&self, fence: u64) {
         let mut effects = self.effects.lock().unwrap();
         let newest = effects.iter().copied().max().unwrap_or(0);
-        if !self.checks || fence >= newest {
+        if !self.checks_fence || fence >= newest {
             effects.push(fence);
         }
     }
 
-    /// Sends an order: connects, then its bytes take `way` to the engine.
-    async fn send(self, fence: u64, connect: Duration, way: Duration) -> Result<(), order::Error> {
+    /// Sends an order: connects, then its bytes take `transit` to the engine.
+    async fn send(self, fence: u64, connect: Duration, transit: Duration) -> Result<(), order::Error> {
         sleep(connect).await;
         tokio::spawn(async move {
-            sleep(way).await;
-            self.take(fence);
+            sleep(transit).await;
+            self.accept(fence);
         });
         Ok(())
     }
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone)]
 struct Network {
     connect_ms: RangeInclusive<u64>,
-    way_ms: RangeInclusive<u64>,
+    transit_ms: RangeInclusive<u64>,
 }
 
 impl Network {
@@ -70,27 +70,27 @@
     /// tolerates any delay; for the others an order is under way for less than
     /// the grace that a successor waits.
     fn to(engine: &Engine) -> [Self; 2] {
-        let longest = if engine.checks { 30_000 } else { 5_900 };
-        [(); 2].map(|()| Self { connect_ms: 0..=2_000, way_ms: 0..=longest })
+        let longest = if engine.checks_fence { 30_000 } else { 5_900 };
+        [(); 2].map(|()| Self { connect_ms: 0..=2_000, transit_ms: 0..=longest })
     }
 
     /// Returns a network for the first holder that is as slow as allowed
     /// towards an engine that ignores the number, and one without delay for
     /// the second.
     fn slow_then_fast() -> [Self; 2] {
-        [Self { connect_ms: 1_600..=2_000, way_ms: 5_900..=5_900 }, Self { connect_ms: 0..=0, way_ms: 0..=0 }]
+        [Self { connect_ms: 1_600..=2_000, transit_ms: 5_900..=5_900 }, Self { connect_ms: 0..=0, transit_ms: 0..=0 }]
     }
 }
 
 /// Sends an order every 300 ms while the instance holds the lease.
-async fn give(terms: watch::Receiver<Option<Term>>, engine: Engine, network: Network, seed: u64) {
+async fn send_orders(terms: watch::Receiver<Option<Term>>, engine: Engine, network: Network, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     loop {
         sleep(Duration::from_millis(300)).await;
         let Some(term) = *terms.borrow() else { continue };
         let connect = Duration::from_millis(random.random_range(network.connect_ms.clone()));
-        let way = Duration::from_millis(random.random_range(network.way_ms.clone()));
-        let _ = order::within(term, engine.clone().send(term.epoch, connect, way)).await;
+        let transit = Duration::from_millis(random.random_range(network.transit_ms.clone()));
+        let _ = order::within(term, engine.clone().send(term.epoch, connect, transit)).await;
     }
 }
 
@@ -137,7 +137,7 @@
             settings.grace = GRACE;
             let (sender, terms) = watch::channel(None);
             let holding = lease::run(settings, handle, support::recorder(number), sender);
-            let giving = give(terms, engine.clone(), network.clone(), seed + number as u64);
+            let giving = send_orders(terms, engine.clone(), network.clone(), seed + number as u64);
             let pause = Pause::default();
             // The lease and the orders belong to one process: both pause and resume together.
             let work = async move {
@@ -163,8 +163,8 @@
 }
 
 /// Plays one interleaving and checks that the epochs that took effect never decrease.
-fn check(steps: &[(u64, Step)], checks: bool, seed: u64) {
-    let engine = Engine::new(checks);
+fn check(steps: &[(u64, Step)], checks_fence: bool, seed: u64) {
+    let engine = Engine::new(checks_fence);
     let effects = play(steps, &engine, &Network::to(&engine), 0, seed);
     assert!(effects.is_sorted(), "an old holder's order took effect after its successor's: {effects:?}");
 }
@@ -174,10 +174,10 @@
 /// version it loads may have been withdrawn meanwhile.
 #[test]
 fn paused_amid_an_order() {
-    for checks in [false, true] {
+    for checks_fence in [false, true] {
         for at in (2_000..6_000).step_by(170) {
             let steps = [(at, Step::Pause(0)), (25_000, Step::Wake(0))];
-            let engine = Engine::new(checks);
+            let engine = Engine::new(checks_fence);
             let effects = play(&steps, &engine, &Network::to(&engine), 0, 3);
             assert!(effects.contains(&1) && effects.contains(&2), "both gave orders: {effects:?}");
             assert!(effects.is_sorted(), "{effects:?}");
@@ -205,13 +205,13 @@
 
 /// Returns the configuration: 48 cases in CI; `PROPTEST_CASES=10000` for a
 /// release run.
-fn cases() -> ProptestConfig {
+fn config() -> ProptestConfig {
     let cases = std::env::var("PROPTEST_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(48);
     ProptestConfig { cases, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(cases())]
+    #![proptest_config(config())]
 
     /// Two holders under pauses, cuts, lost and late writes, at an engine that
     /// ignores the number: the margin of the term and the wait of the
--- a/crates/control/tests/it/rollout.rs
+++ b/crates/control/tests/it/rollout.rs
@@ -9,12 +9,12 @@
 use world::rollout::{Rollout, State};
 
 use crate::{
-    site::{LINK, Site, new_version},
+    site::{LINK_DELAY, Site, new_version},
     support::seconds,
 };
 
 /// Largest number of answers of a bad version before the fleet has stopped it.
-const MOST_BAD: u64 = 120;
+const MAX_BAD_ANSWERS: u64 = 120;
 
 fn withdraw() -> Action {
     Action::Withdraw { reason: "an operator's reason".into() }
@@ -23,15 +23,15 @@
 /// Without faults the version is loaded, two loads at a time, exposed step by
 /// step and promoted.
 #[tokio::test(start_paused = true)]
-async fn clean() {
+async fn clean_rollout() {
     let site = Site::open(3).await;
     site.roll_out().await;
-    let mut at_once = 0;
+    let mut max_loading = 0;
     while site.rollout(1).is_none_or(|rollout| rollout.state == State::Loading) {
-        at_once = at_once.max(site.engines.all().iter().map(|engine| engine.loading).sum());
+        max_loading = max_loading.max(site.engines.all().iter().map(|engine| engine.loading).sum());
         sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(at_once, 2, "two loads run at a time");
+    assert_eq!(max_loading, 2, "two loads run at a time");
     assert!(site.engines.holding(&new_version()) >= 2);
     site.wait_for(1, State::Promoted).await;
     assert_eq!(site.engines.holding(&new_version()), 4);
@@ -53,9 +53,9 @@
         $($(#[doc = $doc])* #[tokio::test(start_paused = true)]
         async fn $name() {
             let site = lose_leader_at($reached).await;
-            let left = (site.leader() + 1) % 3;
-            site.wait_for(left, State::Promoted).await;
-            assert_ne!(site.leader(), (left + 2) % 3, "another instance continues the roll-out");
+            let survivor = (site.leader() + 1) % 3;
+            site.wait_for(survivor, State::Promoted).await;
+            assert_ne!(site.leader(), (survivor + 2) % 3, "another instance continues the roll-out");
         })*
     };
 }
@@ -63,19 +63,19 @@
 lost! {
     /// The coordinator is lost before any engine has loaded the version: the
     /// next one queries which versions the engines hold and orders the rest.
-    lost_while_loading: |rollout| rollout.state == State::Loading;
+    coordinator_lost_while_loading: |rollout| rollout.state == State::Loading;
 
     /// The coordinator is lost when the first sessions are routed to the
     /// version.
-    lost_at_first_step: |rollout| rollout.state == State::Exposing;
+    coordinator_lost_at_first_step: |rollout| rollout.state == State::Exposing;
 
     /// The coordinator is lost between two steps: the next one waits for the
     /// step's time anew.
-    lost_at_second_step: |rollout| rollout.step == 1;
+    coordinator_lost_at_second_step: |rollout| rollout.step == 1;
 
     /// The coordinator is lost at the last step, when no predecessor is left
     /// to compare with.
-    lost_at_last_step: |rollout| rollout.step == 3;
+    coordinator_lost_at_last_step: |rollout| rollout.step == 3;
 }
 
 /// The version fails 30 ratings in 100 more than its predecessor. Each of
@@ -84,15 +84,15 @@
 #[tokio::test(start_paused = true)]
 async fn bad_version() {
     let site = Site::open(7).await;
-    site.set_bad(350);
+    site.set_failure_rate(350);
     site.roll_out().await;
     let rollout = site.wait_for(3, State::Withdrawn).await;
     assert_eq!(rollout.step, 0);
     assert!(rollout.reason.as_deref().unwrap_or_default().starts_with("failed ratings"), "{:?}", rollout.reason);
-    let met = site.traffic().new;
-    assert!(met <= MOST_BAD, "{met} answers of the bad version");
+    let answers = site.traffic().new;
+    assert!(answers <= MAX_BAD_ANSWERS, "{answers} answers of the bad version");
     seconds(5.0).await;
-    assert_eq!(site.traffic().new, met, "no new session is routed to a withdrawn version");
+    assert_eq!(site.traffic().new, answers, "no new session is routed to a withdrawn version");
 }
 
 /// One session sends the same impossible task again and again, and every
@@ -113,19 +113,19 @@
 /// A version turns bad after its first step went well. The evidence of that
 /// step must not hide it.
 #[tokio::test(start_paused = true)]
-async fn turns_bad_while_serving() {
+async fn version_turns_bad_after_first_step() {
     let site = Site::open(4).await;
     site.roll_out().await;
     site.wait(1, |rollout| rollout.step == 1).await;
     let before = site.traffic().new;
-    site.set_bad(350);
+    site.set_failure_rate(350);
     site.wait_for(2, State::Withdrawn).await;
-    let met = site.traffic().new - before;
-    assert!(met <= 2 * MOST_BAD, "{met} answers since it turned bad");
+    let answers = site.traffic().new - before;
+    assert!(answers <= 2 * MAX_BAD_ANSWERS, "{answers} answers since it turned bad");
 }
 
 /// Waits until an instance stops the version. Returns its number and the time.
-async fn first_stop(site: &Site) -> (usize, Instant) {
+async fn wait_for_first_stop(site: &Site) -> (usize, Instant) {
     let limit = Instant::now() + Duration::from_mins(5);
     while Instant::now() < limit {
         if let Some(number) = (0..site.instances.len()).find(|number| site.is_stopped(*number)) {
@@ -137,7 +137,7 @@
 }
 
 /// Waits until all instances have stopped the version, for at most 30 s, and returns the time.
-async fn stopped_everywhere(site: &Site) -> Instant {
+async fn wait_until_stopped_everywhere(site: &Site) -> Instant {
     let limit = Instant::now() + Duration::from_secs(30);
     while Instant::now() < limit && !(0..site.instances.len()).all(|number| site.is_stopped(number)) {
         sleep(Duration::from_millis(10)).await;
@@ -149,18 +149,18 @@
 /// once and route no further sessions to it; the withdrawal is written when
 /// the platform is back.
 #[tokio::test(start_paused = true)]
-async fn stopped_in_an_outage() {
+async fn version_stopped_in_an_outage() {
     let site = Site::open(5).await;
     site.roll_out().await;
     site.wait_for(1, State::Exposing).await;
     site.platform.set_down(true);
-    site.set_bad(350);
-    let (_, first) = first_stop(&site).await;
-    let last = stopped_everywhere(&site).await;
+    site.set_failure_rate(350);
+    let (_, first) = wait_for_first_stop(&site).await;
+    let last = wait_until_stopped_everywhere(&site).await;
     assert!(last - first <= Duration::from_secs(1), "{:?}", last - first);
-    let met = site.traffic().new;
+    let answers = site.traffic().new;
     seconds(60.0).await;
-    assert_eq!(site.traffic().new, met, "the version stays stopped during the outage");
+    assert_eq!(site.traffic().new, answers, "the version stays stopped during the outage");
     assert_eq!(site.rollout(1).unwrap().state, State::Exposing, "nothing can be written yet");
     site.platform.set_down(false);
     for number in 0..5 {
@@ -179,26 +179,26 @@
     // The platform is down, so that the stop does not arrive through the
     // configuration.
     site.platform.set_down(true);
-    site.set_bad(350);
-    let (first, at) = first_stop(&site).await;
+    site.set_failure_rate(350);
+    let (first, at) = wait_for_first_stop(&site).await;
     let other = (first + 1) % 4;
     site.cut(first, other, true);
-    let last = stopped_everywhere(&site).await;
-    assert!(last - at <= Duration::from_secs(1) + 2 * LINK, "{:?}", last - at);
+    let last = wait_until_stopped_everywhere(&site).await;
+    assert!(last - at <= Duration::from_secs(1) + 2 * LINK_DELAY, "{:?}", last - at);
 }
 
 /// The instance whose evidence stopped the version is lost right after
 /// notifying its peers, before it could write the withdrawal. Another instance
 /// writes it.
 #[tokio::test(start_paused = true)]
-async fn lost_right_after_the_stop() {
+async fn instance_lost_right_after_its_stop() {
     let mut site = Site::open(4).await;
     site.roll_out().await;
     site.wait_for(1, State::Exposing).await;
-    site.set_bad(350);
-    let (first, _) = first_stop(&site).await;
+    site.set_failure_rate(350);
+    let (first, _) = wait_for_first_stop(&site).await;
     site.instances[first].client.set_down(true);
-    sleep(LINK + Duration::from_millis(20)).await;
+    sleep(LINK_DELAY + Duration::from_millis(20)).await;
     site.lose(first);
     let other = (first + 1) % 4;
     site.wait_for(other, State::Withdrawn).await;
@@ -227,10 +227,10 @@
     site.roll_out().await;
     site.wait_for(1, State::Exposing).await;
     site.platform.set_down(true);
-    site.set_bad(350);
-    let (first, at) = first_stop(&site).await;
+    site.set_failure_rate(350);
+    let (first, at) = wait_for_first_stop(&site).await;
     assert_eq!(first, 0);
-    let last = stopped_everywhere(&site).await;
+    let last = wait_until_stopped_everywhere(&site).await;
     assert!(last - at <= Duration::from_secs(1), "{:?}", last - at);
 }
 
@@ -291,8 +291,8 @@
     let site = Site::open(4).await;
     site.roll_out().await;
     site.wait_for(1, State::Exposing).await;
-    site.set_bad(350);
-    first_stop(&site).await;
+    site.set_failure_rate(350);
+    wait_for_first_stop(&site).await;
     let _ = site.operate(2, &Action::Promote).await;
     for number in 0..4 {
         site.wait_for(number, State::Withdrawn).await;
--- a/crates/control/tests/it/site.rs
+++ b/crates/control/tests/it/site.rs
@@ -35,13 +35,13 @@
 use crate::{engines::Engines, support};
 
 /// Delay of a message between two instances.
-pub const LINK: Duration = Duration::from_millis(200);
+pub const LINK_DELAY: Duration = Duration::from_millis(200);
 
 /// Requests per second at each instance.
-const RATE: u64 = 50;
+const REQUESTS_PER_SECOND: u64 = 50;
 
 /// Failed ratings per thousand of a good version.
-const GOOD: u64 = 50;
+const GOOD_FAILURES_PER_MILLE: u64 = 50;
 
 const OBJECTS: &str = r#"
 kind: model
@@ -93,7 +93,7 @@
 /// Ends of all links, by instance, and the pairs that are cut.
 #[derive(Default)]
 struct Links {
-    ends: Vec<(config::Handle, Handle)>,
+    handles: Vec<(config::Handle, Handle)>,
     cut: BTreeSet<(usize, usize)>,
 }
 
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
     /// Failed ratings per thousand of `m@2`.
-    pub bad: u64,
+    pub failures_per_mille: u64,
     /// Number of answers of `m@2`.
     pub new: u64,
     /// New sessions that were routed to `m@2`: the instance and the time of
@@ -135,7 +135,10 @@
             instances: Vec::new(),
             engines: Engines::default(),
             links: Arc::default(),
-            traffic: Arc::new(Mutex::new(Traffic { bad: GOOD, ..Traffic::default() })),
+            traffic: Arc::new(Mutex::new(Traffic {
+                failures_per_mille: GOOD_FAILURES_PER_MILLE,
+                ..Traffic::default()
+            })),
             one_judge,
         };
         for _ in 0..instances {
@@ -163,12 +166,12 @@
         if self.one_judge && number > 0 {
             settings.guard.alpha = f64::MIN_POSITIVE;
         }
-        let (control, news) = control::spawn(settings, edges);
-        lock(&self.links).ends.push((config.clone(), control.clone()));
+        let (control, updates) = control::spawn(settings, edges);
+        lock(&self.links).handles.push((config.clone(), control.clone()));
         let requests = requests(number, config.clone(), control.clone(), self.traffic.clone());
         let tasks = vec![
-            tokio::spawn(carry_config(self.links.clone(), number, outbound)).abort_handle(),
-            tokio::spawn(carry_news(self.links.clone(), number, news)).abort_handle(),
+            tokio::spawn(deliver_config(self.links.clone(), number, outbound)).abort_handle(),
+            tokio::spawn(deliver_updates(self.links.clone(), number, updates)).abort_handle(),
             tokio::spawn(requests).abort_handle(),
         ];
         self.instances.push(Instance { config, client, recorder, control: Some(control), tasks });
@@ -192,7 +195,7 @@
         let instance = &mut self.instances[number];
         instance.tasks.iter().for_each(AbortHandle::abort);
         instance.control = None;
-        lock(&self.links).ends[number].1 = control::idle();
+        lock(&self.links).handles[number].1 = control::idle();
     }
 
     /// Cuts or restores both directions of a link.
@@ -208,8 +211,8 @@
     }
 
     /// Makes `m@2` fail this many ratings per thousand.
-    pub fn set_bad(&self, bad: u64) {
-        lock(&self.traffic).bad = bad;
+    pub fn set_failure_rate(&self, failures_per_mille: u64) {
+        lock(&self.traffic).failures_per_mille = failures_per_mille;
     }
 
     pub fn traffic(&self) -> Traffic {
@@ -261,14 +264,14 @@
     /// Returns the instance whose take-over of the lease has the highest
     /// epoch.
     pub fn leader(&self) -> usize {
-        let takes = |instance: &Instance| {
+        let last_epoch = |instance: &Instance| {
             let page = instance.recorder.query(&Filter::default());
             page.records.iter().rev().find_map(|record| match &record.event {
                 Event::TakeOver { epoch, .. } => Some(*epoch),
                 _ => None,
             })
         };
-        let (number, _) = self.instances.iter().enumerate().max_by_key(|(_, i)| takes(i)).unwrap();
+        let (number, _) = self.instances.iter().enumerate().max_by_key(|(_, i)| last_epoch(i)).unwrap();
         number
     }
 
@@ -309,24 +312,24 @@
     let model = model::Id::parse("m").unwrap();
     let new = new_version();
     loop {
-        sleep(Duration::from_millis(1_000 / RATE)).await;
+        sleep(Duration::from_millis(1_000 / REQUESTS_PER_SECOND)).await;
         let catalog = config.current();
         let Some(contract) = catalog.contract(&customer) else { continue };
         let unit = Unit(random.random());
         let open = exposure::open(&catalog, &control.stops(), contract, &model, unit);
         let Some(version) = open.first() else { continue };
-        let share = {
+        let failure_rate = {
             let mut traffic = lock(&traffic);
             if *version == new {
                 traffic.new += 1;
                 traffic.exposures.push((number, Instant::now()));
-                traffic.bad
+                traffic.failures_per_mille
             } else {
-                GOOD
+                GOOD_FAILURES_PER_MILLE
             }
         };
         let latency_ms = random.random_range(100..1_000);
-        let pass = random.random_range(0..1_000) >= share;
+        let pass = random.random_range(0..1_000) >= failure_rate;
         for outcome in [Outcome::Answered { latency_ms }, Outcome::Rated { pass }] {
             control.observe(Observation { customer: customer.clone(), unit, version: version.clone(), outcome });
         }
@@ -334,12 +337,12 @@
 }
 
 /// Delivers an instance's control updates to the instances it can reach.
-async fn carry_news(links: Arc<Mutex<Links>>, from: usize, mut news: mpsc::Receiver<Bytes>) {
-    while let Some(bytes) = news.recv().await {
+async fn deliver_updates(links: Arc<Mutex<Links>>, from: usize, mut updates: mpsc::Receiver<Bytes>) {
+    while let Some(bytes) = updates.recv().await {
         for (_, control) in reachable(&links, from) {
             let bytes = bytes.clone();
             tokio::spawn(async move {
-                sleep(LINK).await;
+                sleep(LINK_DELAY).await;
                 control.heard(bytes);
             });
         }
@@ -347,12 +350,12 @@
 }
 
 /// Delivers an instance's configuration messages to the instances it can reach.
-async fn carry_config(links: Arc<Mutex<Links>>, from: usize, mut outbound: mpsc::Receiver<Outbound>) {
+async fn deliver_config(links: Arc<Mutex<Links>>, from: usize, mut outbound: mpsc::Receiver<Outbound>) {
     while let Some(Outbound::News(bytes) | Outbound::Want { bytes, .. }) = outbound.recv().await {
         for (config, _) in reachable(&links, from) {
             let bytes = bytes.clone();
             tokio::spawn(async move {
-                sleep(LINK).await;
+                sleep(LINK_DELAY).await;
                 config.offer(bytes).await;
             });
         }
@@ -362,8 +365,8 @@
 /// Returns the handles of the other instances with an intact link.
 fn reachable(links: &Mutex<Links>, from: usize) -> Vec<(config::Handle, Handle)> {
     let links = lock(links);
-    let ends = links.ends.iter().enumerate();
-    ends.filter(|(to, _)| *to != from && !links.cut.contains(&(from, *to))).map(|(_, end)| end.clone()).collect()
+    let handles = links.handles.iter().enumerate();
+    handles.filter(|(to, _)| *to != from && !links.cut.contains(&(from, *to))).map(|(_, end)| end.clone()).collect()
 }
 
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/control/tests/it/steps.rs
+++ b/crates/control/tests/it/steps.rs
@@ -51,7 +51,7 @@
 }
 
 /// Waits until the version is promoted in the catalog of every given instance.
-async fn promoted(site: &Site, numbers: impl IntoIterator<Item = usize>) {
+async fn wait_until_promoted(site: &Site, numbers: impl IntoIterator<Item = usize>) {
     for number in numbers {
         site.wait_for(number, State::Promoted).await;
     }
@@ -61,7 +61,7 @@
 async fn check_slow(at: At) {
     let (site, _) = open_at(at).await;
     site.platform.set_slow(Duration::from_millis(900));
-    promoted(&site, 0..3).await;
+    wait_until_promoted(&site, 0..3).await;
 }
 
 /// The platform is down for half a minute.
@@ -73,7 +73,7 @@
     seconds(30.0).await;
     assert_eq!(site.rollout(watcher), before, "the roll-out advanced while the platform was down");
     site.platform.set_down(false);
-    promoted(&site, 0..3).await;
+    wait_until_promoted(&site, 0..3).await;
 }
 
 /// The response to one of the coordinator's writes is lost.
@@ -89,7 +89,7 @@
             rollout.state == State::Promoted
         })
         .await;
-        promoted(&site, 0..3).await;
+        wait_until_promoted(&site, 0..3).await;
         assert_eq!(site.leader(), leader, "write {nth}: the lease was lost because of one lost response");
     }
 }
@@ -101,7 +101,7 @@
     for other in (0..3).filter(|other| *other != leader) {
         site.cut(leader, other, true);
     }
-    promoted(&site, 0..3).await;
+    wait_until_promoted(&site, 0..3).await;
 }
 
 /// The coordinator shuts down in order.
@@ -109,7 +109,7 @@
     let (mut site, watcher) = open_at(at).await;
     let leader = site.leader();
     site.leave(leader);
-    promoted(&site, (0..3).filter(|number| *number != leader)).await;
+    wait_until_promoted(&site, (0..3).filter(|number| *number != leader)).await;
     assert_ne!(site.leader(), leader, "another instance continues the roll-out");
     assert!(site.rollout(watcher).is_some_and(|rollout| rollout.step == 3));
 }
@@ -122,7 +122,7 @@
     site.instances[leader].client.set_down(true);
     seconds(20.0).await;
     site.instances[leader].client.set_down(false);
-    promoted(&site, 0..3).await;
+    wait_until_promoted(&site, 0..3).await;
     assert_ne!(site.leader(), leader, "its lease has lapsed");
     seconds(30.0).await;
     assert!((0..3).all(|number| site.rollout(number).is_some_and(|rollout| rollout.state == State::Promoted)));
@@ -219,13 +219,13 @@
 #[tokio::test(start_paused = true)]
 async fn endpoint_lost_at_load() {
     let site = Site::open(3).await;
-    ENGINES.skip(1).for_each(|port| site.engines.set_lost(port, true));
+    ENGINES.skip(1).for_each(|port| site.engines.set_unreachable(port, true));
     site.roll_out().await;
     seconds(60.0).await;
     assert_eq!(site.rollout(1).map(|rollout| rollout.state), Some(State::Loading));
     assert_eq!((site.engines.holding(&new_version()), site.traffic().new), (1, 0));
-    ENGINES.for_each(|port| site.engines.set_lost(port, false));
-    promoted(&site, 0..3).await;
+    ENGINES.for_each(|port| site.engines.set_unreachable(port, false));
+    wait_until_promoted(&site, 0..3).await;
 }
 
 /// One of four engines is lost for good before it has loaded the version. The
@@ -234,9 +234,9 @@
 #[tokio::test(start_paused = true)]
 async fn endpoint_lost_at_promote() {
     let site = Site::open(3).await;
-    site.engines.set_lost(ENGINES.start, true);
+    site.engines.set_unreachable(ENGINES.start, true);
     site.roll_out().await;
-    promoted(&site, 0..3).await;
+    wait_until_promoted(&site, 0..3).await;
     assert_eq!(site.engines.holding(&new_version()), 3);
 }
 
@@ -246,13 +246,13 @@
 #[tokio::test(start_paused = true)]
 async fn endpoint_lost_at_stop() {
     let (site, _) = open_at(At::Promote).await;
-    site.engines.set_lost(ENGINES.start, true);
+    site.engines.set_unreachable(ENGINES.start, true);
     site.operate(0, &Action::Withdraw { reason: "an operator's reason".into() }).await.expect("accepted");
     seconds(2.0).await;
-    let met = site.traffic().new;
+    let answers = site.traffic().new;
     seconds(300.0).await;
-    assert_eq!((site.engines.holding(&new_version()), site.traffic().new), (1, met));
-    site.engines.set_lost(ENGINES.start, false);
+    assert_eq!((site.engines.holding(&new_version()), site.traffic().new), (1, answers));
+    site.engines.set_unreachable(ENGINES.start, false);
     seconds(90.0).await;
     assert_eq!(site.engines.holding(&new_version()), 0);
 }
@@ -267,7 +267,7 @@
     site.instances[leader].client.set_down(true);
     // After the end of its term and before a successor may give orders.
     seconds(7.0).await;
-    site.set_bad(350);
+    site.set_failure_rate(350);
     let other = (leader + 1) % 3;
     site.wait_for(other, State::Withdrawn).await;
     seconds(20.0).await;
@@ -286,7 +286,7 @@
     for nth in WRITES {
         let (site, _) = open_at(At::Expose).await;
         site.instances.iter().for_each(|instance| instance.client.lose(nth, Loss::After));
-        site.set_bad(350);
+        site.set_failure_rate(350);
         for number in 0..3 {
             site.wait_for(number, State::Withdrawn).await;
         }
