--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -182,7 +182,7 @@
         false
     }
 
-    /// Records a grant event on the time line.
+    /// Records a grant event on the timeline.
     fn record(&self, action: GrantMove, amount: Amount) {
         if let Some(recorder) = &self.recorder {
             let (customer, currency) = (self.customer.clone(), self.currency);
--- a/crates/budget/src/task.rs
+++ b/crates/budget/src/task.rs
@@ -58,6 +58,7 @@
     Settled(Holder, bool),
 }
 
+/// The budget task.
 pub(crate) struct Task {
     config: Config,
     platform: store::Handle,
--- a/crates/control/src/coordinator.rs
+++ b/crates/control/src/coordinator.rs
@@ -102,6 +102,7 @@
         self.terms.borrow().filter(|term| !term.remaining().is_zero())
     }
 
+    /// Returns the state for a new lease term.
     fn begin_term(&self, term: Term) -> TermState {
         let loads = Loads::new(self.calls.clone(), self.settings.max_concurrent_loads);
         TermState { epoch: term.epoch, loads, step_starts: HashMap::new() }
@@ -231,7 +232,7 @@
     })
 }
 
-/// Returns the phase that the time line records for a roll-out's state.
+/// Returns the phase that the timeline records for a roll-out's state.
 fn phase(rollout: &Rollout) -> Phase {
     match rollout.state {
         State::Loading => Phase::Loading,
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -55,6 +55,7 @@
         self.stops.clone()
     }
 
+    /// Queues a message for the guard, or counts it as dropped if the inbox is full.
     fn send(&self, message: Message) {
         if self.inbox.try_send(message).is_err() {
             metrics::counter!("control_messages_dropped_total").increment(1);
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -55,7 +55,9 @@
     }
 }
 
+/// Default length of a term.
 const DEFAULT_TERM: Duration = Duration::from_secs(6);
+/// Default wait of a successor beyond the term.
 const DEFAULT_GRACE: Duration = Duration::from_secs(2);
 
 /// Renewals per term, so that two may fail before it ends.
@@ -126,6 +128,7 @@
     }
 }
 
+/// The task that takes and renews the lease.
 struct Task {
     settings: Settings,
     platform: store::Handle,
@@ -259,6 +262,7 @@
         Record { epoch, holder: instance.clone(), incarnation: *incarnation }
     }
 
+    /// Returns the key of the lease's object.
     fn key(&self) -> String {
         format!("lease/{}", self.settings.name)
     }
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -239,14 +239,17 @@
     catalog.rollouts().iter().filter(|(_, rollout)| is_running(rollout))
 }
 
+/// Returns whether a roll-out's version may receive traffic.
 fn is_running(rollout: &Rollout) -> bool {
     matches!(rollout.state, State::Loading | State::Exposing | State::Paused)
 }
 
+/// Returns the present step of a roll-out.
 fn step_of(id: &rollout::Id, rollout: &Rollout) -> Step {
     Step { rollout: id.clone(), version: rollout.version.clone(), number: rollout.step }
 }
 
+/// Returns the version that a roll-out replaces.
 fn predecessor(rollout: &Rollout) -> Version {
     Version { model: rollout.version.model.clone(), number: rollout.predecessor.clone() }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -52,7 +52,7 @@
     pub config: config::Handle,
     /// Channel for calls to engines; see [`order::spawn`].
     pub engines: mpsc::Sender<order::Call>,
-    /// Recorder for time line events.
+    /// Recorder for timeline events.
     pub recorder: Recorder,
 }
 
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -177,7 +177,7 @@
         orders
     }
 
-    /// Sends an order and returns its outcome for the time line.
+    /// Sends an order and returns its outcome for the timeline.
     async fn send_order(&self, key: &(Version, Id), order: Order, term: Term) -> String {
         let Some(engine) = self.engines.get(key) else { return "endpoint no longer listed".into() };
         let (reply, answer) = oneshot::channel();
@@ -198,11 +198,13 @@
         self.holds == Some(self.wanted == Wanted::Loaded)
     }
 
+    /// Returns whether the engine is to be queried now.
     fn is_query_due(&self, now: Instant) -> bool {
         let pause = if self.is_satisfied() { SETTLED_QUERY_INTERVAL } else { PENDING_QUERY_INTERVAL };
         self.queried_at.is_none_or(|queried_at| now.duration_since(queried_at) >= pause)
     }
 
+    /// Returns whether an order is to be sent now.
     fn is_order_due(&self, now: Instant) -> bool {
         // An engine that does not respond gets no order: it may load nothing and would take a
         // slot from one that can.
@@ -210,10 +212,12 @@
         known && !self.is_satisfied() && !self.recently_ordered(now)
     }
 
+    /// Returns whether a load that was ordered is still under way.
     fn is_loading(&self, now: Instant) -> bool {
         self.wanted == Wanted::Loaded && self.holds == Some(false) && self.recently_ordered(now)
     }
 
+    /// Returns whether an order was sent within the retry interval.
     fn recently_ordered(&self, now: Instant) -> bool {
         self.ordered_at.is_some_and(|ordered_at| now.duration_since(ordered_at) < ORDER_RETRY_INTERVAL)
     }
--- a/crates/control/src/wire.rs
+++ b/crates/control/src/wire.rs
@@ -29,6 +29,7 @@
 pub(crate) struct Malformed;
 
 impl Update {
+    /// Encodes the update for sending.
     pub fn encode(&self) -> Bytes {
         let (instance, incarnation) = &self.source;
         let message = UpdateMessage {
@@ -40,6 +41,7 @@
         message.encode_to_vec().into()
     }
 
+    /// Decodes a received update.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         let message = UpdateMessage::decode(bytes).map_err(|_| Malformed)?;
         let instance = instance::Id::parse(&message.instance).map_err(|_| Malformed)?;
--- a/crates/control/tests/it/lease.rs
+++ b/crates/control/tests/it/lease.rs
@@ -63,12 +63,14 @@
     Either,
 }
 
+/// The platform and the instances of one test.
 struct Fixture {
     platform: Platform,
     holders: Vec<Holder>,
 }
 
 impl Fixture {
+    /// Injects a fault, or performs the check of [`Fault::Free`].
     fn inject(&self, fault: Fault) {
         match fault {
             Fault::Pause(who) => self.holders[who].pause.set(true),
@@ -86,10 +88,10 @@
     }
 }
 
-/// Runs two instances through faults at the given seconds. The first starts
-/// one second ahead of the second; faults before second 0 are injected before
-/// the second one starts. At no time may both hold the lease; at the end the
-/// given one must hold it under the given epoch.
+/// Runs two instances through faults at the given seconds. The second starts
+/// one second after the first; faults before second 0 are injected before the
+/// first has run. At no time may both hold the lease; at the end the given one
+/// must hold it under the given epoch.
 async fn check(faults: &[(f64, Fault)], end: f64, holder: End, epoch: u64) {
     let platform = Platform::open();
     let mut fixture = Fixture { platform: platform.clone(), holders: vec![Holder::spawn(&platform, 0)] };
--- a/crates/control/tests/it/rollout.rs
+++ b/crates/control/tests/it/rollout.rs
@@ -315,7 +315,7 @@
     assert!(site.engines.holding(&new_version()) >= 2, "running answers are not cut off");
     seconds(180.0).await;
     assert_eq!(site.engines.holding(&new_version()), 0);
-    assert_eq!(site.orders(Wanted::Dropped), 4, "the time line records the orders");
+    assert_eq!(site.orders(Wanted::Dropped), 4, "the timeline records the orders");
     assert!(site.operate(0, &Action::Resume).await.unwrap_err().contains("never comes back"));
 }
 
--- a/crates/control/tests/it/site.rs
+++ b/crates/control/tests/it/site.rs
@@ -43,6 +43,7 @@
 /// Failed ratings per thousand of a good version.
 const GOOD_FAILURES_PER_MILLE: u64 = 50;
 
+/// Objects in force at every site.
 const OBJECTS: &str = r#"
 kind: model
 name: m
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Returns the number of orders of a kind on all time lines.
+    /// Returns the number of orders of a kind on all timelines.
     pub fn orders(&self, kind: Wanted) -> usize {
         let of = |instance: &Instance| {
             let records = instance.recorder.query(&Filter::default()).records;
