--- a/crates/budget/src/task.rs
+++ b/crates/budget/src/task.rs
@@ -52,9 +52,13 @@
 /// Result of a spawned job.
 #[derive(Debug)]
 enum Event {
+    /// An extension of the holder's grant has ended.
     Extended(Key, Holder, Extension),
+    /// The amount left to grant was read, if the platform responded.
     RemainingRead(Key, Holder, Option<Amount>),
+    /// Returning excess money has ended.
     Returned(Key, Holder),
+    /// Ending or settling a grant has ended; true if the grant is ended.
     Settled(Holder, bool),
 }
 
