--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -81,13 +81,13 @@
             let remaining = account.remaining(request.limit);
             let size = extension_size(request.shortfall, request.wanted, request.available, remaining, &request.sizing);
             if remaining < request.min_extension || size == Amount::ZERO {
-                self.record(GrantMove::Exhausted, remaining);
+                self.record_event(GrantMove::Exhausted, remaining);
                 return Extension::Exhausted { grant, remaining, holders: account.holders() };
             }
             account.extend_grant(&self.holder, size, request.limit);
             match self.write(item, &account).await {
                 Ok(true) => {
-                    self.record(GrantMove::Taken, size);
+                    self.record_event(GrantMove::Taken, size);
                     let grant = account.grant(&self.holder).unwrap_or_default();
                     let remaining = account.remaining(request.limit);
                     return Extension::Granted { grant, remaining, holders: account.holders() };
@@ -121,7 +121,7 @@
             account.return_unspent(&self.holder, unspent);
             match self.write(item, &account).await {
                 Ok(false) => {}
-                Ok(true) => return self.record(GrantMove::Returned, unspent),
+                Ok(true) => return self.record_event(GrantMove::Returned, unspent),
                 Err(_) => return,
             }
         }
@@ -172,7 +172,7 @@
             }
             match self.write(item, &account).await {
                 Ok(true) => {
-                    self.record(GrantMove::Settled, spent);
+                    self.record_event(GrantMove::Settled, spent);
                     return true;
                 }
                 Ok(false) => {}
@@ -183,7 +183,7 @@
     }
 
     /// Records a grant event on the timeline.
-    fn record(&self, action: GrantMove, amount: Amount) {
+    fn record_event(&self, action: GrantMove, amount: Amount) {
         if let Some(recorder) = &self.recorder {
             let (customer, currency) = (self.customer.clone(), self.currency);
             recorder.record(Event::Grant { customer, action, amount, currency });
--- a/crates/budget/src/period.rs
+++ b/crates/budget/src/period.rs
@@ -30,7 +30,7 @@
                 (start, start.saturating_add(1.year()), date.strftime("%Y"))
             }
         };
-        Self { name: name.to_string(), start: to_timestamp(start.into()), end: to_timestamp(end.into()) }
+        Self { name: name.to_string(), start: utc_timestamp(start.into()), end: utc_timestamp(end.into()) }
     }
 }
 
@@ -42,7 +42,7 @@
 }
 
 /// Converts a UTC date and time to a timestamp.
-fn to_timestamp(at: DateTime) -> Timestamp {
+fn utc_timestamp(at: DateTime) -> Timestamp {
     let millis = TimeZone::UTC.to_timestamp(at).map_or(i64::MAX, Instant::as_millisecond);
     Timestamp(u64::try_from(millis).unwrap_or_default())
 }
--- a/crates/control/src/coordinator.rs
+++ b/crates/control/src/coordinator.rs
@@ -90,10 +90,10 @@
                 term_state = None;
                 continue;
             };
-            let mut current =
+            let mut active =
                 term_state.take().filter(|o| o.epoch == term.epoch).unwrap_or_else(|| self.begin_term(term));
-            self.advance(&mut current, term).await;
-            term_state = Some(current);
+            self.advance_rollouts(&mut active, term).await;
+            term_state = Some(active);
         }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Updates the orders to engines and carries out the next transition of each roll-out.
-    async fn advance(&self, term_state: &mut TermState, term: Term) {
+    async fn advance_rollouts(&self, term_state: &mut TermState, term: Term) {
         let catalog = self.config.current();
         term_state.track_steps(&catalog);
         term_state.loads.set_wanted(&term_state.wanted(&catalog));
--- a/crates/control/src/guard.rs
+++ b/crates/control/src/guard.rs
@@ -184,10 +184,10 @@
         let stopped = self.stops.borrow().iter().next().is_some();
         let peers = u32::try_from(self.ledger.peer_count()).unwrap_or(u32::MAX);
         let interval = UPDATE_INTERVAL * peers.div_ceil(PEERS_PER_INTERVAL).max(1);
-        let elapsed = self.publication.at.elapsed();
-        let due = (self.publication.changed && elapsed >= interval)
-            || (self.publication.urgent && elapsed >= interval / URGENT_DIVISOR)
-            || (stopped && elapsed >= STOP_REPEAT_INTERVAL);
+        let since_last = self.publication.at.elapsed();
+        let due = (self.publication.changed && since_last >= interval)
+            || (self.publication.urgent && since_last >= interval / URGENT_DIVISOR)
+            || (stopped && since_last >= STOP_REPEAT_INTERVAL);
         if due {
             self.publish();
         }
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -90,7 +90,7 @@
     /// another instance has held for long.
     #[must_use]
     pub fn remaining(&self) -> Duration {
-        let by_wall = self.started.elapsed().map_or(self.length, |elapsed| self.length.saturating_sub(elapsed));
+        let by_wall = self.started.elapsed().map_or(self.length, |passed| self.length.saturating_sub(passed));
         self.until.saturating_duration_since(Instant::now()).min(by_wall)
     }
 }
