--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -201,7 +201,7 @@
         self.terms.send_replace(Some(term));
         let record = self.record(term.epoch);
         let mut delay = self.settings.term / RENEWALS_PER_TERM;
-        let mut reason = "the term ended before it could be renewed";
+        let mut reason = "its term ended before it could be renewed";
         while !self.terms.is_closed() && !term.remaining().is_zero() {
             sleep(delay).await;
             delay = self.settings.term / RENEWALS_PER_TERM;
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -179,7 +179,7 @@
 
     /// Sends an order and returns its outcome for the timeline.
     async fn send_order(&self, key: &(Version, Id), order: Order, term: Term) -> String {
-        let Some(engine) = self.engines.get(key) else { return "endpoint no longer listed".into() };
+        let Some(engine) = self.engines.get(key) else { return "no longer wanted".into() };
         let (reply, answer) = oneshot::channel();
         let call = Call::Order { address: engine.address, order, term, reply };
         if self.calls.send(call).await.is_err() {
