--- a/crates/arbutuslugd/src/daemon/start.rs
+++ b/crates/arbutuslugd/src/daemon/start.rs
@@ -59,13 +59,13 @@
     let journal = journal::spawn(options::journal(settings, &origin, &recorder), platform.clone(), journal_sender);
     let budget = budget::spawn(options::budget(origin, &recorder), platform.clone(), journal.clone());
     let endpoint = endpoint::open(options::endpoint(settings));
-    let edges = control::Edges {
+    let dependencies = control::Dependencies {
         platform: platform.clone(),
         config: config.clone(),
         engines: control::order::spawn(endpoint.clone()),
         recorder: recorder.clone(),
     };
-    let (control, control_out) = control::spawn(options::control(settings, me), edges);
+    let (control, control_out) = control::spawn(options::control(settings, me), dependencies);
     let (leaving, leaving_known) = watch::channel(Vec::new());
     let links = entry::Links {
         config: config.clone(),
--- a/crates/arbutuslugd/src/operators/edits.rs
+++ b/crates/arbutuslugd/src/operators/edits.rs
@@ -80,7 +80,7 @@
     name: &rollout::Id,
     action: &Action,
 ) -> Result<config::Edit, Fault> {
-    let object = control::operate::act(catalog, name, &to_control(action));
+    let object = control::operate::resulting_object(catalog, name, &to_control(action));
     let key = Key { kind: world::object::Kind::Rollout, name: name.to_string() };
     let mut object = object.map_err(|error| Fault { object: key, message: error.to_string() })?;
     if let Object::Rollout(_, rollout) = &mut object {
--- a/crates/arbutuslugd/src/pump.rs
+++ b/crates/arbutuslugd/src/pump.rs
@@ -70,7 +70,7 @@
 async fn news(owners: &Owners, topic: Topic, body: Bytes) {
     match topic {
         Topic::Config => owners.config.offer(body).await,
-        Topic::Stop => owners.control.heard(body),
+        Topic::Stop => owners.control.receive(body),
         _ => tracing::debug!(?topic, "news of a topic that has none"),
     }
 }
--- a/crates/bench/src/journal/budgets.rs
+++ b/crates/bench/src/journal/budgets.rs
@@ -81,7 +81,7 @@
 async fn show(share: f64, handles: &[Handle], customer: &Customer) {
     let mut idle = Amount::ZERO;
     for handle in handles {
-        idle = idle.saturating_add(handle.idle(customer).await);
+        idle = idle.saturating_add(handle.unspent(customer).await);
     }
     let idle = float(idle.0) / float(LIMIT.0);
     println!("{:>14.1}%{:>16.2}%{:>22.1}%", share * 100.0, idle * 100.0, idle / (1.0 - share).max(1e-9) * 100.0);
--- a/crates/budget/src/handle.rs
+++ b/crates/budget/src/handle.rs
@@ -98,9 +98,9 @@
 
     /// Returns the amount of a customer's budget that this instance holds and
     /// has neither spent nor reserved.
-    pub async fn idle(&self, customer: &Customer) -> Amount {
+    pub async fn unspent(&self, customer: &Customer) -> Amount {
         let (reply, answer) = oneshot::channel();
-        if self.messages.send(Message::Idle(customer.clone(), reply)).is_err() {
+        if self.messages.send(Message::Unspent(customer.clone(), reply)).is_err() {
             return Amount::ZERO;
         }
         answer.await.unwrap_or_default()
--- a/crates/budget/src/task.rs
+++ b/crates/budget/src/task.rs
@@ -39,7 +39,7 @@
     /// Returns all grants and replies whether all were returned.
     Flush(oneshot::Sender<bool>),
     /// Asks for the unspent and unreserved amount held for a customer.
-    Idle(Customer, oneshot::Sender<Amount>),
+    Unspent(Customer, oneshot::Sender<Amount>),
 }
 
 /// Key of a wallet: the customer and the start of the period.
@@ -120,7 +120,7 @@
             Message::GrantClosed { customer, grant } => {
                 self.on_grant_closed(&Key { customer, period: grant.period }, &grant.holder)
             }
-            Message::Idle(customer, reply) => {
+            Message::Unspent(customer, reply) => {
                 let own = self.escrows.iter().filter(|(key, _)| key.customer == customer);
                 let sum = own.fold(Amount::ZERO, |sum, (_, escrow)| sum.saturating_add(escrow.wallet.available()));
                 let _ = reply.send(sum);
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes in an update that a peer's control tasks published.
-    pub fn heard(&self, update: Bytes) {
+    pub fn receive(&self, update: Bytes) {
         self.send(Message::PeerUpdate(update));
     }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -45,7 +45,7 @@
 
 /// Handles to the other parts of the instance that the control tasks use.
 #[derive(Debug, Clone)]
-pub struct Edges {
+pub struct Dependencies {
     /// Object API of the platform, which stores the lease.
     pub platform: store::Handle,
     /// Configuration, which is read and changed.
@@ -60,16 +60,16 @@
 /// dropped.
 ///
 /// Each message from the receiver is to be published to every live instance;
-/// messages published by peers are passed to [`Handle::heard`].
+/// messages published by peers are passed to [`Handle::receive`].
 #[must_use]
-pub fn spawn(settings: Settings, edges: Edges) -> (Handle, mpsc::Receiver<Bytes>) {
+pub fn spawn(settings: Settings, dependencies: Dependencies) -> (Handle, mpsc::Receiver<Bytes>) {
     let settings = Arc::new(settings);
     let (inbox, messages) = mpsc::channel(handle::INBOX_CAPACITY);
     let (updates, published) = mpsc::channel(UPDATE_QUEUE_CAPACITY);
     let (stop, stops) = watch::channel(Arc::new(Stops::default()));
     let (verdict, verdicts) = watch::channel(Arc::new(Verdicts::new()));
     let own_stop = Arc::new(Notify::new());
-    let Edges { platform, config, engines, recorder } = edges;
+    let Dependencies { platform, config, engines, recorder } = dependencies;
     let guard = Guard {
         settings: settings.clone(),
         catalog: config.subscribe(),
@@ -97,7 +97,7 @@
 /// Returns a handle without tasks, for tests of other crates. It accepts and
 /// ignores observations and updates, and no version is ever stopped.
 #[must_use]
-pub fn idle() -> Handle {
+pub fn inert() -> Handle {
     let (inbox, _) = mpsc::channel(1);
     let (_, stops) = watch::channel(Arc::new(Stops::default()));
     Handle { inbox, stops }
--- a/crates/control/src/operate.rs
+++ b/crates/control/src/operate.rs
@@ -97,7 +97,7 @@
 /// # Errors
 ///
 /// [`Error`] if the roll-out's state does not allow the action.
-pub fn act(catalog: &Catalog, id: &rollout::Id, action: &Action) -> Result<Object, Error> {
+pub fn resulting_object(catalog: &Catalog, id: &rollout::Id, action: &Action) -> Result<Object, Error> {
     let next = match action {
         Action::Start { version, predecessor } => start(catalog, id, version, predecessor)?,
         Action::Pause | Action::Resume | Action::Promote | Action::Withdraw { .. } => change(catalog, id, action)?,
--- a/crates/control/tests/it/operate.rs
+++ b/crates/control/tests/it/operate.rs
@@ -27,7 +27,7 @@
 
 /// Checks the state that an action results in; `None` if it must be refused.
 fn check(state: State, action: &Action, wanted: Option<State>) {
-    let left = operate::act(&catalog(state), &Id::parse("r").unwrap(), action);
+    let left = operate::resulting_object(&catalog(state), &Id::parse("r").unwrap(), action);
     let left = left.ok().map(|object| match object {
         Object::Rollout(_, rollout) => rollout.state,
         other => panic!("not a roll-out: {other:?}"),
@@ -57,7 +57,7 @@
 fn start_needs_a_free_name_and_tier() {
     let start = |state, name: &str, version: &str, predecessor: &str| {
         let (version, predecessor) = (Version::parse(version).unwrap(), Number::parse(predecessor).unwrap());
-        operate::act(&catalog(state), &Id::parse(name).unwrap(), &Action::Start { version, predecessor })
+        operate::resulting_object(&catalog(state), &Id::parse(name).unwrap(), &Action::Start { version, predecessor })
     };
     assert!(matches!(start(State::Promoted, "r", "m@3", "2"), Err(operate::Error::Exists(_))));
     assert!(matches!(start(State::Exposing, "s", "m@3", "2"), Err(operate::Error::Busy(_))));
--- a/crates/control/tests/it/site.rs
+++ b/crates/control/tests/it/site.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use config::{Edit, Expected, Outbound};
 use control::{
-    Edges, Handle, Observation, Settings,
+    Dependencies, Handle, Observation, Settings,
     observation::Outcome,
     operate::{self, Action},
 };
@@ -161,13 +161,17 @@
         settings.seed = Some(1);
         let (config, outbound) = config::spawn(settings, platform.clone(), recorder.clone());
         config.set_reader(true).await;
-        let edges =
-            Edges { platform, config: config.clone(), engines: self.engines.spawn(), recorder: recorder.clone() };
+        let dependencies = Dependencies {
+            platform,
+            config: config.clone(),
+            engines: self.engines.spawn(),
+            recorder: recorder.clone(),
+        };
         let mut settings = Settings::new(support::instance(number), Incarnation(1));
         if self.one_judge && number > 0 {
             settings.guard.alpha = f64::MIN_POSITIVE;
         }
-        let (control, updates) = control::spawn(settings, edges);
+        let (control, updates) = control::spawn(settings, dependencies);
         lock(&self.links).handles.push((config.clone(), control.clone()));
         let requests = requests(number, config.clone(), control.clone(), self.traffic.clone());
         let tasks = vec![
@@ -196,7 +200,7 @@
         let instance = &mut self.instances[number];
         instance.tasks.iter().for_each(AbortHandle::abort);
         instance.control = None;
-        lock(&self.links).handles[number].1 = control::idle();
+        lock(&self.links).handles[number].1 = control::inert();
     }
 
     /// Cuts or restores both directions of a link.
@@ -223,7 +227,8 @@
     /// Applies an operator's action at an instance.
     pub async fn operate(&self, number: usize, action: &Action) -> Result<(), String> {
         let config = &self.instances[number].config;
-        let object = operate::act(&config.current(), &rollout_id(), action).map_err(|error| error.to_string())?;
+        let object =
+            operate::resulting_object(&config.current(), &rollout_id(), action).map_err(|error| error.to_string())?;
         let key = Key { kind: Kind::Rollout, name: rollout_id().to_string() };
         let expected = config.revision(&key).map_or(Expected::Absent, |revision| Expected::At(revision.generation));
         let applied = config.apply("ann", vec![Edit::Put(object, expected)]).await;
@@ -344,7 +349,7 @@
             let bytes = bytes.clone();
             tokio::spawn(async move {
                 sleep(LINK_DELAY).await;
-                control.heard(bytes);
+                control.receive(bytes);
             });
         }
     }
--- a/crates/entry/tests/path/site.rs
+++ b/crates/entry/tests/path/site.rs
@@ -251,7 +251,7 @@
             ..endpoint::Settings::default()
         });
         let (leaving_list, leaving) = tokio::sync::watch::channel(Vec::new());
-        let links = Links { config, journal, budget, peer, endpoint, control: control::idle(), leaving, recorder };
+        let links = Links { config, journal, budget, peer, endpoint, control: control::inert(), leaving, recorder };
         let keys = entry::session::Keys::new(vec![b"session-key".to_vec()]).expect("a key");
         let mut settings = Settings::new(id, domain, keys);
         settings.rated = self.rating.is_some();
