--- a/crates/budget/src/account.rs
+++ b/crates/budget/src/account.rs
@@ -56,7 +56,7 @@
         self.grants.get(&holder_key(holder)).copied()
     }
 
-    /// Adds `want`, or what is left of `limit` if that is less, to a holder's
+    /// Adds `wanted`, or what is left of `limit` if that is less, to a holder's
     /// grant. Returns the amount added.
     pub fn extend_grant(&mut self, holder: &Holder, want: Amount, limit: Amount) -> Amount {
         let got = want.min(self.remaining(limit));
--- a/crates/budget/src/escrow.rs
+++ b/crates/budget/src/escrow.rs
@@ -24,18 +24,18 @@
     pub wallet: Wallet,
     pub budget: contract::Budget,
     pub waiting: VecDeque<Reserve>,
-    /// Whether a read or write of the account is under way.
+    /// Whether a read or write of the account is in progress.
     pub busy: bool,
     /// Whether the account object is known to contain a grant of this holder.
     pub has_grant: bool,
-    /// Ceiling of the last request.
+    /// Price ceiling of the last request.
     pub last_ceiling: Amount,
     /// Amount that was left to grant when the account was last read.
     pub remaining: Amount,
     /// Earliest time of the next extension ahead of demand.
     pub next_top_up: Instant,
-    /// Remaining amount seen when it was last too small, and until when it is
-    /// taken to hold without reading again.
+    /// Amount that was left to grant when it was last too small for a request,
+    /// and the time until which it is assumed unchanged without another read.
     pub exhausted: Option<(Amount, Instant)>,
 }
 
@@ -72,7 +72,7 @@
     }
 
     /// Refuses all waiting requests without another read if the first one
-    /// needs more than was left a moment ago.
+    /// needs more than [`Escrow::exhausted`] says is left.
     pub fn refuse_if_exhausted(&mut self) {
         let (Some((remaining, until)), Some(first)) = (self.exhausted, self.waiting.front()) else {
             return;
--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -44,9 +44,10 @@
     pub available: Amount,
     /// The customer's budget for the period.
     pub limit: Amount,
+    /// How grants are sized.
     pub sizing: Sizing,
-    /// Whether the holder is known to have had a grant; then its absence means
-    /// that it was settled.
+    /// Whether the holder is known to have had a grant. If it has none now,
+    /// another instance has settled it.
     pub has_grant: bool,
 }
 
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Ends the holder's own grant, of which `spent` was spent. Returns
-    /// whether it is ended.
+    /// Ends the grant of a holder of this instance, which knows the amount
+    /// spent. Returns whether the grant has ended.
     pub async fn end(&self, spent: Amount) -> bool {
         self.settle_as(spent).await
     }
--- a/crates/budget/src/handle.rs
+++ b/crates/budget/src/handle.rs
@@ -64,8 +64,8 @@
         drop(reservation);
     }
 
-    /// Reserves `actual` anew for a bill that was rejected because another
-    /// instance had settled its grant.
+    /// Replaces a reservation by one of `actual` under a new grant, for a bill
+    /// that was rejected because another instance had settled the old grant.
     ///
     /// # Errors
     ///
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -46,8 +46,8 @@
     /// unspent money returned.
     pub idle_after: Duration,
     /// Time that a holder must have been absent from the membership before its
-    /// grant is settled. Longer than the second holder of a lost instance's
-    /// bills takes to deliver them.
+    /// grant is settled. Must be longer than the peer that keeps copies of a
+    /// lost instance's bills takes to deliver them.
     pub settle_after: Duration,
     /// Time limit for closing a lost holder in the journal.
     pub settle_timeout: Duration,
--- a/crates/budget/src/task.rs
+++ b/crates/budget/src/task.rs
@@ -21,9 +21,9 @@
     wallet::Wallet,
 };
 
-/// Least time between two extensions ahead of demand, and how long an
-/// exhausted account is taken for exhausted. Without it, the end of a budget
-/// would cost a write or read per request.
+/// Shortest time between two extensions ahead of demand, and time for which
+/// an exhausted account is assumed to stay so. Without it, every request near the
+/// end of a budget would cost a read or write.
 const TOP_UP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A message to the budget task.
@@ -70,10 +70,10 @@
     escrows: HashMap<Key, Escrow>,
     /// Epoch of the next wallet's holder.
     epoch: u32,
-    /// Holders that are not in the membership, since when, and access to their
-    /// accounts.
+    /// Holders that are not in the membership: when each was first seen absent,
+    /// and a client for its grant.
     absent: HashMap<Holder, (Instant, Client)>,
-    /// Holders with a settlement under way.
+    /// Holders whose grants are being settled.
     settling: HashSet<Holder>,
     jobs: JoinSet<Event>,
 }
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Serves a wallet only if requests wait for it.
+    /// Serves a wallet if requests are waiting for it.
     fn serve_waiting(&mut self, key: &Key) {
         if self.escrows.get(key).is_some_and(|escrow| !escrow.waiting.is_empty()) {
             self.serve(key);
@@ -304,7 +304,8 @@
         }
     }
 
-    /// Returns whether a holder is a wallet of this run or belongs to a live instance.
+    /// Returns whether a holder is one of this incarnation's open wallets or belongs to an
+    /// instance in the membership.
     fn is_alive(&self, holder: &Holder) -> bool {
         let origin = &self.config.origin;
         if holder.instance == origin.instance && holder.incarnation == origin.incarnation {
@@ -332,8 +333,8 @@
         }
     }
 
-    /// Closes a wallet that is idle or past its period, and returns what a
-    /// wallet in use holds beyond its need.
+    /// Closes a wallet that is idle or past its period and has nothing reserved;
+    /// returns the excess money of any other to the account.
     fn maintain(&mut self, key: &Key, now: Instant) {
         let wall = self.config.clock.now();
         let Some(escrow) = self.escrows.get_mut(key).filter(|p| !p.busy && p.waiting.is_empty()) else {
@@ -350,8 +351,8 @@
         if recently_used || escrow.wallet.available() == Amount::ZERO {
             return self.return_excess(key);
         }
-        // An unused wallet has not read the account for a while. Its holding may by now be
-        // most of what other instances are short of.
+        // An unused wallet has not read the account for a while. By now other instances may
+        // need the money that it holds.
         escrow.busy = true;
         let (client, limit, key) = (escrow.client.clone(), escrow.budget.amount, key.clone());
         self.jobs.spawn(async move {
@@ -390,7 +391,7 @@
         }
     }
 
-    /// Settles a grant from its bills, unless that is already under way.
+    /// Settles a grant from its bills, unless that is already in progress.
     fn settle(&mut self, client: Client) {
         if !self.settling.insert(client.holder.clone()) {
             return;
--- a/crates/budget/src/wallet.rs
+++ b/crates/budget/src/wallet.rs
@@ -32,8 +32,8 @@
     /// Number of requests like the present one that the available amount
     /// should cover, if that is more.
     pub requests: u64,
-    /// Divisor that bounds the available amount: at most one part in this many
-    /// of what is left.
+    /// Divisor that bounds the amount to keep available: at most what is left of
+    /// the budget divided by this.
     pub share_divisor: u64,
 }
 
@@ -117,7 +117,7 @@
         ahead.max(total_ceiling(ceiling, sizing.requests))
     }
 
-    /// Lets the spending rate fall while nothing is spent.
+    /// Lowers the smoothed spending rate while nothing is spent.
     pub fn decay_rate(&mut self, now: Instant) {
         self.update_rate(Amount::ZERO, now);
     }
@@ -135,10 +135,10 @@
     }
 }
 
-/// Returns the amount to keep available: `wanted`, bounded by a part of what
-/// is left including the own holding. So grants shrink with the budget, and
-/// near its end most of the remainder is still free for any instance that
-/// needs it.
+/// Returns the amount to keep available: `wanted`, bounded by a fraction of the
+/// sum of what is left to grant and what this instance has available. So grants
+/// shrink with the budget, and near its end most of the remainder is still free
+/// for any instance that needs it.
 #[must_use]
 pub fn target(wanted: Amount, available: Amount, remaining: Amount, sizing: &Sizing) -> Amount {
     let part = Amount(remaining.saturating_add(available).0 / sizing.share_divisor.max(1));
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -232,7 +232,7 @@
 
 /// Half a budget is spent over three instances, then only one receives
 /// requests. The money that the others hold must return to it, so that
-/// requests are not refused while money lies unused.
+/// requests are not refused while others hold unspent money.
 #[tokio::test(start_paused = true)]
 async fn idle_holdings_come_back_near_the_end_of_a_budget() {
     let fleet = Fleet::new(3, |_| {});
--- a/crates/budget/tests/interleavings.rs
+++ b/crates/budget/tests/interleavings.rs
@@ -79,8 +79,7 @@
     Bill { grant: Some(reservation.grant().clone()), ..bill(key, amount) }
 }
 
-/// Runs one request as far as money is concerned: reserves, takes its time and
-/// bills. The answer is delivered when the bill has its receipt.
+/// Simulates the reservation and the billing of one request. The answer is delivered when the bill has its receipt.
 async fn request(node: Node, key: String, ceiling: u64, takes_ms: u64) {
     let customer = id(&key).customer;
     let reserved = node.budget.reserve(&customer, &contract(), Amount(ceiling), within(5_000)).await;
--- a/crates/budget/tests/settlement.rs
+++ b/crates/budget/tests/settlement.rs
@@ -42,7 +42,7 @@
     fleet.pause(0, true);
     fleet.meet(&[1, 2]);
     for n in 0..30 {
-        // Every shard has its home before the settlement begins.
+        // Assigns every shard to an instance before the settlement begins.
         fleet.journal(1).outcome(&id(&format!("w{n}")), soon()).await.expect("the outcome is known");
     }
     assert!(reserve(&handles[1], LIMIT - 1).await.is_err());
--- a/crates/control/src/coordinator.rs
+++ b/crates/control/src/coordinator.rs
@@ -4,9 +4,9 @@
 //! coordinator reads it, plans the next transition ([`route::rollout::plan`])
 //! and writes it on the condition that the object has not changed meanwhile.
 //! If the coordinator is lost between two transitions, the next lease holder
-//! reads the same object and continues. What is not stored, namely how long a
-//! step has lasted and which versions engines hold, the next holder determines
-//! anew, at worst waiting a little longer.
+//! reads the same object and continues. It has to determine again what is not
+//! stored, namely how long a step has lasted and which versions engines hold; at
+//! worst this makes a step last longer.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -42,8 +42,8 @@
 /// answers.
 const DRAIN_TIME: Duration = Duration::from_mins(2);
 
-/// Largest share of a version's endpoints that is required to have loaded it
-/// before it takes all of its tier's work; the rest may be down.
+/// Upper bound on the share of a version's endpoints that must have loaded it
+/// before the next step, however large that step is; the rest may be down.
 const MAX_REQUIRED_SHARE: f64 = 0.9;
 
 /// Fewest endpoints that must have loaded the version before it takes any
@@ -61,11 +61,11 @@
     pub calls: mpsc::Sender<Call>,
 }
 
-/// State kept beside the objects, for the length of one lease term.
+/// State that is not stored in the objects; kept for one lease term.
 struct TermState {
     epoch: u64,
     loads: Loads,
-    /// When each roll-out reached its present state and step.
+    /// When each roll-out was first seen in its present state and step.
     step_starts: HashMap<Id, StepStart>,
 }
 
@@ -156,7 +156,7 @@
 }
 
 impl TermState {
-    /// Notes when roll-outs changed their state or step.
+    /// Records the time at which each roll-out entered its state and step.
     fn track_steps(&mut self, catalog: &Catalog) {
         self.step_starts.retain(|id, _| catalog.rollouts().contains_key(id));
         for (id, rollout) in catalog.rollouts() {
--- a/crates/control/src/guard.rs
+++ b/crates/control/src/guard.rs
@@ -44,8 +44,8 @@
 /// grow with the fleet.
 const PEERS_PER_INTERVAL: u32 = 8;
 
-/// Divisor of the interval after which an update may be sent if it contains
-/// new failures of a version under roll-out.
+/// Divisor of the update interval for updates that contain new failures of a
+/// version under roll-out; those are sent earlier.
 const URGENT_DIVISOR: u32 = 5;
 
 /// Verdict on the present step of each running roll-out.
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Takes in a peer's update: its stops and its sums.
+    /// Adds the stops and stores the sums of a peer's update.
     fn handle_update(&mut self, catalog: &Catalog, update: Update) {
         let (by, incarnation) = update.source;
         if by == self.settings.instance && incarnation == self.settings.incarnation {
@@ -158,14 +158,14 @@
         }
     }
 
-    /// Adds a stop found by instance `by`, unless it is known or already in the configuration.
+    /// Adds a stop received from or found by instance `by`, unless it is known or already in the configuration.
     fn add_stop(&mut self, catalog: &Catalog, stop: Stop, by: instance::Id) {
         let mut stops = self.stops.borrow().as_ref().clone();
         let (version, reason) = (stop.version.clone(), stop.reason.clone());
         if !stops.insert(stop) {
             return;
         }
-        // A late message about a stop that the configuration already contains.
+        // A stop that the configuration already contains is dropped; its message was late.
         stops.settle(catalog);
         if !stops.contains(&version) {
             return;
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -36,7 +36,8 @@
         self.send(Message::Observed(observation));
     }
 
-    /// Takes in an update that a peer's control tasks published.
+    /// Passes on an update that a peer's control tasks published. Never waits:
+    /// when the inbox is full the update is dropped and counted.
     pub fn receive(&self, update: Bytes) {
         self.send(Message::PeerUpdate(update));
     }
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -63,11 +63,12 @@
 /// Renewals per term, so that two may fail before it ends.
 const RENEWALS_PER_TERM: u32 = 3;
 
-/// Number of retry intervals in a term while renewals fail.
+/// Divisor of the term that gives the interval of retries after a failed
+/// renewal.
 const RETRIES_PER_TERM: u32 = 20;
 
-/// Divisor of the term: the part added to it for clock drift between two
-/// machines.
+/// Divisor of the term that gives the extra wait of a successor, which allows
+/// for clock drift between two machines.
 const DRIFT_DIVISOR: u32 = 50;
 
 /// A term during which this instance holds the lease.
@@ -77,6 +78,7 @@
     pub epoch: u64,
     /// End of the term on this process's monotonic clock.
     pub until: Instant,
+    /// Start of the term on the wall clock.
     started: SystemTime,
     length: Duration,
 }
@@ -138,7 +140,7 @@
     observed: Option<Observed>,
 }
 
-/// Version of the last state read, and when it was first read.
+/// Version of the lease object as last read, and when it was first read.
 struct Observed {
     version: u64,
     since: Instant,
@@ -169,8 +171,8 @@
     /// Returns whether the state of the lease has been unchanged for a term
     /// plus the grace.
     fn is_lapsed(&mut self, version: u64) -> bool {
-        // The state is in effect at the latest now that it has been read. The wait starts
-        // here, not when the read was sent.
+        // The state that was read is in effect by now, but may not have been when the read was
+        // sent. So the wait starts here.
         let now = Instant::now();
         let observed = self.observed.get_or_insert(Observed { version, since: now });
         if observed.version != version {
@@ -242,8 +244,8 @@
         }
     }
 
-    /// Waits before the next look at a lease that another instance holds, half
-    /// to three quarters of a term.
+    /// Waits half to three quarters of a term before the next attempt to take
+    /// the lease.
     async fn wait_before_retry(&mut self) {
         let half = self.settings.term / 2;
         let jitter = self.random.random_range(0.0..0.5);
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -47,7 +47,7 @@
 /// Instance and incarnation that observed or sent the sums.
 pub(crate) type Source = (instance::Id, instance::Incarnation);
 
-/// A session that was bad in a roll-out by the given signal.
+/// A session with a bad signal in a roll-out.
 type BadSession = (rollout::Id, Unit, Signal);
 
 /// Evidence of the whole fleet on one roll-out.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -40,7 +40,7 @@
     ledger::Ledger,
 };
 
-/// Capacity of the queue of updates to peers.
+/// Capacity of the queue of updates to peers, in messages.
 const UPDATE_QUEUE_CAPACITY: usize = 16;
 
 /// Handles to the other parts of the instance that the control tasks use.
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -57,11 +57,11 @@
 struct Engine {
     address: SocketAddr,
     wanted: Wanted,
-    /// Whether it holds the version; `None` if unknown.
+    /// Whether the endpoint holds the version; `None` if unknown.
     holds: Option<bool>,
-    /// When it was last queried.
+    /// When the endpoint was last queried.
     queried_at: Option<Instant>,
-    /// When it was last sent an order.
+    /// When the endpoint was last sent an order.
     ordered_at: Option<Instant>,
 }
 
@@ -198,7 +198,7 @@
         self.holds == Some(self.wanted == Wanted::Loaded)
     }
 
-    /// Returns whether the engine is to be queried now.
+    /// Returns whether the endpoint is to be queried now.
     fn is_query_due(&self, now: Instant) -> bool {
         let pause = if self.is_satisfied() { SETTLED_QUERY_INTERVAL } else { PENDING_QUERY_INTERVAL };
         self.queried_at.is_none_or(|queried_at| now.duration_since(queried_at) >= pause)
@@ -206,13 +206,13 @@
 
     /// Returns whether an order is to be sent now.
     fn is_order_due(&self, now: Instant) -> bool {
-        // An engine that does not respond gets no order: it may load nothing and would take a
-        // slot from one that can.
+        // An engine that does not respond gets no order: it might load nothing, and would take
+        // a load slot from one that responds.
         let known = self.holds.is_some();
         known && !self.is_satisfied() && !self.recently_ordered(now)
     }
 
-    /// Returns whether a load that was ordered is still under way.
+    /// Returns whether a load that was ordered is assumed to be in progress.
     fn is_loading(&self, now: Instant) -> bool {
         self.wanted == Wanted::Loaded && self.holds == Some(false) && self.recently_ordered(now)
     }
--- a/crates/control/src/observation.rs
+++ b/crates/control/src/observation.rs
@@ -17,7 +17,7 @@
     pub outcome: Outcome,
 }
 
-/// Outcome of a request, as far as it tells about the version.
+/// Outcome of a request that counts as evidence on the version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The request got a complete answer.
--- a/crates/control/src/operate.rs
+++ b/crates/control/src/operate.rs
@@ -2,8 +2,8 @@
 //!
 //! Each action reads a catalog and returns the object, which is to be applied
 //! on the condition that the old one is unchanged; on a conflict the caller
-//! reads again. An action does nothing that the coordinator could not undo or
-//! continue.
+//! reads again. No action takes a decision that the coordinator could not undo
+//! or continue from.
 
 use std::fmt;
 
@@ -58,7 +58,7 @@
     Missing(rollout::Id),
     /// A roll-out of this name exists already.
     Exists(rollout::Id),
-    /// Another roll-out of the same version or its predecessor is under way.
+    /// Another roll-out of the same version or its predecessor is in progress.
     Busy(rollout::Id),
     /// The roll-out is in a state that does not allow the action.
     State {
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -15,7 +15,7 @@
 
 use crate::lease::Term;
 
-/// Time limit of an order; [`crate::lease::Settings::grace`] is at least this.
+/// Time limit of an order; [`crate::lease::Settings::grace`] must be at least this.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A call to an engine.
--- a/crates/control/tests/it/engines.rs
+++ b/crates/control/tests/it/engines.rs
@@ -1,4 +1,4 @@
-//! Simulated model engines, as far as loads and orders are concerned.
+//! Simulated model engines that respond to queries and orders only.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -29,7 +29,7 @@
 pub struct Engine {
     /// Versions that it has loaded.
     pub versions: BTreeSet<Version>,
-    /// Number of loads under way.
+    /// Number of loads in progress.
     pub loading: usize,
     /// Fencing numbers of the orders it has accepted.
     pub fences: Vec<u64>,
--- a/crates/control/tests/it/lease.rs
+++ b/crates/control/tests/it/lease.rs
@@ -70,7 +70,7 @@
 }
 
 impl Fixture {
-    /// Injects a fault, or performs the check of [`Fault::Free`].
+    /// Injects a fault, or performs the check of [`Fault::CheckFree`].
     fn inject(&self, fault: Fault) {
         match fault {
             Fault::Pause(who) => self.holders[who].pause.set(true),
@@ -184,7 +184,7 @@
 
     /// The platform is down for 30 s: no instance may hold the lease past the
     /// term, and one takes it afterwards. Neither has read the last renewal,
-    /// so both wait anew from their first read, and whichever reads first
+    /// so both start to wait at their first read, and whichever reads first
     /// takes it.
     platform_down: [
         (3.0, Fault::Down), (9.0, Fault::Free), (32.0, Fault::Free), (33.0, Fault::Up),
--- a/crates/control/tests/it/orders.rs
+++ b/crates/control/tests/it/orders.rs
@@ -66,17 +66,17 @@
 }
 
 impl Network {
-    /// Returns the networks of both holders. An engine that checks the number
-    /// tolerates any delay; for the others an order is under way for less than
-    /// the grace that a successor waits.
+    /// Returns the networks of both holders. An engine that checks the
+    /// fencing number tolerates any delay; to the others, an order takes less time
+    /// than the grace that a successor waits.
     fn to(engine: &Engine) -> [Self; 2] {
         let longest = if engine.checks_fence { 30_000 } else { 5_900 };
         [(); 2].map(|()| Self { connect_ms: 0..=2_000, transit_ms: 0..=longest })
     }
 
     /// Returns a network for the first holder that is as slow as allowed
-    /// towards an engine that ignores the number, and one without delay for
-    /// the second.
+    /// towards an engine that ignores the fencing number, and one without
+    /// delay for the second.
     fn slow_then_fast() -> [Self; 2] {
         [Self { connect_ms: 1_600..=2_000, transit_ms: 5_900..=5_900 }, Self { connect_ms: 0..=0, transit_ms: 0..=0 }]
     }
@@ -94,7 +94,8 @@
     }
 }
 
-/// One step of an interleaving. The instance is paused, resumed, cut off from the platform, reconnected to it, or its next write fails.
+/// One step of an interleaving: an instance is paused, resumed, cut off from
+/// the platform, reconnected to it, or its next write fails.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Pause(usize),
@@ -214,15 +215,15 @@
     #![proptest_config(config())]
 
     /// Two holders under pauses, cuts, lost and late writes, at an engine that
-    /// ignores the number: the margin of the term and the wait of the
-    /// successor alone keep orders in the order of their epochs.
+    /// ignores the fencing number: orders take effect by ascending epoch only because
+    /// holders stop before their term ends and successors wait beyond it.
     #[test]
     fn engines_that_ignore_the_number(steps in prop::collection::vec(step(), 1..14), seed in 0u64..1_000) {
         check(&steps, false, seed);
     }
 
-    /// Two holders under the same faults, at an engine that checks the number,
-    /// with orders that take up to 30 s to arrive.
+    /// Two holders under the same faults, at an engine that checks the fencing
+    /// number, with orders that take up to 30 s to arrive.
     #[test]
     fn engines_that_check_the_number(steps in prop::collection::vec(step(), 1..14), seed in 0u64..1_000) {
         check(&steps, true, seed);
--- a/crates/control/tests/it/rollout.rs
+++ b/crates/control/tests/it/rollout.rs
@@ -70,11 +70,11 @@
     coordinator_lost_at_first_step: |rollout| rollout.state == State::Exposing;
 
     /// The coordinator is lost between two steps: the next one waits for the
-    /// step's time anew.
+    /// step's full time again.
     coordinator_lost_at_second_step: |rollout| rollout.step == 1;
 
-    /// The coordinator is lost at the last step, when no predecessor is left
-    /// to compare with.
+    /// The coordinator is lost at the last step, when the predecessor gets no
+    /// more traffic to compare with.
     coordinator_lost_at_last_step: |rollout| rollout.step == 3;
 }
 
--- a/crates/control/tests/it/site.rs
+++ b/crates/control/tests/it/site.rs
@@ -91,7 +91,8 @@
     tasks: Vec<AbortHandle>,
 }
 
-/// Ends of all links, by instance, and the pairs that are cut.
+/// Handles that receive messages, by instance, and the links that are cut, as pairs of sender and
+/// receiver.
 #[derive(Default)]
 struct Links {
     handles: Vec<(config::Handle, Handle)>,
@@ -281,7 +282,7 @@
         number
     }
 
-    /// Reports a session of `m@2` whose every answer fails its rating.
+    /// Reports answers of one session of `m@2`, each with a failed rating.
     pub fn fail_session(&self, number: usize, answers: usize) {
         let control = self.instances[number].control.as_ref().expect("not lost");
         let customer = Customer::parse("c").unwrap();
--- a/crates/control/tests/it/steps.rs
+++ b/crates/control/tests/it/steps.rs
@@ -200,16 +200,16 @@
 
     /// The coordinator shuts down in order while engines load. The roll-out
     /// pauses for a term of the lease and continues at another instance, which
-    /// queries the engines anew, so nothing has to be handed over.
+    /// queries the engines again, so nothing has to be handed over.
     instance_leaving_at_load: check_leaving at Load;
 
     /// The coordinator shuts down when the first sessions are routed to the
     /// version. The step is in the object, and the next coordinator waits for
-    /// the step's time anew.
+    /// the step's full time again.
     instance_leaving_at_expose: check_leaving at Expose;
 
     /// The coordinator shuts down before the last step ends. Another instance
-    /// promotes the version after waiting for the step's time anew.
+    /// promotes the version after waiting for the step's full time again.
     instance_leaving_at_promote: check_leaving at Promote;
 }
 
