--- a/crates/budget/src/account.rs
+++ b/crates/budget/src/account.rs
@@ -58,13 +58,13 @@
 
     /// Adds `wanted`, or what is left of `limit` if that is less, to a holder's
     /// grant. Returns the amount added.
-    pub fn extend_grant(&mut self, holder: &Holder, want: Amount, limit: Amount) -> Amount {
-        let got = want.min(self.remaining(limit));
-        if got > Amount::ZERO {
+    pub fn extend_grant(&mut self, holder: &Holder, wanted: Amount, limit: Amount) -> Amount {
+        let added = wanted.min(self.remaining(limit));
+        if added > Amount::ZERO {
             let grant = self.grants.entry(holder_key(holder)).or_default();
-            *grant = grant.saturating_add(got);
+            *grant = grant.saturating_add(added);
         }
-        got
+        added
     }
 
     /// Subtracts unspent money from a holder's grant.
@@ -102,9 +102,9 @@
 
 /// Parses a holder from the format of [`holder_key`].
 fn parse(text: &str) -> Option<Holder> {
-    let mut share_divisor = text.split('/');
-    let instance = instance::Id::parse(share_divisor.next()?).ok()?;
-    let incarnation = Incarnation(share_divisor.next()?.parse().ok()?);
-    let epoch = share_divisor.next()?.parse().ok()?;
+    let mut parts = text.split('/');
+    let instance = instance::Id::parse(parts.next()?).ok()?;
+    let incarnation = Incarnation(parts.next()?.parse().ok()?);
+    let epoch = parts.next()?.parse().ok()?;
     Some(Holder { instance, incarnation, epoch })
 }
--- a/crates/budget/src/task.rs
+++ b/crates/budget/src/task.rs
@@ -113,7 +113,7 @@
             Message::Reserve(reserve) => self.reserve(reserve),
             Message::Commit { customer, grant, ceiling, actual } => {
                 let key = Key { customer, period: grant.period };
-                if let Some(escrow) = self.escrows.get_mut(&key).filter(|p| p.client.holder == grant.holder) {
+                if let Some(escrow) = self.escrows.get_mut(&key).filter(|escrow| escrow.client.holder == grant.holder) {
                     escrow.wallet.commit(ceiling, actual, Instant::now());
                 }
             }
@@ -210,7 +210,7 @@
         match event {
             Event::Extended(key, holder, extension) => self.on_extension(&key, &holder, extension),
             Event::RemainingRead(key, holder, remaining) => {
-                if let Some(escrow) = self.escrows.get_mut(&key).filter(|p| p.client.holder == holder) {
+                if let Some(escrow) = self.escrows.get_mut(&key).filter(|escrow| escrow.client.holder == holder) {
                     escrow.busy = false;
                     escrow.remaining = remaining.unwrap_or(escrow.remaining);
                     self.return_excess(&key);
@@ -218,7 +218,7 @@
                 }
             }
             Event::Returned(key, holder) => {
-                if let Some(escrow) = self.escrows.get_mut(&key).filter(|p| p.client.holder == holder) {
+                if let Some(escrow) = self.escrows.get_mut(&key).filter(|escrow| escrow.client.holder == holder) {
                     escrow.busy = false;
                     self.serve_waiting(&key);
                 }
@@ -234,7 +234,7 @@
 
     /// Handles the result of an extension.
     fn on_extension(&mut self, key: &Key, holder: &Holder, extension: Extension) {
-        let Some(escrow) = self.escrows.get_mut(key).filter(|p| p.client.holder == *holder) else {
+        let Some(escrow) = self.escrows.get_mut(key).filter(|escrow| escrow.client.holder == *holder) else {
             return;
         };
         escrow.busy = false;
@@ -322,7 +322,7 @@
             if self.is_alive(&holder) {
                 self.absent.remove(&holder);
             } else if let Some((_, client)) =
-                self.absent.get(&holder).filter(|(t, _)| now >= *t + self.config.settle_after)
+                self.absent.get(&holder).filter(|(since, _)| now >= *since + self.config.settle_after)
             {
                 self.settle(client.clone());
             }
@@ -337,7 +337,7 @@
     /// returns the excess money of any other to the account.
     fn maintain(&mut self, key: &Key, now: Instant) {
         let wall = self.config.clock.now();
-        let Some(escrow) = self.escrows.get_mut(key).filter(|p| !p.busy && p.waiting.is_empty()) else {
+        let Some(escrow) = self.escrows.get_mut(key).filter(|escrow| !escrow.busy && escrow.waiting.is_empty()) else {
             return;
         };
         let has_ended = wall >= escrow.client.period.end;
--- a/crates/budget/src/wallet.rs
+++ b/crates/budget/src/wallet.rs
@@ -125,11 +125,11 @@
     /// Adds a spent amount to the current sample and updates the rate when the sample is long enough.
     fn update_rate(&mut self, actual: Amount, now: Instant) {
         self.sample.1 = self.sample.1.saturating_add(actual);
-        let past = now.duration_since(self.sample.0);
-        if past < MIN_SAMPLE {
+        let elapsed = now.duration_since(self.sample.0);
+        if elapsed < MIN_SAMPLE {
             return;
         }
-        let newest = to_f64(self.sample.1) / past.as_secs_f64();
+        let newest = to_f64(self.sample.1) / elapsed.as_secs_f64();
         self.rate += (newest - self.rate) * SAMPLE_WEIGHT;
         self.sample = (now, Amount::ZERO);
     }
@@ -141,8 +141,8 @@
 /// for any instance that needs it.
 #[must_use]
 pub fn target(wanted: Amount, available: Amount, remaining: Amount, sizing: &Sizing) -> Amount {
-    let part = Amount(remaining.saturating_add(available).0 / sizing.share_divisor.max(1));
-    wanted.min(part)
+    let max_available = Amount(remaining.saturating_add(available).0 / sizing.share_divisor.max(1));
+    wanted.min(max_available)
 }
 
 /// Returns the size of an extension: enough to reach the target, and at least
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -218,14 +218,14 @@
     let first = reserve(&handle, 10_000).await.expect("reserved");
     handle.commit(first, Amount(10_000));
     sleep(Duration::from_secs(2)).await;
-    let at_hand = handle.unspent(&customer()).await.0;
+    let unspent = handle.unspent(&customer()).await.0;
     fleet.platform.set_down(true);
     let mut got = 0;
     while let Ok(reservation) = reserve(&handle, 10_000).await {
         handle.commit(reservation, Amount(10_000));
         got += 10_000;
     }
-    assert!(got > 0 && got <= at_hand, "{got} of {at_hand}");
+    assert!(got > 0 && got <= unspent, "{got} of {unspent}");
     fleet.platform.set_down(false);
     assert!(reserve(&handle, 10_000).await.is_ok());
 }
--- a/crates/control/src/coordinator.rs
+++ b/crates/control/src/coordinator.rs
@@ -91,7 +91,7 @@
                 continue;
             };
             let mut active =
-                term_state.take().filter(|o| o.epoch == term.epoch).unwrap_or_else(|| self.begin_term(term));
+                term_state.take().filter(|state| state.epoch == term.epoch).unwrap_or_else(|| self.begin_term(term));
             self.advance_rollouts(&mut active, term).await;
             term_state = Some(active);
         }
@@ -212,9 +212,9 @@
         clippy::cast_sign_loss,
         reason = "at most some ten thousand endpoints, times a share from 0 to 1"
     )]
-    let needed = (endpoints as f64 * share).floor() as usize;
+    let required = (endpoints as f64 * share).floor() as usize;
     // At least one, so a version without endpoints never takes traffic.
-    needed.max(MIN_LOADED_ENDPOINTS.min(endpoints)).max(1)
+    required.max(MIN_LOADED_ENDPOINTS.min(endpoints)).max(1)
 }
 
 /// Applies a plan to a roll-out; `None` if the plan is to wait.
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -70,7 +70,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     /// This instance's sums.
-    own: BTreeMap<Step, Own>,
+    own: BTreeMap<Step, Counter>,
     /// Last sums received from each peer.
     peers: HashMap<Source, BTreeMap<Step, Sums>>,
     /// Latencies of the predecessors.
@@ -81,7 +81,7 @@
 
 /// This instance's sums at one step, and when the step was first seen.
 #[derive(Debug)]
-struct Own {
+struct Counter {
     sums: Sums,
     since: Instant,
 }
@@ -104,7 +104,7 @@
             let Some(arm) = arm(catalog, rollout, observation) else { continue };
             let slow = self.is_slow(rollout, observation);
             let step = step_of(id, rollout);
-            let own = self.own.entry(step.clone()).or_insert_with(Own::new);
+            let own = self.own.entry(step.clone()).or_insert_with(Counter::new);
             own.advance_window();
             let window = own.sums.window.number;
             for (signal, bad) in signals(observation.outcome, slow) {
@@ -190,20 +190,20 @@
     fn is_slow(&mut self, rollout: &Rollout, observation: &Observation) -> Option<bool> {
         let Outcome::Answered { latency_ms } = observation.outcome else { return None };
         let predecessor = predecessor(rollout);
-        let of_predecessor = observation.version == predecessor;
+        let is_predecessor = observation.version == predecessor;
         let baseline = self.baselines.entry(predecessor).or_insert_with(Baseline::new);
         if let Some(slow_ms) = baseline.slow_ms {
             return Some(latency_ms > slow_ms);
         }
         // The limit is fixed once: answers that determine it must not be counted against it.
-        if of_predecessor {
+        if is_predecessor {
             baseline.record(latency_ms);
         }
         None
     }
 }
 
-impl Own {
+impl Counter {
     fn new() -> Self {
         Self { sums: Sums::default(), since: Instant::now() }
     }
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -48,13 +48,13 @@
     calls: mpsc::Sender<Call>,
     /// Largest number of concurrent loads.
     max_loads: usize,
-    engines: HashMap<(Version, Id), Engine>,
+    placements: HashMap<(Version, Id), Placement>,
     queries: JoinSet<QueryResult>,
 }
 
 /// State of one version at one endpoint.
 #[derive(Debug)]
-struct Engine {
+struct Placement {
     address: SocketAddr,
     wanted: Wanted,
     /// Whether the endpoint holds the version; `None` if unknown.
@@ -76,27 +76,27 @@
 
 impl Loads {
     pub fn new(calls: mpsc::Sender<Call>, max_loads: usize) -> Self {
-        Self { calls, max_loads, engines: HashMap::new(), queries: JoinSet::new() }
+        Self { calls, max_loads, placements: HashMap::new(), queries: JoinSet::new() }
     }
 
     /// Sets the wanted state of each version's endpoints and forgets endpoints
     /// that are no longer listed.
     pub fn set_wanted(&mut self, wanted: &BTreeMap<Version, (Wanted, Vec<Endpoint>)>) {
-        let named = |version: &Version, id: &Id| {
+        let is_listed = |version: &Version, id: &Id| {
             wanted.get(version).is_some_and(|(_, endpoints)| endpoints.iter().any(|e| e.id == *id))
         };
-        self.engines.retain(|(version, id), _| named(version, id));
+        self.placements.retain(|(version, id), _| is_listed(version, id));
         for (version, (wanted, endpoints)) in wanted {
             for endpoint in endpoints {
-                let engine = self.engines.entry((version.clone(), endpoint.id.clone())).or_insert(Engine {
+                let placement = self.placements.entry((version.clone(), endpoint.id.clone())).or_insert(Placement {
                     address: endpoint.address,
                     wanted: *wanted,
                     holds: None,
                     queried_at: None,
                     ordered_at: None,
                 });
-                if engine.wanted != *wanted || engine.address != endpoint.address {
-                    *engine = Engine {
+                if placement.wanted != *wanted || placement.address != endpoint.address {
+                    *placement = Placement {
                         address: endpoint.address,
                         wanted: *wanted,
                         holds: None,
@@ -110,14 +110,14 @@
 
     /// Returns the number of endpoints known to hold a version.
     pub fn loaded(&self, version: &Version) -> usize {
-        self.engines.iter().filter(|((v, _), engine)| v == version && engine.holds == Some(true)).count()
+        self.placements.iter().filter(|((v, _), placement)| v == version && placement.holds == Some(true)).count()
     }
 
     /// Handles responses, queries engines that are due, and sends missing
     /// orders as far as the term and the limits allow.
     pub async fn advance(&mut self, term: Term, recorder: &Recorder) {
-        while let Some(Ok(answer)) = self.queries.try_join_next() {
-            self.on_query_result(answer);
+        while let Some(Ok(result)) = self.queries.try_join_next() {
+            self.on_query_result(result);
         }
         self.start_queries();
         for (key, order) in self.take_due_orders(term.epoch) {
@@ -129,11 +129,11 @@
     }
 
     /// Handles a response to a query.
-    fn on_query_result(&mut self, answer: QueryResult) {
-        let QueryResult { version, id, versions } = answer;
+    fn on_query_result(&mut self, result: QueryResult) {
+        let QueryResult { version, id, versions } = result;
         let holds = versions.map(|versions| versions.contains(&version));
-        if let Some(engine) = self.engines.get_mut(&(version, id)) {
-            engine.holds = holds;
+        if let Some(placement) = self.placements.get_mut(&(version, id)) {
+            placement.holds = holds;
         }
     }
 
@@ -141,10 +141,10 @@
     fn start_queries(&mut self) {
         let now = Instant::now();
         let free_slots = MAX_QUERIES.saturating_sub(self.queries.len());
-        let due = self.engines.iter_mut().filter(|(_, engine)| engine.is_query_due(now)).take(free_slots);
-        for ((version, id), engine) in due {
-            engine.queried_at = Some(now);
-            let (calls, address) = (self.calls.clone(), engine.address);
+        let due = self.placements.iter_mut().filter(|(_, placement)| placement.is_query_due(now)).take(free_slots);
+        for ((version, id), placement) in due {
+            placement.queried_at = Some(now);
+            let (calls, address) = (self.calls.clone(), placement.address);
             let (version, id) = (version.clone(), id.clone());
             self.queries
                 .spawn(async move { QueryResult { version, id, versions: query_versions(&calls, address).await } });
@@ -155,20 +155,20 @@
     /// bounded by the limit of concurrent ones.
     fn take_due_orders(&mut self, fence: u64) -> Vec<((Version, Id), Order)> {
         let now = Instant::now();
-        let loading_count = self.engines.values().filter(|engine| engine.is_loading(now)).count();
+        let loading_count = self.placements.values().filter(|placement| placement.is_loading(now)).count();
         let free_slots = self.max_loads.saturating_sub(loading_count);
-        let due = self.engines.iter_mut().filter(|(_, engine)| engine.is_order_due(now));
+        let due = self.placements.iter_mut().filter(|(_, placement)| placement.is_order_due(now));
         let mut orders = Vec::new();
         let mut loads = 0;
-        for ((version, id), engine) in due {
-            if engine.wanted == Wanted::Loaded {
+        for ((version, id), placement) in due {
+            if placement.wanted == Wanted::Loaded {
                 loads += 1;
                 if loads > free_slots {
                     continue;
                 }
             }
-            engine.ordered_at = Some(now);
-            let (load, unload) = match engine.wanted {
+            placement.ordered_at = Some(now);
+            let (load, unload) = match placement.wanted {
                 Wanted::Loaded => (vec![version.clone()], Vec::new()),
                 Wanted::Dropped => (Vec::new(), vec![version.clone()]),
             };
@@ -179,9 +179,9 @@
 
     /// Sends an order and returns its outcome for the timeline.
     async fn send_order(&self, key: &(Version, Id), order: Order, term: Term) -> String {
-        let Some(engine) = self.engines.get(key) else { return "no longer wanted".into() };
+        let Some(placement) = self.placements.get(key) else { return "no longer wanted".into() };
         let (reply, answer) = oneshot::channel();
-        let call = Call::Order { address: engine.address, order, term, reply };
+        let call = Call::Order { address: placement.address, order, term, reply };
         if self.calls.send(call).await.is_err() {
             return "not sent, shutting down".into();
         }
@@ -192,7 +192,7 @@
     }
 }
 
-impl Engine {
+impl Placement {
     /// Returns whether the endpoint is known to be in the wanted state.
     fn is_satisfied(&self) -> bool {
         self.holds == Some(self.wanted == Wanted::Loaded)
--- a/crates/control/src/operate.rs
+++ b/crates/control/src/operate.rs
@@ -112,14 +112,14 @@
     }
     // Two roll-outs with the same predecessor would split its control group,
     // and a bad one would distort the other's comparison.
-    let rival = catalog.rollouts().iter().find(|(_, other)| {
+    let conflicting = catalog.rollouts().iter().find(|(_, other)| {
         let running = matches!(other.state, State::Loading | State::Exposing | State::Paused);
         let related = other.predecessor == *predecessor
             || other.version.number == *predecessor
             || other.version.number == version.number;
         running && other.version.model == version.model && related
     });
-    if let Some((other, _)) = rival {
+    if let Some((other, _)) = conflicting {
         return Err(Error::Busy(other.clone()));
     }
     Ok(Rollout::new(version.clone(), predecessor.clone()))
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -64,13 +64,13 @@
 
 impl std::error::Error for Error {}
 
-/// Capacity of the queue of calls.
-const QUEUE: usize = 64;
+/// Capacity of the queue of calls, in messages.
+const QUEUE_CAPACITY: usize = 64;
 
 /// Starts the task that passes calls on to engines.
 #[must_use]
 pub fn spawn(endpoint: endpoint::Handle) -> mpsc::Sender<Call> {
-    let (sender, mut calls) = mpsc::channel(QUEUE);
+    let (sender, mut calls) = mpsc::channel(QUEUE_CAPACITY);
     tokio::spawn(async move {
         while let Some(call) = calls.recv().await {
             tokio::spawn(forward(endpoint.clone(), call));
--- a/crates/control/tests/it/lease.rs
+++ b/crates/control/tests/it/lease.rs
@@ -39,21 +39,21 @@
     /// Pauses an instance.
     Pause(usize),
     /// Resumes an instance.
-    Wake(usize),
+    Resume(usize),
     /// Takes the platform down.
     Down,
     /// Brings the platform back.
     Up,
     /// Cuts an instance off from the platform.
-    Cut(usize),
+    Disconnect(usize),
     /// Reconnects an instance to the platform.
-    Mend(usize),
+    Reconnect(usize),
     /// Delays every response of the platform.
     Slow(Duration),
     /// Makes an instance's `n`th write from now fail.
     Lose(usize, u64, Loss),
     /// No fault: checks that no instance holds the lease at this time.
-    Free,
+    CheckFree,
 }
 
 /// Expected holder at the end.
@@ -73,15 +73,15 @@
     /// Injects a fault, or performs the check of [`Fault::CheckFree`].
     fn inject(&self, fault: Fault) {
         match fault {
-            Fault::Pause(who) => self.holders[who].pause.set(true),
-            Fault::Wake(who) => self.holders[who].pause.set(false),
+            Fault::Pause(number) => self.holders[number].pause.set(true),
+            Fault::Resume(number) => self.holders[number].pause.set(false),
             Fault::Down => self.platform.set_down(true),
             Fault::Up => self.platform.set_down(false),
-            Fault::Cut(who) => self.holders[who].client.set_down(true),
-            Fault::Mend(who) => self.holders[who].client.set_down(false),
+            Fault::Disconnect(number) => self.holders[number].client.set_down(true),
+            Fault::Reconnect(number) => self.holders[number].client.set_down(false),
             Fault::Slow(by) => self.platform.set_slow(by),
-            Fault::Lose(who, n, loss) => self.holders[who].client.lose(n, loss),
-            Fault::Free => {
+            Fault::Lose(number, n, loss) => self.holders[number].client.lose(n, loss),
+            Fault::CheckFree => {
                 assert!(self.holders.iter().all(|holder| holder.epoch().is_none()), "an instance holds the lease")
             }
         }
@@ -112,10 +112,10 @@
         now += 0.1;
     }
     let held: Vec<_> = fixture.holders.iter().map(Holder::epoch).collect();
-    let other = |place: usize| held[1 - place].is_none();
+    let other = |number: usize| held[1 - number].is_none();
     let as_expected = match holder {
-        End::Only(place) => held[place] == Some(epoch) && other(place),
-        End::Either => (0..2).any(|place| held[place] == Some(epoch) && other(place)),
+        End::Only(number) => held[number] == Some(epoch) && other(number),
+        End::Either => (0..2).any(|number| held[number] == Some(epoch) && other(number)),
     };
     assert!(as_expected, "epochs held: {held:?}, expected {holder:?} under epoch {epoch}");
 }
@@ -140,17 +140,17 @@
     /// The holder is paused for 20 s and resumes; meanwhile the other instance
     /// has waited out the term and taken over. The resumed instance must see
     /// by its own clock that its term has ended.
-    holder_paused_and_resumed: [(3.0, Fault::Pause(0)), (23.0, Fault::Wake(0))], after 40.0 s, SECOND holds epoch 2;
+    holder_paused_and_resumed: [(3.0, Fault::Pause(0)), (23.0, Fault::Resume(0))], after 40.0 s, SECOND holds epoch 2;
 
     /// A pause shorter than the term causes no take-over, because the
     /// successor counts from when it read the last renewal.
-    short_pause: [(3.0, Fault::Pause(0)), (6.0, Fault::Wake(0))], after 40.0 s, FIRST holds epoch 1;
+    short_pause: [(3.0, Fault::Pause(0)), (6.0, Fault::Resume(0))], after 40.0 s, FIRST holds epoch 1;
 
     /// Both are paused and the holder resumes last. What each has read is out
     /// of date: the first to resume must wait a whole term again before it
     /// takes the lease.
     both_paused: [
-        (3.0, Fault::Pause(0)), (4.0, Fault::Pause(1)), (30.0, Fault::Wake(1)), (50.0, Fault::Wake(0)),
+        (3.0, Fault::Pause(0)), (4.0, Fault::Pause(1)), (30.0, Fault::Resume(1)), (50.0, Fault::Resume(0)),
     ], after 70.0 s, SECOND holds epoch 2;
 
     /// The write that takes the free lease takes effect and its response is
@@ -175,11 +175,11 @@
 
     /// The holder is cut off from the platform, the other instance is not: its
     /// term ends by its own clock before the other takes over.
-    holder_cut_off: [(3.0, Fault::Cut(0)), (40.0, Fault::Mend(0))], after 60.0 s, SECOND holds epoch 2;
+    holder_cut_off: [(3.0, Fault::Disconnect(0)), (40.0, Fault::Reconnect(0))], after 60.0 s, SECOND holds epoch 2;
 
     /// A take-over takes effect and its response is lost.
     answer_lost_on_take_over: [
-        (3.0, Fault::Pause(0)), (3.0, Fault::Lose(1, 1, Loss::After)), (40.0, Fault::Wake(0)),
+        (3.0, Fault::Pause(0)), (3.0, Fault::Lose(1, 1, Loss::After)), (40.0, Fault::Resume(0)),
     ], after 60.0 s, SECOND holds epoch 2;
 
     /// The platform is down for 30 s: no instance may hold the lease past the
@@ -187,7 +187,7 @@
     /// so both start to wait at their first read, and whichever reads first
     /// takes it.
     platform_down: [
-        (3.0, Fault::Down), (9.0, Fault::Free), (32.0, Fault::Free), (33.0, Fault::Up),
+        (3.0, Fault::Down), (9.0, Fault::CheckFree), (32.0, Fault::CheckFree), (33.0, Fault::Up),
     ], after 60.0 s, EITHER holds epoch 2;
 
     /// Every response takes 900 ms: renewals still fit into the term.
@@ -196,14 +196,14 @@
     /// Two faults together: the holder is paused while the platform is down,
     /// and resumes during the outage.
     paused_in_an_outage: [
-        (3.0, Fault::Pause(0)), (4.0, Fault::Down), (15.0, Fault::Wake(0)), (30.0, Fault::Up),
+        (3.0, Fault::Pause(0)), (4.0, Fault::Down), (15.0, Fault::Resume(0)), (30.0, Fault::Up),
     ], after 60.0 s, SECOND holds epoch 2;
 
     /// Two faults together: the second instance takes over while the holder is
     /// paused, the response is lost, and it is cut off from reading the lease
     /// back.
     take_over_unknown: [
-        (3.0, Fault::Pause(0)), (3.0, Fault::Lose(1, 1, Loss::After)), (11.0, Fault::Cut(1)),
-        (20.0, Fault::Mend(1)), (60.0, Fault::Wake(0)),
+        (3.0, Fault::Pause(0)), (3.0, Fault::Lose(1, 1, Loss::After)), (11.0, Fault::Disconnect(1)),
+        (20.0, Fault::Reconnect(1)), (60.0, Fault::Resume(0)),
     ], after 80.0 s, SECOND holds epoch 2;
 }
--- a/crates/control/tests/it/operate.rs
+++ b/crates/control/tests/it/operate.rs
@@ -27,12 +27,12 @@
 
 /// Checks the state that an action results in; `None` if it must be refused.
 fn check(state: State, action: &Action, wanted: Option<State>) {
-    let left = operate::resulting_object(&catalog(state), &Id::parse("r").unwrap(), action);
-    let left = left.ok().map(|object| match object {
+    let result = operate::resulting_object(&catalog(state), &Id::parse("r").unwrap(), action);
+    let resulting_state = result.ok().map(|object| match object {
         Object::Rollout(_, rollout) => rollout.state,
         other => panic!("not a roll-out: {other:?}"),
     });
-    assert_eq!(left, wanted, "{action:?} on a roll-out that is {state:?}");
+    assert_eq!(resulting_state, wanted, "{action:?} on a roll-out that is {state:?}");
 }
 
 #[test]
--- a/crates/control/tests/it/orders.rs
+++ b/crates/control/tests/it/orders.rs
@@ -99,9 +99,9 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Pause(usize),
-    Wake(usize),
-    Cut(usize),
-    Mend(usize),
+    Resume(usize),
+    Disconnect(usize),
+    Reconnect(usize),
     Lose(usize, Loss),
 }
 
@@ -112,13 +112,13 @@
         Just(Loss::Refused),
         (100u64..9_000).prop_map(|ms| Loss::Late(Duration::from_millis(ms))),
     ];
-    let who = 0usize..2;
+    let number = 0usize..2;
     let step = prop_oneof![
-        3 => who.clone().prop_map(Step::Pause),
-        3 => who.clone().prop_map(Step::Wake),
-        1 => who.clone().prop_map(Step::Cut),
-        2 => who.clone().prop_map(Step::Mend),
-        2 => (who, loss).prop_map(|(who, loss)| Step::Lose(who, loss)),
+        3 => number.clone().prop_map(Step::Pause),
+        3 => number.clone().prop_map(Step::Resume),
+        1 => number.clone().prop_map(Step::Disconnect),
+        2 => number.clone().prop_map(Step::Reconnect),
+        2 => (number, loss).prop_map(|(number, loss)| Step::Lose(number, loss)),
     ];
     (50u64..12_000, step)
 }
@@ -137,12 +137,12 @@
             settings.seed = seed + number as u64;
             settings.grace = GRACE;
             let (sender, terms) = watch::channel(None);
-            let holding = lease::run(settings, handle, support::recorder(number), sender);
-            let giving = send_orders(terms, engine.clone(), network.clone(), seed + number as u64);
+            let lease_task = lease::run(settings, handle, support::recorder(number), sender);
+            let order_task = send_orders(terms, engine.clone(), network.clone(), seed + number as u64);
             let pause = Pause::default();
             // The lease and the orders belong to one process: both pause and resume together.
             let work = async move {
-                tokio::join!(holding, giving);
+                tokio::join!(lease_task, order_task);
             };
             tokio::spawn(Process::new(pause.clone(), work));
             clients.borrow_mut().push((pause, client));
@@ -151,11 +151,11 @@
             sleep(Duration::from_millis(*wait)).await;
             let clients = clients.borrow();
             match *step {
-                Step::Pause(who) => clients[who].0.set(true),
-                Step::Wake(who) => clients[who].0.set(false),
-                Step::Cut(who) => clients[who].1.set_down(true),
-                Step::Mend(who) => clients[who].1.set_down(false),
-                Step::Lose(who, loss) => clients[who].1.lose(1, loss),
+                Step::Pause(number) => clients[number].0.set(true),
+                Step::Resume(number) => clients[number].0.set(false),
+                Step::Disconnect(number) => clients[number].1.set_down(true),
+                Step::Reconnect(number) => clients[number].1.set_down(false),
+                Step::Lose(number, loss) => clients[number].1.lose(1, loss),
             }
         }
         seconds(40.0).await;
@@ -177,7 +177,7 @@
 fn paused_amid_an_order() {
     for checks_fence in [false, true] {
         for at in (2_000..6_000).step_by(170) {
-            let steps = [(at, Step::Pause(0)), (25_000, Step::Wake(0))];
+            let steps = [(at, Step::Pause(0)), (25_000, Step::Resume(0))];
             let engine = Engine::new(checks_fence);
             let effects = play(&steps, &engine, &Network::to(&engine), 0, 3);
             assert!(effects.contains(&1) && effects.contains(&2), "both gave orders: {effects:?}");
@@ -195,7 +195,7 @@
 fn last_orders_of_a_term() {
     for (seed, lag_ms) in (0..SEEDS).flat_map(|seed| (100..4_100).step_by(200).map(move |lag_ms| (seed, lag_ms))) {
         let engine = Engine::new(false);
-        let effects = play(&[(3_000, Step::Cut(0))], &engine, &Network::slow_then_fast(), lag_ms, seed);
+        let effects = play(&[(3_000, Step::Disconnect(0))], &engine, &Network::slow_then_fast(), lag_ms, seed);
         assert!(effects.contains(&1) && effects.contains(&2), "both gave orders: {effects:?}");
         assert!(effects.is_sorted(), "{lag_ms} ms apart: {effects:?}");
     }
--- a/crates/control/tests/it/rollout.rs
+++ b/crates/control/tests/it/rollout.rs
@@ -39,12 +39,12 @@
 
 /// Opens a site, waits until its roll-out satisfies `reached`, and loses the
 /// coordinator.
-async fn lose_leader_at(reached: impl Fn(&Rollout) -> bool) -> Site {
+async fn lose_coordinator_at(reached: impl Fn(&Rollout) -> bool) -> Site {
     let mut site = Site::open(3).await;
     site.roll_out().await;
-    let watcher = (site.leader() + 1) % 3;
+    let watcher = (site.coordinator() + 1) % 3;
     site.wait(watcher, reached).await;
-    site.lose(site.leader());
+    site.lose(site.coordinator());
     site
 }
 
@@ -52,10 +52,10 @@
     ($($(#[doc = $doc:literal])* $name:ident: $reached:expr;)*) => {
         $($(#[doc = $doc])* #[tokio::test(start_paused = true)]
         async fn $name() {
-            let site = lose_leader_at($reached).await;
-            let survivor = (site.leader() + 1) % 3;
+            let site = lose_coordinator_at($reached).await;
+            let survivor = (site.coordinator() + 1) % 3;
             site.wait_for(survivor, State::Promoted).await;
-            assert_ne!(site.leader(), (survivor + 2) % 3, "another instance continues the roll-out");
+            assert_ne!(site.coordinator(), (survivor + 2) % 3, "another instance continues the roll-out");
         })*
     };
 }
@@ -210,13 +210,13 @@
 async fn coordinator_lost_in_an_outage() {
     let mut site = Site::open(3).await;
     site.roll_out().await;
-    let leader = site.leader();
-    site.wait((leader + 1) % 3, |rollout| rollout.step == 1).await;
-    site.lose(leader);
+    let coordinator = site.coordinator();
+    site.wait((coordinator + 1) % 3, |rollout| rollout.step == 1).await;
+    site.lose(coordinator);
     site.platform.set_down(true);
     seconds(30.0).await;
     site.platform.set_down(false);
-    site.wait_for((leader + 1) % 3, State::Promoted).await;
+    site.wait_for((coordinator + 1) % 3, State::Promoted).await;
 }
 
 /// Only one instance judges a version bad. All others stop it when notified,
--- a/crates/control/tests/it/site.rs
+++ b/crates/control/tests/it/site.rs
@@ -174,7 +174,7 @@
         }
         let (control, updates) = control::spawn(settings, dependencies);
         lock(&self.links).handles.push((config.clone(), control.clone()));
-        let requests = requests(number, config.clone(), control.clone(), self.traffic.clone());
+        let requests = send_requests(number, config.clone(), control.clone(), self.traffic.clone());
         let tasks = vec![
             tokio::spawn(deliver_config(self.links.clone(), number, outbound)).abort_handle(),
             tokio::spawn(deliver_updates(self.links.clone(), number, updates)).abort_handle(),
@@ -270,7 +270,7 @@
 
     /// Returns the instance whose take-over of the lease has the highest
     /// epoch.
-    pub fn leader(&self) -> usize {
+    pub fn coordinator(&self) -> usize {
         let last_epoch = |instance: &Instance| {
             let page = instance.recorder.query(&Filter::default());
             page.records.iter().rev().find_map(|record| match &record.event {
@@ -295,12 +295,12 @@
 
     /// Returns the number of orders of a kind on all timelines.
     pub fn orders(&self, kind: Wanted) -> usize {
-        let of = |instance: &Instance| {
+        let count = |instance: &Instance| {
             let records = instance.recorder.query(&Filter::default()).records;
             let wanted = |event: &Event| matches!(event, Event::Order { wanted, .. } if *wanted == kind);
             records.iter().filter(|record| wanted(&record.event)).count()
         };
-        self.instances.iter().map(of).sum()
+        self.instances.iter().map(count).sum()
     }
 
     /// Returns whether the version is stopped at an instance, by the guard or
@@ -313,7 +313,7 @@
 }
 
 /// Sends sessions of one request each, until aborted.
-async fn requests(number: usize, config: config::Handle, control: Handle, traffic: Arc<Mutex<Traffic>>) {
+async fn send_requests(number: usize, config: config::Handle, control: Handle, traffic: Arc<Mutex<Traffic>>) {
     let mut random = StdRng::seed_from_u64(number as u64);
     let customer = Customer::parse("c").unwrap();
     let model = model::Id::parse("m").unwrap();
--- a/crates/control/tests/it/steps.rs
+++ b/crates/control/tests/it/steps.rs
@@ -45,7 +45,7 @@
 async fn open_at(at: At) -> (Site, usize) {
     let site = Site::open(3).await;
     site.roll_out().await;
-    let watcher = (site.leader() + 1) % 3;
+    let watcher = (site.coordinator() + 1) % 3;
     site.wait(watcher, |rollout| at.is_reached(rollout)).await;
     (site, watcher)
 }
@@ -80,8 +80,8 @@
 async fn check_answer_lost(at: At) {
     for nth in WRITES {
         let (site, watcher) = open_at(at).await;
-        let leader = site.leader();
-        site.instances[leader].client.lose(nth, Loss::After);
+        let coordinator = site.coordinator();
+        site.instances[coordinator].client.lose(nth, Loss::After);
         let mut last = site.rollout(watcher).expect("reached").step;
         site.wait(watcher, |rollout| {
             assert!(rollout.step <= last + 1, "write {nth}: from step {last} to {}", rollout.step);
@@ -90,16 +90,16 @@
         })
         .await;
         wait_until_promoted(&site, 0..3).await;
-        assert_eq!(site.leader(), leader, "write {nth}: the lease was lost because of one lost response");
+        assert_eq!(site.coordinator(), coordinator, "write {nth}: the lease was lost because of one lost response");
     }
 }
 
 /// The coordinator's links to all peers are cut.
 async fn check_peers_cut(at: At) {
     let (site, _) = open_at(at).await;
-    let leader = site.leader();
-    for other in (0..3).filter(|other| *other != leader) {
-        site.cut(leader, other, true);
+    let coordinator = site.coordinator();
+    for other in (0..3).filter(|other| *other != coordinator) {
+        site.cut(coordinator, other, true);
     }
     wait_until_promoted(&site, 0..3).await;
 }
@@ -107,10 +107,10 @@
 /// The coordinator shuts down in order.
 async fn check_leaving(at: At) {
     let (mut site, watcher) = open_at(at).await;
-    let leader = site.leader();
-    site.leave(leader);
-    wait_until_promoted(&site, (0..3).filter(|number| *number != leader)).await;
-    assert_ne!(site.leader(), leader, "another instance continues the roll-out");
+    let coordinator = site.coordinator();
+    site.leave(coordinator);
+    wait_until_promoted(&site, (0..3).filter(|number| *number != coordinator)).await;
+    assert_ne!(site.coordinator(), coordinator, "another instance continues the roll-out");
     assert!(site.rollout(watcher).is_some_and(|rollout| rollout.step == 3));
 }
 
@@ -118,12 +118,12 @@
 /// lease, then reconnects.
 async fn check_lapsed(at: At) {
     let (site, _) = open_at(at).await;
-    let leader = site.leader();
-    site.instances[leader].client.set_down(true);
+    let coordinator = site.coordinator();
+    site.instances[coordinator].client.set_down(true);
     seconds(20.0).await;
-    site.instances[leader].client.set_down(false);
+    site.instances[coordinator].client.set_down(false);
     wait_until_promoted(&site, 0..3).await;
-    assert_ne!(site.leader(), leader, "its lease has lapsed");
+    assert_ne!(site.coordinator(), coordinator, "its lease has lapsed");
     seconds(30.0).await;
     assert!((0..3).all(|number| site.rollout(number).is_some_and(|rollout| rollout.state == State::Promoted)));
 }
@@ -263,15 +263,15 @@
 #[tokio::test(start_paused = true)]
 async fn lease_lapsed_at_stop() {
     let (site, _) = open_at(At::Expose).await;
-    let leader = site.leader();
-    site.instances[leader].client.set_down(true);
+    let coordinator = site.coordinator();
+    site.instances[coordinator].client.set_down(true);
     // After the end of its term and before a successor may give orders.
     seconds(7.0).await;
     site.set_failure_rate(350);
-    let other = (leader + 1) % 3;
+    let other = (coordinator + 1) % 3;
     site.wait_for(other, State::Withdrawn).await;
     seconds(20.0).await;
-    site.instances[leader].client.set_down(false);
+    site.instances[coordinator].client.set_down(false);
     seconds(30.0).await;
     for number in 0..3 {
         site.wait_for(number, State::Withdrawn).await;
