--- a/crates/budget/src/handle.rs
+++ b/crates/budget/src/handle.rs
@@ -1,4 +1,4 @@
-//! Reservations as the rest of an instance uses them.
+//! Handle through which the other parts of an instance reserve money.
 
 use journal::bill::Grant;
 use tokio::{
@@ -10,31 +10,32 @@
     money::Amount,
 };
 
-use crate::{Error, purse::Reserve, task::Message};
+use crate::{Error, escrow::Reserve, task::Message};
 
-/// The budgets of one instance; cheap to clone.
+/// Handle to the budget task of one instance; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
-    pub(crate) tasks: mpsc::UnboundedSender<Message>,
+    pub(crate) messages: mpsc::UnboundedSender<Message>,
 }
 
-/// Money set aside for one request. Dropped without [`Handle::commit`], it is
-/// free again.
+/// Money reserved for one request. Dropping it without [`Handle::commit`]
+/// releases the money.
 #[derive(Debug)]
 pub struct Reservation {
     customer: Customer,
     grant: Grant,
     ceiling: Amount,
-    /// Nothing once committed.
+    /// Channel on which the release is reported; `None` once committed.
     release: Option<mpsc::UnboundedSender<Message>>,
 }
 
 impl Handle {
-    /// Sets a request's price ceiling aside.
+    /// Reserves a request's price ceiling.
     ///
     /// # Errors
     ///
-    /// [`Error::Exhausted`], [`Error::Unavailable`]: the request must not run.
+    /// [`Error::Exhausted`] or [`Error::Unavailable`]; the request must not
+    /// run.
     pub async fn reserve(
         &self,
         customer: &Customer,
@@ -44,17 +45,18 @@
     ) -> Result<Reservation, Error> {
         let (reply, answer) = oneshot::channel();
         let reserve = Reserve { customer: customer.clone(), budget: *budget, ceiling, reply };
-        self.tasks.send(Message::Reserve(reserve)).map_err(|_| Error::Unavailable)?;
+        self.messages.send(Message::Reserve(reserve)).map_err(|_| Error::Unavailable)?;
         let grant = timeout_at(deadline, answer).await.map_err(|_| Error::Unavailable)?;
         let grant = grant.map_err(|_| Error::Unavailable)??;
-        Ok(Reservation { customer: customer.clone(), grant, ceiling, release: Some(self.tasks.clone()) })
+        Ok(Reservation { customer: customer.clone(), grant, ceiling, release: Some(self.messages.clone()) })
     }
 
-    /// Ends a reservation of which `actual` was billed. Called when the bill
-    /// has its receipt, and also when its fate is unknown: it may count.
+    /// Ends a reservation of which `actual` was billed. Call it when the bill
+    /// has its receipt, and also when it is unknown whether the bill was
+    /// recorded, since it may count.
     pub fn commit(&self, mut reservation: Reservation, actual: Amount) {
         reservation.release = None;
-        let _ = self.tasks.send(reservation.end(actual));
+        let _ = self.messages.send(reservation.commit_message(actual));
     }
 
     /// Ends a reservation of which nothing was billed.
@@ -62,12 +64,13 @@
         drop(reservation);
     }
 
-    /// Sets `actual` aside anew for a bill that was refused because its grant
-    /// had been settled by another instance.
+    /// Replaces a reservation by one of `actual` under a new grant, for a bill
+    /// that was rejected because another instance had settled the old grant.
     ///
     /// # Errors
     ///
-    /// As [`Handle::reserve`]: the answer cannot be billed and must not be given.
+    /// As [`Handle::reserve`]. The answer cannot be billed and must not be
+    /// delivered.
     pub async fn renew(
         &self,
         reservation: Reservation,
@@ -75,27 +78,29 @@
         actual: Amount,
         deadline: Instant,
     ) -> Result<Reservation, Error> {
-        let closed = Message::Closed { customer: reservation.customer.clone(), grant: reservation.grant.clone() };
-        let _ = self.tasks.send(closed);
+        let closed = Message::GrantClosed { customer: reservation.customer.clone(), grant: reservation.grant.clone() };
+        let _ = self.messages.send(closed);
         let customer = reservation.customer.clone();
         drop(reservation);
         self.reserve(&customer, budget, actual, deadline).await
     }
 
-    /// Gives every grant back, for a shutdown; false when some could not be
-    /// until the deadline. Those are settled by their bills later.
+    /// Returns every grant to the account, for a shutdown. Returns false if
+    /// some could not be returned by the deadline; those are settled from
+    /// their bills later.
     pub async fn flush(&self, deadline: Instant) -> bool {
         let (done, flushed) = oneshot::channel();
-        if self.tasks.send(Message::Flush(done)).is_err() {
+        if self.messages.send(Message::Flush(done)).is_err() {
             return false;
         }
         matches!(timeout_at(deadline, flushed).await, Ok(Ok(true)))
     }
 
-    /// How much of a customer's budget lies here, neither spent nor reserved.
-    pub async fn idle(&self, customer: &Customer) -> Amount {
+    /// Returns the amount of a customer's budget that this instance holds and
+    /// has neither spent nor reserved.
+    pub async fn unspent(&self, customer: &Customer) -> Amount {
         let (reply, answer) = oneshot::channel();
-        if self.tasks.send(Message::Idle(customer.clone(), reply)).is_err() {
+        if self.messages.send(Message::Unspent(customer.clone(), reply)).is_err() {
             return Amount::ZERO;
         }
         answer.await.unwrap_or_default()
@@ -103,27 +108,28 @@
 }
 
 impl Reservation {
-    /// The grant that the bill has to name.
+    /// Returns the grant that the bill has to name.
     #[must_use]
     pub fn grant(&self) -> &Grant {
         &self.grant
     }
 
-    /// What is set aside.
+    /// Returns the reserved amount.
     #[must_use]
     pub fn ceiling(&self) -> Amount {
         self.ceiling
     }
 
-    fn end(&self, actual: Amount) -> Message {
+    /// Builds the message that ends this reservation with `actual` spent.
+    fn commit_message(&self, actual: Amount) -> Message {
         Message::Commit { customer: self.customer.clone(), grant: self.grant.clone(), ceiling: self.ceiling, actual }
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        if let Some(tasks) = self.release.take() {
-            let _ = tasks.send(self.end(Amount::ZERO));
+        if let Some(messages) = self.release.take() {
+            let _ = messages.send(self.commit_message(Amount::ZERO));
         }
     }
 }
--- a/crates/control/src/coordinator.rs
+++ b/crates/control/src/coordinator.rs
@@ -1,11 +1,12 @@
-//! Carries roll-outs on while this instance holds the lease.
+//! Advances roll-outs while this instance holds the lease.
 //!
-//! All that a roll-out is stands in its object: state, step, reason. The
-//! coordinator reads it, plans the next move ([`route::rollout::plan`]) and
-//! writes it on the condition that nobody else did meanwhile. One that is lost
-//! between any two moves is replaced by the next holder, who reads the same
-//! object; what it knew besides, how long a step has lasted and what engines
-//! hold, the next one learns anew, at worst waiting a little longer.
+//! The whole state of a roll-out is in its object: state, step and reason. The
+//! coordinator reads it, plans the next transition ([`route::rollout::plan`])
+//! and writes it on the condition that the object has not changed meanwhile.
+//! If the coordinator is lost between two transitions, the next lease holder
+//! reads the same object and continues. It has to determine again what is not
+//! stored, namely how long a step has lasted and which versions engines hold; at
+//! worst this makes a step last longer.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -33,22 +34,24 @@
 
 use crate::{Settings, guard::Verdicts, lease::Term, loads::Loads, order::Call};
 
-/// Time between two looks at all roll-outs.
-const TICK: Duration = Duration::from_millis(500);
+/// Interval at which all roll-outs are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time from a withdrawal until engines drop the version. Runs under way end
-/// meanwhile; unloading at once would cut off their answers.
-const DRAIN: Duration = Duration::from_mins(2);
+/// Time from a withdrawal until engines are ordered to drop the version.
+/// Running requests end meanwhile; unloading at once would cut off their
+/// answers.
+const DRAIN_TIME: Duration = Duration::from_mins(2);
 
-/// Part of a version's endpoints that must hold it before it takes all of its
-/// tier's work; the rest may be down.
-const ENOUGH: f64 = 0.9;
+/// Upper bound on the share of a version's endpoints that must have loaded it
+/// before the next step, however large that step is; the rest may be down.
+const MAX_REQUIRED_SHARE: f64 = 0.9;
 
-/// Fewest endpoints that must hold it before it takes any, where there are as
-/// many: one alone would make it slow, and the guard would stop it for that.
-const FEWEST: usize = 2;
+/// Fewest endpoints that must have loaded the version before it takes any
+/// traffic, if it has as many: a single one would be slow, and the guard would
+/// stop the version for that.
+const MIN_LOADED_ENDPOINTS: usize = 2;
 
-/// The task's ends.
+/// The coordinator task.
 pub(crate) struct Coordinator {
     pub settings: Arc<Settings>,
     pub config: config::Handle,
@@ -58,15 +61,16 @@
     pub calls: mpsc::Sender<Call>,
 }
 
-/// What is known beside the objects; ends with the term.
-struct Office {
+/// State that is not stored in the objects; kept for one lease term.
+struct TermState {
     epoch: u64,
     loads: Loads,
-    since: HashMap<Id, Seen>,
+    /// When each roll-out was first seen in its present state and step.
+    step_starts: HashMap<Id, StepStart>,
 }
 
-/// Since when a roll-out has stood where it stands.
-struct Seen {
+/// A roll-out's state and step, and when they were first seen.
+struct StepStart {
     state: State,
     step: usize,
     at: Instant,
@@ -74,48 +78,53 @@
 
 impl Coordinator {
     pub async fn run(mut self) {
-        let mut tick = interval(TICK);
+        let mut tick = interval(CHECK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut office: Option<Office> = None;
+        let mut term_state: Option<TermState> = None;
         loop {
             tokio::select! {
                 _ = tick.tick() => {}
                 changed = self.terms.changed() => if changed.is_err() { return },
             }
             let Some(term) = self.term() else {
-                office = None;
+                term_state = None;
                 continue;
             };
-            let mut present = office.take().filter(|o| o.epoch == term.epoch).unwrap_or_else(|| self.enter(term));
-            self.work(&mut present, term).await;
-            office = Some(present);
+            let mut active =
+                term_state.take().filter(|state| state.epoch == term.epoch).unwrap_or_else(|| self.begin_term(term));
+            self.advance_rollouts(&mut active, term).await;
+            term_state = Some(active);
         }
     }
 
+    /// Returns the lease term in force, if this instance holds the lease.
     fn term(&self) -> Option<Term> {
-        self.terms.borrow().filter(|term| !term.left().is_zero())
+        self.terms.borrow().filter(|term| !term.remaining().is_zero())
     }
 
-    fn enter(&self, term: Term) -> Office {
-        let loads = Loads::new(self.calls.clone(), self.settings.loads_at_once);
-        Office { epoch: term.epoch, loads, since: HashMap::new() }
+    /// Returns the state for a new lease term.
+    fn begin_term(&self, term: Term) -> TermState {
+        let loads = Loads::new(self.calls.clone(), self.settings.max_concurrent_loads);
+        TermState { epoch: term.epoch, loads, step_starts: HashMap::new() }
     }
 
-    async fn work(&self, office: &mut Office, term: Term) {
+    /// Updates the orders to engines and carries out the next transition of each roll-out.
+    async fn advance_rollouts(&self, term_state: &mut TermState, term: Term) {
         let catalog = self.config.current();
-        office.see(&catalog);
-        office.loads.want(&office.wanted(&catalog));
-        office.loads.step(term, &self.recorder).await;
+        term_state.track_steps(&catalog);
+        term_state.loads.set_wanted(&term_state.wanted(&catalog));
+        term_state.loads.advance(term, &self.recorder).await;
         for (id, rollout) in catalog.rollouts() {
             let verdict = self.verdict(id, rollout);
-            let plan = exposure::plan(rollout, &verdict, &office.progress(&catalog, id, rollout));
-            if let Some(next) = carried_out(rollout, &plan) {
+            let plan = exposure::plan(rollout, &verdict, &term_state.progress(&catalog, id, rollout));
+            if let Some(next) = apply_plan(rollout, &plan) {
                 self.write(id, rollout, next).await;
             }
         }
     }
 
-    /// What the guard thinks of the step in force, and nothing of another.
+    /// Returns the guard's verdict on the step in force; a verdict on another
+    /// step is ignored.
     fn verdict(&self, id: &Id, rollout: &Rollout) -> Verdict {
         let verdicts = self.verdicts.borrow();
         match verdicts.get(id) {
@@ -124,11 +133,12 @@
         }
     }
 
+    /// Writes the next state of a roll-out if it has not changed since the plan was made.
     async fn write(&self, id: &Id, old: &Rollout, next: Rollout) {
         let key = Key { kind: Kind::Rollout, name: id.to_string() };
         let Some(revision) = self.config.revision(&key) else { return };
-        // The plan was made from the catalog read before. If the object has
-        // changed since, an operator's pause say, the plan is void.
+        // The plan was made from the catalog as read before. If the object has changed since,
+        // for example because an operator paused it, the plan is void.
         if self.config.current().rollouts().get(id) != Some(old) {
             return;
         }
@@ -140,35 +150,38 @@
                 self.recorder.record(Event::Rollout { rollout: id.clone(), version, phase, reason });
             }
             Ok(_) => {}
-            Err(error) => tracing::warn!(rollout = %id, %error, "roll-out not moved on, will be tried again"),
+            Err(error) => tracing::warn!(rollout = %id, %error, "roll-out transition not written, will retry"),
         }
     }
 }
 
-impl Office {
-    fn see(&mut self, catalog: &Catalog) {
-        self.since.retain(|id, _| catalog.rollouts().contains_key(id));
+impl TermState {
+    /// Records the time at which each roll-out entered its state and step.
+    fn track_steps(&mut self, catalog: &Catalog) {
+        self.step_starts.retain(|id, _| catalog.rollouts().contains_key(id));
         for (id, rollout) in catalog.rollouts() {
-            let fresh = Seen { state: rollout.state, step: rollout.step, at: Instant::now() };
-            let seen = self.since.entry(id.clone()).or_insert(Seen { ..fresh });
-            if seen.state != rollout.state || seen.step != rollout.step {
-                *seen = fresh;
+            let fresh = StepStart { state: rollout.state, step: rollout.step, at: Instant::now() };
+            let start = self.step_starts.entry(id.clone()).or_insert(StepStart { ..fresh });
+            if start.state != rollout.state || start.step != rollout.step {
+                *start = fresh;
             }
         }
     }
 
-    fn at_step(&self, id: &Id) -> Duration {
-        self.since.get(id).map_or(Duration::ZERO, |seen| seen.at.elapsed())
+    /// Returns how long a roll-out has been at its state and step.
+    fn time_at_step(&self, id: &Id) -> Duration {
+        self.step_starts.get(id).map_or(Duration::ZERO, |start| start.at.elapsed())
     }
 
-    /// What engines are to hold: versions under roll-out, and those withdrawn
-    /// long enough ago no more.
+    /// Returns, for each version, what its endpoints are to hold: versions
+    /// under roll-out are loaded, those withdrawn longer than the drain time
+    /// ago are dropped.
     fn wanted(&self, catalog: &Catalog) -> BTreeMap<Version, (Wanted, Vec<Endpoint>)> {
         let mut wanted = BTreeMap::new();
         for (id, rollout) in catalog.rollouts() {
             let want = match rollout.state {
                 State::Loading | State::Exposing | State::Paused => Wanted::Loaded,
-                State::Withdrawn if self.at_step(id) >= DRAIN => Wanted::Dropped,
+                State::Withdrawn if self.time_at_step(id) >= DRAIN_TIME => Wanted::Dropped,
                 State::Withdrawn | State::Promoted => continue,
             };
             wanted.insert(rollout.version.clone(), (want, catalog.endpoints(&rollout.version).to_vec()));
@@ -176,30 +189,36 @@
         wanted
     }
 
+    /// Returns the progress of a roll-out's present step.
     fn progress(&self, catalog: &Catalog, id: &Id, rollout: &Rollout) -> Progress {
         let endpoints = catalog.endpoints(&rollout.version).len();
-        let at_step_ms = millis(self.at_step(id));
-        Progress { at_step_ms, loaded: self.loads.loaded(&rollout.version), wanted: wanted(endpoints, rollout) }
+        let at_step_ms = millis(self.time_at_step(id));
+        Progress {
+            at_step_ms,
+            loaded: self.loads.loaded(&rollout.version),
+            wanted: required_endpoints(endpoints, rollout),
+        }
     }
 }
 
-/// Endpoints that must hold the version for the step to come.
-fn wanted(endpoints: usize, rollout: &Rollout) -> usize {
+/// Returns the number of endpoints that must hold the version before the next
+/// step.
+fn required_endpoints(endpoints: usize, rollout: &Rollout) -> usize {
     let next = if rollout.state == State::Loading { rollout.step } else { rollout.step + 1 };
-    let share = rollout.steps.get(next).copied().unwrap_or(1.0).min(ENOUGH);
+    let share = rollout.steps.get(next).copied().unwrap_or(1.0).min(MAX_REQUIRED_SHARE);
     #[expect(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "at most some ten thousand endpoints, times a share from 0 to 1"
     )]
-    let needed = (endpoints as f64 * share).floor() as usize;
-    // A version without endpoints never takes traffic.
-    needed.max(FEWEST.min(endpoints)).max(1)
+    let required = (endpoints as f64 * share).floor() as usize;
+    // At least one, so a version without endpoints never takes traffic.
+    required.max(MIN_LOADED_ENDPOINTS.min(endpoints)).max(1)
 }
 
-/// The object that a plan leaves behind; nothing while it waits.
-fn carried_out(rollout: &Rollout, plan: &Plan) -> Option<Rollout> {
+/// Applies a plan to a roll-out; `None` if the plan is to wait.
+fn apply_plan(rollout: &Rollout, plan: &Plan) -> Option<Rollout> {
     let next = rollout.clone();
     Some(match plan {
         Plan::Wait(_) => return None,
@@ -213,6 +232,7 @@
     })
 }
 
+/// Returns the phase that the timeline records for a roll-out's state.
 fn phase(rollout: &Rollout) -> Phase {
     match rollout.state {
         State::Loading => Phase::Loading,
--- a/crates/control/src/guard.rs
+++ b/crates/control/src/guard.rs
@@ -1,11 +1,13 @@
-//! The version guard: one instance's strong evidence stops a version everywhere.
+//! The version guard: stops a version at all instances as soon as the evidence
+//! of one instance or of the whole fleet is strong enough.
 //!
-//! The task owns the ledger. It tells peers its sums, judges the fleet's, and
-//! when they are strong enough stops the version here at once, tells every
-//! peer, and hands the stop to [`crate::withdraw`], which makes it last. News
-//! of a stop are repeated, and passed on by whoever heard them, until the
-//! configuration says so too: a link that loses one message, or two instances
-//! without a link, then only delay it.
+//! The task owns the ledger. It sends this instance's sums to its peers and
+//! judges the sums of the whole fleet. When the evidence against a version is
+//! strong enough, it stops the version here at once, notifies every peer, and
+//! hands the stop to [`crate::withdraw`], which writes it to the
+//! configuration. Every instance that has received a stop repeats it to its
+//! peers until the configuration contains it. A lost message, or two instances
+//! without a link, therefore only delays a stop.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -25,50 +27,56 @@
     Settings,
     handle::Message,
     ledger::{self, Ledger},
-    wire::News,
+    wire::Update,
 };
 
-/// Time between two judgements.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which the evidence is judged.
+const JUDGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two messages to peers in a small fleet.
-const NEWS_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of updates to peers in a fleet of up to [`PEERS_PER_INTERVAL`] peers.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two repeats of a stop that is not in force yet.
-const STOP_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a stop is repeated until the configuration contains it.
+const STOP_REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Peers up to which [`NEWS_INTERVAL`] holds; more make it longer, so that
-/// what an instance receives does not grow with the fleet.
-const NEWS_PEERS: u32 = 8;
+/// Number of peers up to which [`UPDATE_INTERVAL`] holds. With more, the
+/// interval grows in proportion, so that what an instance receives does not
+/// grow with the fleet.
+const PEERS_PER_INTERVAL: u32 = 8;
 
-/// Part of the interval after which bad news may go out already.
-const HURRY: u32 = 5;
+/// Divisor of the update interval for updates that contain new failures of a
+/// version under roll-out; those are sent earlier.
+const URGENT_DIVISOR: u32 = 5;
 
-/// What is thought of each running roll-out's present step.
+/// Verdict on the present step of each running roll-out.
 pub(crate) type Verdicts = BTreeMap<rollout::Id, (usize, Verdict)>;
 
-/// The task's ends.
+/// The guard task.
 pub(crate) struct Guard {
     pub settings: Arc<Settings>,
     pub catalog: watch::Receiver<Arc<Catalog>>,
     pub recorder: Recorder,
     pub stops: watch::Sender<Arc<Stops>>,
     pub verdicts: watch::Sender<Arc<Verdicts>>,
+    /// Notified when this instance's own evidence stops a version.
     pub own_stop: Arc<Notify>,
-    pub news: mpsc::Sender<Bytes>,
+    /// Encoded updates for all peers.
+    pub updates: mpsc::Sender<Bytes>,
     pub ledger: Ledger,
-    pub told: Told,
+    pub publication: Publication,
 }
 
-/// When peers were told last, and whether there is more to tell.
+/// When the last update was sent to peers, and what has changed since.
 #[derive(Debug)]
-pub(crate) struct Told {
+pub(crate) struct Publication {
     at: Instant,
+    /// Whether there are new observations.
     changed: bool,
+    /// Whether there are new failures of a version under roll-out.
     urgent: bool,
 }
 
-impl Default for Told {
+impl Default for Publication {
     fn default() -> Self {
         Self { at: Instant::now(), changed: false, urgent: false }
     }
@@ -76,53 +84,55 @@
 
 impl Guard {
     pub async fn run(mut self, mut inbox: mpsc::Receiver<Message>) {
-        let mut tick = interval(TICK);
+        let mut tick = interval(JUDGE_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut catalogs = self.catalog.clone();
         loop {
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 changed = catalogs.changed() => match changed {
-                    Ok(()) => self.settle(),
+                    Ok(()) => self.on_catalog(),
                     Err(_) => return,
                 },
                 _ = tick.tick() => self.judge(),
             }
-            self.tell();
+            self.publish_if_due();
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let catalog = self.catalog.borrow().clone();
         match message {
             Message::Observed(observation) => {
-                self.told.urgent |= self.ledger.observe(&catalog, &observation);
-                self.told.changed = true;
+                self.publication.urgent |= self.ledger.observe(&catalog, &observation);
+                self.publication.changed = true;
             }
-            Message::Heard(bytes) => match News::decode(&bytes) {
-                Ok(news) => self.hear(&catalog, news),
+            Message::PeerUpdate(bytes) => match Update::decode(&bytes) {
+                Ok(update) => self.handle_update(&catalog, update),
                 Err(_) => metrics::counter!("control_news_malformed_total").increment(1),
             },
         }
     }
 
-    fn hear(&mut self, catalog: &Catalog, news: News) {
-        let (by, incarnation) = news.source;
+    /// Adds the stops and stores the sums of a peer's update.
+    fn handle_update(&mut self, catalog: &Catalog, update: Update) {
+        let (by, incarnation) = update.source;
         if by == self.settings.instance && incarnation == self.settings.incarnation {
             return;
         }
-        for stop in news.stops {
-            self.stop(catalog, stop, by.clone());
+        for stop in update.stops {
+            self.add_stop(catalog, stop, by.clone());
         }
-        self.ledger.hear((by, incarnation), news.sums);
+        self.ledger.set_peer_sums((by, incarnation), update.sums);
     }
 
-    fn settle(&mut self) {
+    /// Drops sums and stops that the new catalog makes obsolete.
+    fn on_catalog(&mut self) {
         let catalog = self.catalog.borrow().clone();
-        self.ledger.settle(&catalog);
+        self.ledger.retain_running(&catalog);
         let mut stops = self.stops.borrow().as_ref().clone();
         stops.prune(&catalog);
         if stops != **self.stops.borrow() {
@@ -130,6 +140,7 @@
         }
     }
 
+    /// Judges every running roll-out and stops those with a bad version.
     fn judge(&mut self) {
         let catalog = self.catalog.borrow().clone();
         let mut verdicts = Verdicts::new();
@@ -137,8 +148,8 @@
             let fleet = self.ledger.fleet(id, rollout);
             let verdict = guard::evaluate(&self.settings.guard, rollout, &fleet.steps, &fleet.window);
             if let Verdict::Stop(reason) = &verdict {
-                let stop = stop(id, rollout, reason);
-                self.stop(&catalog, stop, self.settings.instance.clone());
+                let stop = stop_of(id, rollout, reason);
+                self.add_stop(&catalog, stop, self.settings.instance.clone());
             }
             verdicts.insert(id.clone(), (rollout.step, verdict));
         }
@@ -147,13 +158,14 @@
         }
     }
 
-    fn stop(&mut self, catalog: &Catalog, stop: Stop, by: instance::Id) {
+    /// Adds a stop received from or found by instance `by`, unless it is known or already in the configuration.
+    fn add_stop(&mut self, catalog: &Catalog, stop: Stop, by: instance::Id) {
         let mut stops = self.stops.borrow().as_ref().clone();
         let (version, reason) = (stop.version.clone(), stop.reason.clone());
         if !stops.insert(stop) {
             return;
         }
-        // Late news of a stop that is already in force.
+        // A stop that the configuration already contains is dropped; its message was late.
         stops.prune(catalog);
         if !stops.contains(&version) {
             return;
@@ -164,39 +176,42 @@
         }
         self.recorder.record(Event::Stop { version, by, reason });
         metrics::counter!("control_stops_total").increment(1);
-        self.tell_now();
+        self.publish();
     }
 
-    fn tell(&mut self) {
+    /// Sends an update to peers if one is due.
+    fn publish_if_due(&mut self) {
         let stopped = self.stops.borrow().iter().next().is_some();
-        let peers = u32::try_from(self.ledger.sources()).unwrap_or(u32::MAX);
-        let interval = NEWS_INTERVAL * peers.div_ceil(NEWS_PEERS).max(1);
-        let gone = self.told.at.elapsed();
-        let due = (self.told.changed && gone >= interval)
-            || (self.told.urgent && gone >= interval / HURRY)
-            || (stopped && gone >= STOP_INTERVAL);
+        let peers = u32::try_from(self.ledger.peer_count()).unwrap_or(u32::MAX);
+        let interval = UPDATE_INTERVAL * peers.div_ceil(PEERS_PER_INTERVAL).max(1);
+        let since_last = self.publication.at.elapsed();
+        let due = (self.publication.changed && since_last >= interval)
+            || (self.publication.urgent && since_last >= interval / URGENT_DIVISOR)
+            || (stopped && since_last >= STOP_REPEAT_INTERVAL);
         if due {
-            self.tell_now();
+            self.publish();
         }
     }
 
-    fn tell_now(&mut self) {
-        let sums = self.ledger.own().map(|(step, sums)| (step.clone(), *sums)).collect();
+    /// Sends all sums and stops to peers.
+    fn publish(&mut self) {
+        let sums = self.ledger.own_sums().map(|(step, sums)| (step.clone(), *sums)).collect();
         let stops = self.stops.borrow().iter().cloned().collect();
         let source = (self.settings.instance.clone(), self.settings.incarnation);
-        let news = News { source, sums, stops };
-        self.told = Told { at: Instant::now(), changed: false, urgent: false };
-        if news.sums.is_empty() && news.stops.is_empty() {
+        let update = Update { source, sums, stops };
+        self.publication = Publication { at: Instant::now(), changed: false, urgent: false };
+        if update.sums.is_empty() && update.stops.is_empty() {
             return;
         }
-        // A full queue means that links are slower than our news: the next
-        // message holds all of this one.
-        if self.news.try_send(news.encode()).is_err() {
+        // A full queue means that the links are slower than the updates. The next update
+        // contains all of this one.
+        if self.updates.try_send(update.encode()).is_err() {
             metrics::counter!("control_news_dropped_total").increment(1);
         }
     }
 }
 
-fn stop(id: &rollout::Id, rollout: &rollout::Rollout, reason: &Reason) -> Stop {
+/// Builds the stop of a roll-out's version.
+fn stop_of(id: &rollout::Id, rollout: &rollout::Rollout, reason: &Reason) -> Stop {
     Stop { version: rollout.version.clone(), rollout: id.clone(), reason: reason.to_string() }
 }
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -1,8 +1,8 @@
-//! What this instance and its peers have seen of versions under roll-out.
+//! Evidence on versions under roll-out, from this instance and its peers.
 //!
-//! Each instance keeps sums of its own and the last sums heard from each run
-//! of each peer; evidence is the sum over them. A peer that was lost keeps its
-//! say until the step ends.
+//! Each instance keeps its own sums and the last sums received from each run
+//! of each peer; the evidence is the total of them. The sums of a lost peer
+//! count until the step ends.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,22 +20,23 @@
 
 use crate::observation::{Observation, Outcome};
 
-/// Length of a window.
-const WINDOW: Duration = Duration::from_mins(5);
+/// Length of a window of evidence.
+const WINDOW_LENGTH: Duration = Duration::from_mins(5);
 
-/// The predecessor's quantile above which an answer is slow.
+/// Quantile of the predecessor's latency above which an answer is slow.
 const SLOW_QUANTILE: f64 = 0.95;
 
-/// Answers of the predecessor before its quantile is taken for known.
-const BASELINE_ANSWERS: u64 = 200;
+/// Number of the predecessor's answers after which that quantile is fixed.
+const MIN_BASELINE_ANSWERS: u64 = 200;
 
-/// Longest latency told apart, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
+/// Longest latency that the histogram distinguishes, in milliseconds.
+const MAX_LATENCY_MS: u64 = 600_000;
 
-/// Bad sessions remembered, so that each counts once; then all are forgotten.
-const BAD_SESSIONS: usize = 100_000;
+/// Number of bad sessions remembered so that each counts once; beyond it, all
+/// are forgotten.
+const MAX_BAD_SESSIONS: usize = 100_000;
 
-/// One step of one roll-out.
+/// Identifies one step of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Step {
     pub rollout: rollout::Id,
@@ -43,64 +44,72 @@
     pub number: usize,
 }
 
-/// Which run of which instance.
+/// Instance and incarnation that observed or sent the sums.
 pub(crate) type Source = (instance::Id, instance::Incarnation);
 
-/// A session's signal in a roll-out.
+/// A session with a bad signal in a roll-out.
 type BadSession = (rollout::Id, Unit, Signal);
 
-/// The fleet's evidence of one roll-out.
+/// Evidence of the whole fleet on one roll-out.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Fleet {
-    /// By step, up to the present one.
+    /// Evidence by step, up to the present one.
     pub steps: Vec<Evidence>,
-    /// The present step's latest window.
+    /// Latest window of the present step.
     pub window: Window,
 }
 
-/// One instance's sums at one step.
+/// One instance's evidence at one step: in total and in the latest window.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Sums {
     pub step: Evidence,
     pub window: Window,
 }
 
-/// All sums at this instance.
+/// Sums of this instance and its peers.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
-    own: BTreeMap<Step, Own>,
-    others: HashMap<Source, BTreeMap<Step, Sums>>,
+    /// This instance's sums.
+    own: BTreeMap<Step, Counter>,
+    /// Last sums received from each peer.
+    peers: HashMap<Source, BTreeMap<Step, Sums>>,
+    /// Latencies of the predecessors.
     baselines: HashMap<Version, Baseline>,
-    bad: HashMap<BadSession, u32>,
+    /// Bad sessions with the number of the last window that counted them.
+    bad_sessions: HashMap<BadSession, u32>,
 }
 
+/// This instance's sums at one step, and when the step was first seen.
 #[derive(Debug)]
-struct Own {
+struct Counter {
     sums: Sums,
     since: Instant,
 }
 
-/// The predecessor's latencies before the roll-out met traffic.
+/// Latencies of a predecessor, collected until the limit for slow answers is
+/// fixed.
 #[derive(Debug)]
 struct Baseline {
-    seen: Histogram<u32>,
+    latencies: Histogram<u32>,
+    /// Latency above which an answer is slow, once known.
     slow_ms: Option<Millis>,
 }
 
 impl Ledger {
-    /// Takes in what a request told; true when it was bad news of a new version.
+    /// Counts an observation. Returns true if it is a new failure of a version
+    /// under roll-out.
     pub fn observe(&mut self, catalog: &Catalog, observation: &Observation) -> bool {
-        let mut bad_news = false;
+        let mut is_new_failure = false;
         for (id, rollout) in running(catalog) {
             let Some(arm) = arm(catalog, rollout, observation) else { continue };
-            let slow = self.slow(rollout, observation);
+            let slow = self.is_slow(rollout, observation);
             let step = step_of(id, rollout);
-            let own = self.own.entry(step.clone()).or_insert_with(Own::new);
-            own.turn_window();
+            let own = self.own.entry(step.clone()).or_insert_with(Counter::new);
+            own.advance_window();
             let window = own.sums.window.number;
-            for (signal, bad) in seen(observation.outcome, slow) {
+            for (signal, bad) in signals(observation.outcome, slow) {
                 let (first, first_in_window) = if bad {
-                    first_bad(&mut self.bad, (id.clone(), observation.unit, signal), window)
+                    record_bad(&mut self.bad_sessions, (id.clone(), observation.unit, signal), window)
                 } else {
                     (true, true)
                 };
@@ -110,47 +119,48 @@
                 if first_in_window {
                     count(&mut own.sums.window.evidence, arm, signal, bad);
                 }
-                bad_news |= first && bad && arm == Arm::New;
+                is_new_failure |= first && bad && arm == Arm::New;
             }
         }
-        bad_news
+        is_new_failure
     }
 
-    /// Takes in a peer's sums; they replace its earlier ones.
-    pub fn hear(&mut self, source: Source, sums: BTreeMap<Step, Sums>) {
-        self.others.insert(source, sums);
+    /// Replaces the sums of a peer.
+    pub fn set_peer_sums(&mut self, source: Source, sums: BTreeMap<Step, Sums>) {
+        self.peers.insert(source, sums);
     }
 
-    /// This instance's sums, for its peers.
-    pub fn own(&self) -> impl Iterator<Item = (&Step, &Sums)> {
+    /// Returns this instance's sums, which are sent to its peers.
+    pub fn own_sums(&self) -> impl Iterator<Item = (&Step, &Sums)> {
         self.own.iter().map(|(step, own)| (step, &own.sums))
     }
 
-    /// Instances that have told of a running step.
-    pub fn sources(&self) -> usize {
-        self.others.values().filter(|steps| !steps.is_empty()).count()
+    /// Returns the number of peers that have sent sums of a running roll-out.
+    pub fn peer_count(&self) -> usize {
+        self.peers.values().filter(|steps| !steps.is_empty()).count()
     }
 
-    /// The fleet's evidence of a roll-out.
+    /// Returns the evidence of the whole fleet on a roll-out.
     pub fn fleet(&self, id: &rollout::Id, rollout: &Rollout) -> Fleet {
         let mut step = step_of(id, rollout);
         let mut fleet = Fleet::default();
         for number in 0..=rollout.step {
             step.number = number;
-            let total = self.total(&step);
+            let total = self.fleet_sums(&step);
             fleet.steps.push(total.step);
             fleet.window = total.window;
         }
         fleet
     }
 
-    fn total(&self, step: &Step) -> Sums {
+    /// Returns the fleet's total of one step.
+    fn fleet_sums(&self, step: &Step) -> Sums {
         let own = self.own.get(step).map(|own| own.sums);
-        let heard = self.others.values().filter_map(|steps| steps.get(step).copied());
-        let parts: Vec<_> = own.into_iter().chain(heard).collect();
+        let from_peers = self.peers.values().filter_map(|steps| steps.get(step).copied());
+        let parts: Vec<_> = own.into_iter().chain(from_peers).collect();
         let mut total = Sums::default();
-        // Instances turn their windows by their own clocks. One that lags adds
-        // its older window only to the step, never to another window.
+        // Instances begin windows by their own clocks. The older window of one that lags
+        // counts only towards the step, never towards another window.
         total.window.number = parts.iter().map(|sums| sums.window.number).max().unwrap_or(0);
         for part in parts {
             total.step += part.step;
@@ -161,45 +171,46 @@
         total
     }
 
-    /// Forgets what belongs to no running roll-out.
-    pub fn settle(&mut self, catalog: &Catalog) {
+    /// Forgets everything that belongs to no running roll-out.
+    pub fn retain_running(&mut self, catalog: &Catalog) {
         let keep = |step: &Step| {
             let rollout = catalog.rollouts().get(&step.rollout);
             rollout.is_some_and(|r| is_running(r) && r.version == step.version)
         };
         self.own.retain(|step, _| keep(step));
-        self.bad.retain(|(id, ..), _| catalog.rollouts().get(id).is_some_and(is_running));
-        self.others.values_mut().for_each(|steps| steps.retain(|step, _| keep(step)));
-        self.others.retain(|_, steps| !steps.is_empty());
+        self.bad_sessions.retain(|(id, ..), _| catalog.rollouts().get(id).is_some_and(is_running));
+        self.peers.values_mut().for_each(|steps| steps.retain(|step, _| keep(step)));
+        self.peers.retain(|_, steps| !steps.is_empty());
         let watched: Vec<_> = running(catalog).map(|(_, rollout)| predecessor(rollout)).collect();
         self.baselines.retain(|version, _| watched.contains(version));
     }
 
-    /// Whether an answer is slow; nothing when that cannot be told.
-    fn slow(&mut self, rollout: &Rollout, observation: &Observation) -> Option<bool> {
+    /// Returns whether an answer is slow, or `None` if the limit is not known
+    /// yet.
+    fn is_slow(&mut self, rollout: &Rollout, observation: &Observation) -> Option<bool> {
         let Outcome::Answered { latency_ms } = observation.outcome else { return None };
         let predecessor = predecessor(rollout);
-        let of_predecessor = observation.version == predecessor;
+        let is_predecessor = observation.version == predecessor;
         let baseline = self.baselines.entry(predecessor).or_insert_with(Baseline::new);
         if let Some(slow_ms) = baseline.slow_ms {
             return Some(latency_ms > slow_ms);
         }
-        // Fixed once and for all: answers that shape the limit must not be
-        // counted against it.
-        if of_predecessor {
-            baseline.take(latency_ms);
+        // The limit is fixed once: answers that determine it must not be counted against it.
+        if is_predecessor {
+            baseline.record(latency_ms);
         }
         None
     }
 }
 
-impl Own {
+impl Counter {
     fn new() -> Self {
         Self { sums: Sums::default(), since: Instant::now() }
     }
 
-    fn turn_window(&mut self) {
-        let windows = self.since.elapsed().as_secs() / WINDOW.as_secs();
+    /// Begins a new window if the present one has ended.
+    fn advance_window(&mut self) {
+        let windows = self.since.elapsed().as_secs() / WINDOW_LENGTH.as_secs();
         let number = u32::try_from(windows).unwrap_or(u32::MAX);
         if number > self.sums.window.number {
             self.sums.window = Window { number, evidence: Evidence::default() };
@@ -209,37 +220,41 @@
 
 impl Baseline {
     fn new() -> Self {
-        let mut seen = Histogram::new_with_max(LONGEST_MS, 2).expect("bounds are constants that fit");
-        seen.auto(false);
-        Self { seen, slow_ms: None }
+        let mut latencies = Histogram::new_with_max(MAX_LATENCY_MS, 2).expect("the constant bounds are valid");
+        latencies.auto(false);
+        Self { latencies, slow_ms: None }
     }
 
-    fn take(&mut self, latency_ms: Millis) {
-        self.seen.saturating_record(latency_ms.clamp(1, LONGEST_MS));
-        if self.seen.len() >= BASELINE_ANSWERS {
-            self.slow_ms = Some(self.seen.value_at_quantile(SLOW_QUANTILE));
+    /// Adds a latency and fixes the limit once there are enough.
+    fn record(&mut self, latency_ms: Millis) {
+        self.latencies.saturating_record(latency_ms.clamp(1, MAX_LATENCY_MS));
+        if self.latencies.len() >= MIN_BASELINE_ANSWERS {
+            self.slow_ms = Some(self.latencies.value_at_quantile(SLOW_QUANTILE));
         }
     }
 }
 
-/// Roll-outs whose version may meet traffic.
+/// Returns the roll-outs whose version may receive traffic.
 pub(crate) fn running(catalog: &Catalog) -> impl Iterator<Item = (&rollout::Id, &Rollout)> {
     catalog.rollouts().iter().filter(|(_, rollout)| is_running(rollout))
 }
 
+/// Returns whether a roll-out's version may receive traffic.
 fn is_running(rollout: &Rollout) -> bool {
     matches!(rollout.state, State::Loading | State::Exposing | State::Paused)
 }
 
+/// Returns the present step of a roll-out.
 fn step_of(id: &rollout::Id, rollout: &Rollout) -> Step {
     Step { rollout: id.clone(), version: rollout.version.clone(), number: rollout.step }
 }
 
+/// Returns the version that a roll-out replaces.
 fn predecessor(rollout: &Rollout) -> Version {
     Version { model: rollout.version.model.clone(), number: rollout.predecessor.clone() }
 }
 
-/// The arm an observation counts for in a roll-out, if any.
+/// Returns the arm for which an observation counts in a roll-out, if any.
 fn arm(catalog: &Catalog, rollout: &Rollout, observation: &Observation) -> Option<Arm> {
     if observation.version == rollout.version {
         return Some(Arm::New);
@@ -253,8 +268,8 @@
     (arm == Arm::Control).then_some(arm)
 }
 
-/// What an outcome says of each signal.
-fn seen(outcome: Outcome, slow: Option<bool>) -> impl Iterator<Item = (Signal, bool)> {
+/// Returns the signals that an outcome gives, and whether each is bad.
+fn signals(outcome: Outcome, slow: Option<bool>) -> impl Iterator<Item = (Signal, bool)> {
     let (first, second) = match outcome {
         Outcome::Answered { .. } => (Some((Signal::Errors, false)), slow.map(|slow| (Signal::Latency, slow))),
         Outcome::Failed => (Some((Signal::Errors, true)), None),
@@ -263,14 +278,15 @@
     first.into_iter().chain(second)
 }
 
-/// Whether a session's bad thing is its first in the roll-out, and in the window.
+/// Records a bad signal of a session. Returns whether it is the session's
+/// first in the roll-out, and whether it is its first in the window.
 ///
-/// A session that fails once often fails again, with the same hard task. Each
-/// session is dealt to an arm once; counting its failures one by one would
-/// take one unlucky session for many.
-fn first_bad(known: &mut HashMap<BadSession, u32>, session: BadSession, window: u32) -> (bool, bool) {
-    if known.len() >= BAD_SESSIONS {
-        // A guard that counts some twice is better than one that is blind.
+/// A session that fails once often fails again on the same hard task. Each
+/// session is assigned to an arm once; counting its failures one by one would
+/// make one failing session look like many.
+fn record_bad(known: &mut HashMap<BadSession, u32>, session: BadSession, window: u32) -> (bool, bool) {
+    if known.len() >= MAX_BAD_SESSIONS {
+        // Counting some sessions twice is better than ignoring all further failures.
         known.clear();
     }
     match known.insert(session, window) {
@@ -279,6 +295,7 @@
     }
 }
 
+/// Adds one result to an arm's tally of a signal.
 fn count(evidence: &mut Evidence, arm: Arm, signal: Signal, bad: bool) {
     let tally: &mut Tally = if arm == Arm::New { &mut evidence.new } else { &mut evidence.control };
     tally.count_mut(signal).add(bad);
--- a/crates/control/src/wire.rs
+++ b/crates/control/src/wire.rs
@@ -1,7 +1,8 @@
-//! News between instances: sums of what was seen, and stops.
+//! Messages between the control tasks of instances: sums of evidence, and
+//! stops.
 //!
-//! Numbers of fields are never reused; a build that does not know a field
-//! leaves it out, one that misses a field reads it as nothing.
+//! Field numbers are never reused. A build skips fields that it does not know
+//! and reads missing fields as their defaults.
 
 use std::collections::BTreeMap;
 
@@ -15,22 +16,23 @@
 
 use crate::ledger::{Source, Step, Sums};
 
-/// What one instance tells all others.
+/// Update that one instance sends to all others.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct News {
+pub(crate) struct Update {
     pub source: Source,
     pub sums: BTreeMap<Step, Sums>,
     pub stops: Vec<rollout::Stop>,
 }
 
-/// Why a message is no news; it is left out.
+/// Error for a message that cannot be decoded; it is ignored.
 #[derive(Debug)]
 pub(crate) struct Malformed;
 
-impl News {
+impl Update {
+    /// Encodes the update for sending.
     pub fn encode(&self) -> Bytes {
         let (instance, incarnation) = &self.source;
-        let message = NewsMessage {
+        let message = UpdateMessage {
             instance: instance.to_string(),
             incarnation: incarnation.0,
             sums: self.sums.iter().map(|(step, sums)| SumsMessage::from((step, sums))).collect(),
@@ -39,8 +41,9 @@
         message.encode_to_vec().into()
     }
 
+    /// Decodes a received update.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
-        let message = NewsMessage::decode(bytes).map_err(|_| Malformed)?;
+        let message = UpdateMessage::decode(bytes).map_err(|_| Malformed)?;
         let instance = instance::Id::parse(&message.instance).map_err(|_| Malformed)?;
         let sums = message.sums.into_iter().map(TryInto::try_into).collect::<Result<_, _>>()?;
         let stops = message.stops.into_iter().map(TryInto::try_into).collect::<Result<_, _>>()?;
@@ -49,7 +52,7 @@
 }
 
 #[derive(prost::Message)]
-struct NewsMessage {
+struct UpdateMessage {
     #[prost(string, tag = "1")]
     instance: String,
     #[prost(uint64, tag = "2")]
@@ -118,7 +121,7 @@
             step: step.number as u64,
             total: Some(EvidenceMessage::from(&sums.step)),
             window: sums.window.number,
-            // The first window is the step so far; it travels once.
+            // The first window equals the step so far, so it is sent only once.
             latest: (sums.window.number > 0).then(|| EvidenceMessage::from(&sums.window.evidence)),
         }
     }
--- a/crates/control/tests/it/engines.rs
+++ b/crates/control/tests/it/engines.rs
@@ -1,4 +1,4 @@
-//! Model engines as far as orders go.
+//! Simulated model engines that respond to queries and orders only.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,52 +13,53 @@
 
 use crate::site::lock;
 
-/// How long an engine takes to load a version.
-const LOADING: Duration = Duration::from_secs(3);
+/// Time that an engine takes to load a version.
+const LOAD_TIME: Duration = Duration::from_secs(3);
 
-/// Engines that take orders; they ignore the fencing number.
+/// Engines that accept every order; they ignore the fencing number.
 #[derive(Clone, Default)]
 pub struct Engines {
     by_address: Arc<Mutex<BTreeMap<SocketAddr, Engine>>>,
     order_time: Arc<Mutex<Duration>>,
-    lost: Arc<Mutex<BTreeSet<SocketAddr>>>,
+    unreachable: Arc<Mutex<BTreeSet<SocketAddr>>>,
 }
 
+/// State of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Engine {
-    /// What it holds.
+    /// Versions that it has loaded.
     pub versions: BTreeSet<Version>,
-    /// Versions it is loading now.
+    /// Number of loads in progress.
     pub loading: usize,
-    /// Fencing numbers of its orders.
+    /// Fencing numbers of the orders it has accepted.
     pub fences: Vec<u64>,
 }
 
 impl Engines {
-    /// What the engines are like now.
+    /// Returns the state of all engines.
     pub fn all(&self) -> Vec<Engine> {
         lock(&self.by_address).values().cloned().collect()
     }
 
-    /// Engines that hold a version.
+    /// Returns the number of engines that hold a version.
     pub fn holding(&self, version: &Version) -> usize {
         self.all().iter().filter(|engine| engine.versions.contains(version)).count()
     }
 
-    /// Forgets what an engine held, as a restart does.
+    /// Clears an engine's state, as a restart does.
     pub fn restart(&self, port: u16) {
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         lock(&self.by_address).insert(address, Engine::default());
     }
 
-    /// Whether an engine answers nothing and takes no order.
-    pub fn set_lost(&self, port: u16, is_lost: bool) {
+    /// Sets whether an engine leaves all calls unanswered.
+    pub fn set_unreachable(&self, port: u16, is_unreachable: bool) {
         let address = SocketAddr::from(([127, 0, 0, 1], port));
-        let mut lost = lock(&self.lost);
-        if is_lost {
-            lost.insert(address)
+        let mut unreachable = lock(&self.unreachable);
+        if is_unreachable {
+            unreachable.insert(address)
         } else {
-            lost.remove(&address)
+            unreachable.remove(&address)
         };
     }
 
@@ -67,7 +68,7 @@
         *lock(&self.order_time) = time;
     }
 
-    /// An instance's way to them.
+    /// Returns an instance's channel to the engines.
     pub fn spawn(&self) -> mpsc::Sender<Call> {
         let (sender, mut calls) = mpsc::channel(64);
         let engines = self.clone();
@@ -81,9 +82,9 @@
 
     async fn answer(self, call: Call) {
         let (Call::Loaded { address, .. } | Call::Order { address, .. }) = &call;
-        if lock(&self.lost).contains(address) {
-            // The call hangs until its limit, and its reply is dropped.
-            sleep(order::LIMIT).await;
+        if lock(&self.unreachable).contains(address) {
+            // The call hangs until its time limit, then its reply is dropped.
+            sleep(order::TIMEOUT).await;
             return;
         }
         match call {
@@ -96,14 +97,14 @@
                 let time = *lock(&self.order_time);
                 let sent = order::within(term, async {
                     sleep(time).await;
-                    Ok(self.take(address, &order))
+                    Ok(self.accept(address, &order))
                 });
                 let _ = reply.send(sent.await);
             }
         }
     }
 
-    fn take(&self, address: SocketAddr, order: &endpoint::order::Order) -> Vec<Version> {
+    fn accept(&self, address: SocketAddr, order: &endpoint::order::Order) -> Vec<Version> {
         let mut engines = lock(&self.by_address);
         let engine = engines.entry(address).or_default();
         engine.fences.push(order.fence);
@@ -116,7 +117,7 @@
     }
 
     async fn load(self, address: SocketAddr, versions: Vec<Version>) {
-        sleep(LOADING).await;
+        sleep(LOAD_TIME).await;
         let mut engines = lock(&self.by_address);
         let engine = engines.entry(address).or_default();
         engine.loading = engine.loading.saturating_sub(1);
--- a/crates/control/tests/it/site.rs
+++ b/crates/control/tests/it/site.rs
@@ -1,5 +1,5 @@
-//! Instances with control on one fake platform, engines and traffic beside
-//! them, peer links as tasks of one process.
+//! A test site: instances with control tasks on one fake platform, with
+//! simulated engines and traffic, and peer links as tasks of one process.
 
 use std::{
     collections::BTreeSet,
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use config::{Edit, Expected, Outbound};
 use control::{
-    Edges, Handle, Observation, Settings,
+    Dependencies, Handle, Observation, Settings,
     observation::Outcome,
     operate::{self, Action},
 };
@@ -34,15 +34,16 @@
 
 use crate::{engines::Engines, support};
 
-/// How long a message between two instances is under way: the news delay.
-pub const LINK: Duration = Duration::from_millis(200);
+/// Delay of a message between two instances.
+pub const LINK_DELAY: Duration = Duration::from_millis(200);
 
-/// Requests a second at each instance.
-const RATE: u64 = 50;
+/// Requests per second at each instance.
+const REQUESTS_PER_SECOND: u64 = 50;
 
-/// Failed ratings in a thousand of a good version.
-const GOOD: u64 = 50;
+/// Failed ratings per thousand of a good version.
+const GOOD_FAILURES_PER_MILLE: u64 = 50;
 
+/// Objects in force at every site.
 const OBJECTS: &str = r#"
 kind: model
 name: m
@@ -81,7 +82,7 @@
     one_judge: bool,
 }
 
-/// One instance; nothing in it works on after [`Site::lose`].
+/// One instance; none of its tasks runs after [`Site::lose`].
 pub struct Instance {
     pub config: config::Handle,
     pub client: Client,
@@ -90,20 +91,23 @@
     tasks: Vec<AbortHandle>,
 }
 
+/// Handles that receive messages, by instance, and the links that are cut, as pairs of sender and
+/// receiver.
 #[derive(Default)]
 struct Links {
-    ends: Vec<(config::Handle, Handle)>,
+    handles: Vec<(config::Handle, Handle)>,
     cut: BTreeSet<(usize, usize)>,
 }
 
-/// What requests met.
+/// What happened to requests, and how bad `m@2` is.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
-    /// Failed ratings in a thousand of `m@2`.
-    pub bad: u64,
-    /// Answers of `m@2`.
+    /// Failed ratings per thousand of `m@2`.
+    pub failures_per_mille: u64,
+    /// Number of answers of `m@2`.
     pub new: u64,
-    /// New sessions that `m@2` took, by instance, at their times.
+    /// New sessions that were routed to `m@2`: the instance and the time of
+    /// each.
     pub exposures: Vec<(usize, Instant)>,
 }
 
@@ -116,12 +120,13 @@
 }
 
 impl Site {
-    /// Opens a fleet with everything but the roll-out in force.
+    /// Opens a fleet with all objects in force except the roll-out.
     pub async fn open(instances: usize) -> Self {
         Self::open_with(instances, false).await
     }
 
-    /// The same, with the first instance alone judging versions.
+    /// Opens a fleet in which only the first instance's own evidence can stop
+    /// a version.
     pub async fn open_with_one_judge(instances: usize) -> Self {
         Self::open_with(instances, true).await
     }
@@ -132,7 +137,10 @@
             instances: Vec::new(),
             engines: Engines::default(),
             links: Arc::default(),
-            traffic: Arc::new(Mutex::new(Traffic { bad: GOOD, ..Traffic::default() })),
+            traffic: Arc::new(Mutex::new(Traffic {
+                failures_per_mille: GOOD_FAILURES_PER_MILLE,
+                ..Traffic::default()
+            })),
             one_judge,
         };
         for _ in 0..instances {
@@ -154,24 +162,29 @@
         settings.seed = Some(1);
         let (config, outbound) = config::spawn(settings, platform.clone(), recorder.clone());
         config.set_reader(true).await;
-        let edges =
-            Edges { platform, config: config.clone(), engines: self.engines.spawn(), recorder: recorder.clone() };
+        let dependencies = Dependencies {
+            platform,
+            config: config.clone(),
+            engines: self.engines.spawn(),
+            recorder: recorder.clone(),
+        };
         let mut settings = Settings::new(support::instance(number), Incarnation(1));
         if self.one_judge && number > 0 {
             settings.guard.alpha = f64::MIN_POSITIVE;
         }
-        let (control, news) = control::spawn(settings, edges);
-        lock(&self.links).ends.push((config.clone(), control.clone()));
-        let requests = requests(number, config.clone(), control.clone(), self.traffic.clone());
+        let (control, updates) = control::spawn(settings, dependencies);
+        lock(&self.links).handles.push((config.clone(), control.clone()));
+        let requests = send_requests(number, config.clone(), control.clone(), self.traffic.clone());
         let tasks = vec![
-            tokio::spawn(carry_config(self.links.clone(), number, outbound)).abort_handle(),
-            tokio::spawn(carry_news(self.links.clone(), number, news)).abort_handle(),
+            tokio::spawn(deliver_config(self.links.clone(), number, outbound)).abort_handle(),
+            tokio::spawn(deliver_updates(self.links.clone(), number, updates)).abort_handle(),
             tokio::spawn(requests).abort_handle(),
         ];
         self.instances.push(Instance { config, client, recorder, control: Some(control), tasks });
     }
 
-    /// An instance dies at once: cut off from everybody, all its handles gone.
+    /// Loses an instance at once: it is cut off from all others and its
+    /// handles are gone.
     pub fn lose(&mut self, number: usize) {
         for other in 0..self.instances.len() {
             self.cut(number, other, true);
@@ -182,16 +195,16 @@
         instance.control = None;
     }
 
-    /// An instance leaves in order: its work ends while everybody can still
-    /// be reached.
+    /// Shuts an instance down in order: its tasks end while it can still reach
+    /// all others.
     pub fn leave(&mut self, number: usize) {
         let instance = &mut self.instances[number];
         instance.tasks.iter().for_each(AbortHandle::abort);
         instance.control = None;
-        lock(&self.links).ends[number].1 = control::idle();
+        lock(&self.links).handles[number].1 = control::inert();
     }
 
-    /// Cuts or joins both directions of a link.
+    /// Cuts or restores both directions of a link.
     pub fn cut(&self, a: usize, b: usize, cut: bool) {
         let mut links = lock(&self.links);
         for link in [(a, b), (b, a)] {
@@ -203,26 +216,27 @@
         }
     }
 
-    /// Makes `m@2` fail this many ratings in a thousand.
-    pub fn set_bad(&self, bad: u64) {
-        lock(&self.traffic).bad = bad;
+    /// Makes `m@2` fail this many ratings per thousand.
+    pub fn set_failure_rate(&self, failures_per_mille: u64) {
+        lock(&self.traffic).failures_per_mille = failures_per_mille;
     }
 
     pub fn traffic(&self) -> Traffic {
         lock(&self.traffic).clone()
     }
 
-    /// An operator's action at an instance.
+    /// Applies an operator's action at an instance.
     pub async fn operate(&self, number: usize, action: &Action) -> Result<(), String> {
         let config = &self.instances[number].config;
-        let object = operate::act(&config.current(), &rollout_id(), action).map_err(|error| error.to_string())?;
+        let object =
+            operate::resulting_object(&config.current(), &rollout_id(), action).map_err(|error| error.to_string())?;
         let key = Key { kind: Kind::Rollout, name: rollout_id().to_string() };
         let expected = config.revision(&key).map_or(Expected::Absent, |revision| Expected::At(revision.generation));
         let applied = config.apply("ann", vec![Edit::Put(object, expected)]).await;
         applied.map(|_| ()).map_err(|error| error.to_string())
     }
 
-    /// Begins the roll-out, with steps that suit a test.
+    /// Starts the roll-out, with steps short enough for a test.
     pub async fn roll_out(&self) {
         let mut rollout = Rollout::new(new_version(), Number::parse("1").unwrap());
         rollout.steps = vec![0.05, 0.25, 0.5, 1.0];
@@ -231,12 +245,12 @@
         self.instances[0].config.apply("ann", vec![edit]).await.unwrap();
     }
 
-    /// The roll-out as an instance's catalog has it.
+    /// Returns the roll-out in an instance's catalog.
     pub fn rollout(&self, number: usize) -> Option<Rollout> {
         self.instances[number].config.current().rollouts().get(&rollout_id()).cloned()
     }
 
-    /// Waits until an instance's catalog has the roll-out as wanted.
+    /// Waits until the roll-out in an instance's catalog satisfies `wanted`.
     pub async fn wait(&self, number: usize, mut wanted: impl FnMut(&Rollout) -> bool) -> Rollout {
         let waiting = async {
             loop {
@@ -247,27 +261,28 @@
             }
         };
         let reached = timeout(Duration::from_mins(20), waiting).await;
-        reached.unwrap_or_else(|_| panic!("never came, stands at {:?}", self.rollout(number)))
+        reached.unwrap_or_else(|_| panic!("state not reached, roll-out is {:?}", self.rollout(number)))
     }
 
     pub async fn wait_for(&self, number: usize, state: State) -> Rollout {
         self.wait(number, |rollout| rollout.state == state).await
     }
 
-    /// The instance that took the lease last, among those that are left.
-    pub fn leader(&self) -> usize {
-        let takes = |instance: &Instance| {
+    /// Returns the instance whose take-over of the lease has the highest
+    /// epoch.
+    pub fn coordinator(&self) -> usize {
+        let last_epoch = |instance: &Instance| {
             let page = instance.recorder.query(&Filter::default());
             page.records.iter().rev().find_map(|record| match &record.event {
                 Event::TakeOver { epoch, .. } => Some(*epoch),
                 _ => None,
             })
         };
-        let (number, _) = self.instances.iter().enumerate().max_by_key(|(_, i)| takes(i)).unwrap();
+        let (number, _) = self.instances.iter().enumerate().max_by_key(|(_, i)| last_epoch(i)).unwrap();
         number
     }
 
-    /// One session of `m@2` whose every answer fails its rating.
+    /// Reports answers of one session of `m@2`, each with a failed rating.
     pub fn fail_session(&self, number: usize, answers: usize) {
         let control = self.instances[number].control.as_ref().expect("not lost");
         let customer = Customer::parse("c").unwrap();
@@ -278,17 +293,18 @@
         }
     }
 
-    /// Orders of a kind on all time lines.
+    /// Returns the number of orders of a kind on all timelines.
     pub fn orders(&self, kind: Wanted) -> usize {
-        let of = |instance: &Instance| {
+        let count = |instance: &Instance| {
             let records = instance.recorder.query(&Filter::default()).records;
             let wanted = |event: &Event| matches!(event, Event::Order { wanted, .. } if *wanted == kind);
             records.iter().filter(|record| wanted(&record.event)).count()
         };
-        self.instances.iter().map(of).sum()
+        self.instances.iter().map(count).sum()
     }
 
-    /// Whether the version is stopped at an instance, by signal or by catalog.
+    /// Returns whether the version is stopped at an instance, by the guard or
+    /// in the catalog.
     pub fn is_stopped(&self, number: usize) -> bool {
         let instance = &self.instances[number];
         let withdrawn = self.rollout(number).is_some_and(|rollout| rollout.state == State::Withdrawn);
@@ -296,65 +312,68 @@
     }
 }
 
-/// Sessions of one request each, until aborted.
-async fn requests(number: usize, config: config::Handle, control: Handle, traffic: Arc<Mutex<Traffic>>) {
+/// Sends sessions of one request each, until aborted.
+async fn send_requests(number: usize, config: config::Handle, control: Handle, traffic: Arc<Mutex<Traffic>>) {
     let mut random = StdRng::seed_from_u64(number as u64);
     let customer = Customer::parse("c").unwrap();
     let model = model::Id::parse("m").unwrap();
     let new = new_version();
     loop {
-        sleep(Duration::from_millis(1_000 / RATE)).await;
+        sleep(Duration::from_millis(1_000 / REQUESTS_PER_SECOND)).await;
         let catalog = config.current();
         let Some(contract) = catalog.contract(&customer) else { continue };
         let unit = Unit(random.random());
         let open = exposure::startable_versions(&catalog, &control.stops(), contract, &model, unit);
         let Some(version) = open.first() else { continue };
-        let share = {
+        let failure_rate = {
             let mut traffic = lock(&traffic);
             if *version == new {
                 traffic.new += 1;
                 traffic.exposures.push((number, Instant::now()));
-                traffic.bad
+                traffic.failures_per_mille
             } else {
-                GOOD
+                GOOD_FAILURES_PER_MILLE
             }
         };
         let latency_ms = random.random_range(100..1_000);
-        let pass = random.random_range(0..1_000) >= share;
+        let pass = random.random_range(0..1_000) >= failure_rate;
         for outcome in [Outcome::Answered { latency_ms }, Outcome::Rated { pass }] {
             control.observe(Observation { customer: customer.clone(), unit, version: version.clone(), outcome });
         }
     }
 }
 
-async fn carry_news(links: Arc<Mutex<Links>>, from: usize, mut news: mpsc::Receiver<Bytes>) {
-    while let Some(bytes) = news.recv().await {
+/// Delivers an instance's control updates to the instances it can reach.
+async fn deliver_updates(links: Arc<Mutex<Links>>, from: usize, mut updates: mpsc::Receiver<Bytes>) {
+    while let Some(bytes) = updates.recv().await {
         for (_, control) in reachable(&links, from) {
             let bytes = bytes.clone();
             tokio::spawn(async move {
-                sleep(LINK).await;
-                control.heard(bytes);
+                sleep(LINK_DELAY).await;
+                control.receive(bytes);
             });
         }
     }
 }
 
-async fn carry_config(links: Arc<Mutex<Links>>, from: usize, mut outbound: mpsc::Receiver<Outbound>) {
+/// Delivers an instance's configuration messages to the instances it can reach.
+async fn deliver_config(links: Arc<Mutex<Links>>, from: usize, mut outbound: mpsc::Receiver<Outbound>) {
     while let Some(Outbound::News(bytes) | Outbound::Want { bytes, .. }) = outbound.recv().await {
         for (config, _) in reachable(&links, from) {
             let bytes = bytes.clone();
             tokio::spawn(async move {
-                sleep(LINK).await;
+                sleep(LINK_DELAY).await;
                 config.offer(bytes).await;
             });
         }
     }
 }
 
+/// Returns the handles of the other instances with an intact link.
 fn reachable(links: &Mutex<Links>, from: usize) -> Vec<(config::Handle, Handle)> {
     let links = lock(links);
-    let ends = links.ends.iter().enumerate();
-    ends.filter(|(to, _)| *to != from && !links.cut.contains(&(from, *to))).map(|(_, end)| end.clone()).collect()
+    let handles = links.handles.iter().enumerate();
+    handles.filter(|(to, _)| *to != from && !links.cut.contains(&(from, *to))).map(|(_, end)| end.clone()).collect()
 }
 
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
