--- a/crates/peer/src/aggregation.rs
+++ b/crates/peer/src/aggregation.rs
@@ -1,12 +1,13 @@
-//! Over which instances a sum travels: a tree, pure.
+//! The tree along which sums over all instances are aggregated. Does no I/O.
 //!
-//! Sums of all to all grow with the square of the fleet. Here each instance
-//! adds its children's sums to its own and sends one message to its parent;
-//! within a failure domain the tree has [`FAN_IN`] children a node, and the
-//! roots of the domains tell each other. Everyone derives the same tree from
-//! the same members; while views differ a sum may be missing or counted in two
-//! places for one round, so a payload must name the instances it covers, or
-//! be good enough as an estimate.
+//! Sending every instance's values to every other instance would cost a number
+//! of messages quadratic in the fleet size. Instead, each instance adds its
+//! children's sums to its own and sends one message to its parent. Within a
+//! failure domain each node has up to [`FAN_IN`] children, and the roots of the
+//! domains exchange their sums. All instances derive the same tree from the
+//! same members. While views differ, a sum may be missing or counted twice for
+//! one round, so a payload must name the instances it covers or be used only
+//! as an estimate.
 
 use world::{
     domain::Domain,
@@ -16,21 +17,21 @@
 
 use crate::member::Members;
 
-/// Children of a node.
+/// Maximum number of children of a node.
 pub const FAN_IN: usize = 8;
 
-/// An instance's place in the tree.
+/// An instance's position in the tree.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Place {
-    /// Where the sum goes; none at a domain's root.
+    /// Parent to which the sum is sent; `None` at a domain's root.
     pub parent: Option<Id>,
-    /// Whose sums come in.
+    /// Children whose sums this instance receives.
     pub children: Vec<Id>,
-    /// At a domain's root: the other domains' roots.
+    /// Roots of the other domains; empty unless this instance is a root.
     pub roots: Vec<Id>,
 }
 
-/// The place of this instance among the members.
+/// Returns the position of this instance in the tree over the members.
 #[must_use]
 pub fn place(members: &Members) -> Place {
     let me = &members.me;
@@ -51,7 +52,8 @@
     domains.into_iter().filter_map(root).collect()
 }
 
-/// Those not gone, by hashed name: any name may come to be the root.
+/// Returns the instances that are not gone, ordered by hashed name, so that
+/// the choice of a root does not depend on how instances are named.
 fn ordered<'a>(instances: impl Iterator<Item = &'a Instance>) -> Vec<Id> {
     let mut ids: Vec<_> = instances.filter(|i| i.state != State::Gone).map(|i| i.id.clone()).collect();
     ids.sort_by_cached_key(|id| (hash::stable(id.as_str().as_bytes()), id.clone()));
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,37 +1,39 @@
-//! Why a call or stream failed, and whether it may have been received.
+//! Errors of calls and streams, which say whether the peer may have received
+//! the request.
 
 use std::fmt;
 
 use tonic::{ConnectError, Status};
 use world::instance::Id;
 
-/// Set on a status by our own server when the owner never saw the call.
+/// Metadata key that the server sets on a status when the call was never
+/// handed to the topic owner.
 pub(crate) const NOT_RUN: &str = "arbutuslug-not-run";
 
 /// Why a call or stream failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// No counted member has this name; nothing was sent.
+    /// No current member has this name; nothing was sent.
     Unknown(Id),
     /// No connection could be made; nothing was sent.
     Unreachable(Id),
-    /// The peer answered that it did not hand the call to its owner.
+    /// The peer refused the call without handing it to the topic owner.
     Refused(Id, String),
-    /// The call went out and its answer did not come: it may have been run.
+    /// The call was sent but no response arrived, so it may have been run.
     Lost(Id, String),
-    /// The body is larger than messages may be; nothing was sent.
+    /// The body exceeds the size limit; nothing was sent.
     TooLarge {
-        /// Its size in bytes.
+        /// Size of the body in bytes.
         size: usize,
-        /// The most there may be.
+        /// Largest allowed size in bytes.
         limit: usize,
     },
-    /// The links were closed.
+    /// The links of this instance are closed.
     Closed,
 }
 
 impl Error {
-    /// Whether the peer's owner may have seen the call.
+    /// Returns whether the topic owner at the peer may have received the call.
     #[must_use]
     pub fn may_have_arrived(&self) -> bool {
         matches!(self, Self::Lost(..))
@@ -41,8 +43,8 @@
         if status.metadata().contains_key(NOT_RUN) {
             return Self::Refused(id.clone(), status.message().into());
         }
-        // A transport's status cannot tell what the peer has seen, except for
-        // a connection that was never made.
+        // A transport error does not say whether the peer received the call,
+        // unless the connection was never established.
         let mut source = std::error::Error::source(status);
         while let Some(error) = source {
             if error.is::<ConnectError>() {
--- a/crates/peer/src/event.rs
+++ b/crates/peer/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the task that owns the links, and when by its clock.
+//! Events handled by the task that owns the links, and its monotonic clock.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -16,23 +16,24 @@
     wire::Greeting,
 };
 
-/// What happens.
+/// An input to the task from the server, a link reader or a spawned operation.
 pub(crate) enum Event {
-    /// A peer dialled us.
+    /// A peer dialled this instance and sent its greeting.
     Accept {
         greeting: Greeting,
         incoming: Streaming<Frame>,
         reply: oneshot::Sender<Result<mpsc::Receiver<Frame>, Status>>,
     },
-    /// Dialling ended.
+    /// An outgoing dial succeeded or failed.
     Dialled { address: SocketAddr, wanted: Option<Id>, outcome: Result<Opened, Failure> },
-    /// A frame came.
+    /// A frame arrived on a link.
     Received(Source, Received),
-    /// A link's incoming side ended.
+    /// The incoming stream of a link ended.
     Closed(Source),
-    /// A peer asks us for our word, and may tell a doubt.
+    /// A peer asked for this instance's own entry. It sent the entry as it
+    /// has it, which may carry a doubt to refute.
     Asked(Member, oneshot::Sender<Member>),
-    /// A probe ended.
+    /// A probe ended, with the member's own entry if it was reached.
     Probed { id: Id, word: Option<Member> },
 }
 
@@ -55,12 +56,12 @@
     }
 }
 
-/// Milliseconds since the start, monotonic and our own.
+/// Monotonic clock that counts milliseconds since it was started.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at 0 now.
     pub(crate) fn start() -> Self {
         Self(Instant::now())
     }
--- a/crates/peer/src/handle.rs
+++ b/crates/peer/src/handle.rs
@@ -1,4 +1,4 @@
-//! What the rest of the process holds.
+//! The handle through which the rest of the process uses the peer links.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,7 +21,7 @@
     traffic::{Meter, Traffic},
 };
 
-/// What handles ask of the task.
+/// A command from a handle to the task that owns the links.
 #[derive(Debug)]
 pub(crate) enum Command {
     Publish(Topic, Bytes),
@@ -32,7 +32,7 @@
     Close(oneshot::Sender<()>),
 }
 
-/// A running part in the fleet; cheap to clone.
+/// Handle to this instance's running peer links; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     pub(crate) commands: mpsc::Sender<Command>,
@@ -44,29 +44,29 @@
 }
 
 impl Handle {
-    /// Who is there; a new value with each change.
+    /// Returns a watch on the members, updated on each change.
     #[must_use]
     pub fn members(&self) -> watch::Receiver<Arc<Members>> {
         self.members.clone()
     }
 
-    /// Where peers connect.
+    /// Returns the address on which peers connect to this instance.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes on the connections that peers opened to us.
+    /// Returns the bytes transferred on connections opened by peers.
     #[must_use]
     pub fn traffic(&self) -> Traffic {
         self.meter.read()
     }
 
-    /// Asks a peer and waits for its answer, `within` at most.
+    /// Sends a request to a peer and waits for its response, at most `within`.
     ///
     /// # Errors
     ///
-    /// [`Error`], which says whether the peer may have seen the call.
+    /// [`Error`], which says whether the peer may have received the call.
     pub async fn call(&self, to: &Id, topic: Topic, body: Bytes, within: Duration) -> Result<Bytes, Error> {
         let deadline = Instant::now() + within;
         self.pool.check(&body)?;
@@ -85,13 +85,14 @@
         }
     }
 
-    /// Asks a peer for many answers. A peer sends no faster than the stream is
-    /// read. The stream ends with an error when the link breaks; an owner that
-    /// has to tell an end from a stop marks its last answer.
+    /// Sends a request to a peer and returns its stream of responses. The peer
+    /// sends no faster than the stream is read. The stream ends with an error
+    /// when the connection breaks; a topic owner that must distinguish a
+    /// complete stream from a truncated one has to mark its last response.
     ///
     /// # Errors
     ///
-    /// [`Error`], which says whether the peer may have seen the question.
+    /// [`Error`], which says whether the peer may have received the request.
     pub async fn stream(
         &self,
         to: &Id,
@@ -112,8 +113,9 @@
         Ok(reply.into_inner().map(answer))
     }
 
-    /// Tells news to every live instance, once each. An instance that is slow
-    /// or just joining may miss it: have a digest as well.
+    /// Broadcasts news to every live instance, delivered at most once each. An
+    /// instance that is slow or just joining may miss it, so the topic should
+    /// set a digest as well.
     ///
     /// # Errors
     ///
@@ -123,8 +125,8 @@
         self.command(Command::Publish(topic, body)).await
     }
 
-    /// Sets the small value that tells neighbours how far this instance is
-    /// with a topic; theirs arrive as `Inbound::Digest`.
+    /// Sets the digest of a topic: a small value that shows linked peers which
+    /// data this instance holds. Their digests arrive as `Inbound::Digest`.
     ///
     /// # Errors
     ///
@@ -133,7 +135,8 @@
         self.command(Command::Digest(topic, value)).await
     }
 
-    /// Takes the platform's latest list of instances, as one input of many.
+    /// Updates the platform's list of instances, one of several inputs to
+    /// membership.
     ///
     /// # Errors
     ///
@@ -142,8 +145,8 @@
         self.command(Command::Listed(listed)).await
     }
 
-    /// Takes the instances that the object API names; those that nobody has
-    /// met are dialled.
+    /// Updates the instances named by the object API; those that are not yet
+    /// members are dialled.
     ///
     /// # Errors
     ///
@@ -152,8 +155,8 @@
         self.command(Command::Known(known)).await
     }
 
-    /// Tells all at once that this instance takes no new work. Links, calls
-    /// and streams go on.
+    /// Announces immediately that this instance takes no new work. Links,
+    /// calls and streams continue.
     ///
     /// # Errors
     ///
@@ -162,16 +165,16 @@
         self.command_and_wait(Command::Leave).await
     }
 
-    /// Tells all that this run has ended, and ends.
+    /// Announces that this run has ended, then closes the links.
     ///
     /// # Errors
     ///
-    /// [`Error::Closed`] when it has ended already.
+    /// [`Error::Closed`] if the links are already closed.
     pub async fn close(&self) -> Result<(), Error> {
         self.command_and_wait(Command::Close).await
     }
 
-    /// Ends at once without a word, as a crash would.
+    /// Stops immediately without notifying peers, as a crash would.
     pub fn abort(&self) {
         self.abort.cancel();
     }
--- a/crates/peer/src/inbound.rs
+++ b/crates/peer/src/inbound.rs
@@ -1,4 +1,4 @@
-//! What peers send, for the owners of the topics.
+//! Messages from peers, to be handled by the topic owners.
 
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
@@ -9,46 +9,49 @@
 /// One message from a peer.
 #[derive(Debug)]
 pub enum Inbound {
-    /// A question; dropping `reply` makes the caller's outcome unknown.
+    /// A request with one response. If `reply` is dropped, the caller gets an
+    /// error that says the call may have been run.
     Call {
-        /// Who asks.
+        /// Calling instance.
         from: Id,
-        /// What about.
+        /// Topic of the request.
         topic: Topic,
-        /// The owner's bytes.
+        /// Request body, defined by the topic owner.
         body: Bytes,
-        /// Takes the answer; closed when the caller has given up.
+        /// Takes the response; closed once the caller stops waiting.
         reply: oneshot::Sender<Bytes>,
     },
-    /// A question with many answers; the stream ends when `sink` is dropped.
+    /// A request with a stream of responses, which ends when `sink` is dropped.
     Stream {
-        /// Who asks.
+        /// Calling instance.
         from: Id,
-        /// What about.
+        /// Topic of the request.
         topic: Topic,
-        /// The owner's bytes.
+        /// Request body, defined by the topic owner.
         body: Bytes,
-        /// Takes the answers; `send` waits while the caller is slow.
+        /// Takes the responses; `send` waits while the caller is slow.
         sink: mpsc::Sender<Bytes>,
     },
-    /// News that somebody published; each comes once, in no promised order.
+    /// News published by an instance; each item is delivered at most once, in
+    /// no guaranteed order.
     News {
-        /// The neighbour it came from.
+        /// Linked peer that delivered it.
         from: Id,
-        /// Who published it.
+        /// Instance that published it.
         origin: Id,
-        /// What about.
+        /// Topic of the news.
         topic: Topic,
-        /// The owner's bytes.
+        /// Body, defined by the topic owner.
         body: Bytes,
     },
-    /// A neighbour's digest changed: its owner may hold what ours missed.
+    /// A linked peer's digest changed: that peer may hold data that the topic
+    /// owner here has missed.
     Digest {
-        /// The neighbour.
+        /// Linked peer that owns the digest.
         from: Id,
-        /// What about.
+        /// Topic of the digest.
         topic: Topic,
-        /// The neighbour's value.
+        /// New digest value.
         value: Bytes,
     },
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,15 +1,15 @@
 //! Links between instances: membership, news, calls and streams.
 //!
-//! [`spawn`] starts one task that owns the links and the knowledge of who is
-//! there. Deciding is pure and takes time as an argument ([`membership`],
-//! [`topology`], [`news`], [`spread`]); the task and the tonic server at the
-//! rim only carry.
+//! [`spawn`] starts one task that owns the links and the membership view. All
+//! decisions are made by state machines without I/O that take the time as an
+//! argument ([`membership`], [`topology`], [`news`], [`relay`], [`outbox`]);
+//! the task and the tonic server only do the I/O for them.
 //!
-//! A body is opaque here: the crate that owns a [`Topic`] owns its wire types.
-//! Calls and streams use connections of their own, so that a large answer
-//! never stands before a heartbeat. News may be lost to an instance that is
-//! slow; a digest of what each owner holds travels on the heartbeats, so that
-//! the owner notices.
+//! Message bodies are opaque to this crate: the crate that owns a [`Topic`]
+//! owns its wire types. Calls and streams use separate connections, so that a
+//! large response never delays a heartbeat. A slow instance may miss news;
+//! heartbeats carry a digest of what each topic owner holds, so that the owner
+//! can detect the loss.
 
 pub mod aggregation;
 mod error;
@@ -49,25 +49,26 @@
 
 use tokio::{net::TcpListener, sync::mpsc};
 
-/// Binds the peers' listener and starts to look for the others.
+/// Binds the peer listener and starts connecting to other instances.
 ///
-/// What peers send arrives on the receiver; the caller has to keep taking, or
-/// calls are refused as not run and news is dropped.
+/// Messages from peers arrive on the returned receiver. The caller has to keep
+/// reading it: when its queue is full, calls are refused as not run and news
+/// is dropped.
 ///
 /// # Errors
 ///
-/// The listener's address cannot be bound.
+/// Fails if the listener's address cannot be bound.
 pub async fn spawn(settings: Settings) -> io::Result<(Handle, mpsc::Receiver<Inbound>)> {
     let listener = TcpListener::bind(settings.listen).await?;
     spawn_on(listener, settings)
 }
 
-/// The same on a socket that is bound already, so that its address can be told
-/// before the first link.
+/// Like [`spawn`], but on an already bound socket, so that the caller can
+/// announce its address before the first link opens.
 ///
 /// # Errors
 ///
-/// The socket has no address.
+/// Fails if the socket has no local address.
 pub fn spawn_on(listener: TcpListener, mut settings: Settings) -> io::Result<(Handle, mpsc::Receiver<Inbound>)> {
     let bound = listener.local_addr()?;
     if settings.me.peers.port() == 0 {
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,5 @@
-//! One link: two streams of frames over a connection of its own.
+//! Dialling a link: one stream of frames in each direction over a dedicated
+//! connection.
 
 use std::{error::Error, io, net::SocketAddr};
 
@@ -16,7 +17,7 @@
     wire::{self, Greeting},
 };
 
-/// A link after both greetings.
+/// A dialled link on which both sides have sent their greetings.
 #[derive(Debug)]
 pub(crate) struct Opened {
     pub(crate) greeting: Greeting,
@@ -24,27 +25,28 @@
     pub(crate) incoming: Streaming<Frame>,
 }
 
-/// Why a dialled link did not come about.
+/// Reason why dialling a link failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// No connection, or no greeting in time.
+    /// No connection was made, or no greeting arrived in time.
     Unreachable,
-    /// Nobody listens at the address.
+    /// The connection was refused: no process listens at the address.
     NobodyThere,
-    /// The other side has a link with us already, or is this instance itself.
+    /// The peer already has a link with this instance, or is this instance.
     Duplicate,
-    /// A later run under our name is known there.
+    /// The peer knows a later run under this instance's name.
     Superseded,
-    /// Another key or protocol version.
+    /// The peer uses another key or an incompatible protocol version.
     Refused,
 }
 
-/// What came over a link.
+/// A decoded frame from a link.
 #[derive(Debug)]
 pub(crate) enum Received {
     Heartbeat(Heartbeat),
     Message(Message),
-    /// A kind of a later build, or news over the allowance.
+    /// A frame to ignore: unexpected, malformed, of a kind known only to later
+    /// builds, or news over the rate limit.
     Other,
 }
 
@@ -89,7 +91,8 @@
     }
 }
 
-/// Takes the first frame, which has to be a greeting that we understand.
+/// Reads the first frame; returns `None` unless it is a greeting of a
+/// compatible version.
 pub(crate) async fn greeting_from(incoming: &mut Streaming<Frame>) -> Option<Greeting> {
     match incoming.message().await.ok()??.kind? {
         Kind::Greeting(greeting) => greeting.try_into().ok(),
@@ -97,10 +100,10 @@
     }
 }
 
-/// Whose frames a reader brings.
+/// Identifies the link on which a reader received a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Source {
     pub(crate) id: Id,
-    /// Tells a link from an earlier one with the same peer.
+    /// Distinguishes this link from earlier ones with the same peer.
     pub(crate) serial: u64,
 }
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -1,4 +1,4 @@
-//! One instance as the protocol sees it, and the view of them all.
+//! The membership entry of one instance, and the public view of all members.
 
 use std::collections::BTreeMap;
 
@@ -7,46 +7,47 @@
     instance::{Id, Incarnation, Instance, State},
 };
 
-/// What others hold against a member's own word.
+/// Suspicion that other instances raise against a member's entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Doubt {
-    /// Nothing.
+    /// No suspicion.
     None,
-    /// Silent; still counted.
+    /// Suspected to be unreachable, but still a member.
     Suspect,
-    /// Silent for too long.
+    /// Removed because the suspicion was not refuted in time.
     Gone,
 }
 
-/// An instance's own word, and what is held against it.
+/// Entry that an instance publishes about itself, and the doubt raised against it.
 ///
-/// The word (`instance`, `refutation`) has one author, the instance itself, so
-/// the higher (incarnation, refutation) is always the newer. A doubt is about
-/// one word and falls with the next.
+/// Only the instance itself writes `instance` and `refutation`, so the entry
+/// with the higher (incarnation, refutation) is always the newer one. A doubt
+/// applies to one version of the entry and is cleared by the next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its own word; `state` is live, leaving, or gone when it ended on purpose.
+    /// The instance as it describes itself; `state` is live, leaving, or gone
+    /// after a deliberate shutdown.
     pub instance: Instance,
-    /// Raised by the instance with each new word.
+    /// Incremented by the instance with each new version of its entry.
     pub refutation: u32,
-    /// What is held against this word.
+    /// Doubt raised against this version of the entry.
     pub doubt: Doubt,
 }
 
 impl Member {
-    /// The first word of a run.
+    /// Creates the first entry of a run.
     #[must_use]
     pub fn new(instance: Instance) -> Self {
         Self { instance, refutation: 0, doubt: Doubt::None }
     }
 
-    /// Place of the word among all words of this name.
+    /// Returns the version of the entry, which orders all entries of this name.
     #[must_use]
     pub fn age(&self) -> (Incarnation, u32) {
         (self.instance.incarnation, self.refutation)
     }
 
-    /// The state that word and doubt make together.
+    /// Returns the state that results from the own entry and the doubt.
     #[must_use]
     pub fn state(&self) -> State {
         match (self.instance.state, self.doubt) {
@@ -57,20 +58,21 @@
         }
     }
 
-    /// The instance with that state.
+    /// Returns the instance with its `state` set to [`state`](Self::state).
     #[must_use]
     pub fn shown(&self) -> Instance {
         Instance { state: self.state(), ..self.instance.clone() }
     }
 
-    /// Whether it is counted: live, suspect or leaving.
+    /// Returns whether this is a current member: live, suspect or leaving.
     #[must_use]
     pub fn is_counted(&self) -> bool {
         self.state() != State::Gone
     }
 
-    /// Part of the view's hash; a doubt short of `Gone` is left out, so that a
-    /// suspicion alone makes no one ask for the whole view.
+    /// Returns this entry's contribution to the hash of the view. A mere
+    /// suspicion does not change it, so that no peer requests a full view
+    /// because of one.
     pub(crate) fn print(&self) -> u64 {
         let name = hash::stable(self.instance.id.as_str().as_bytes());
         let word = [self.instance.incarnation.0, u64::from(self.refutation)];
@@ -78,35 +80,35 @@
     }
 }
 
-/// All instances as this one knows them; a new one with each change.
+/// Snapshot of all instances known to this one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Members {
     /// This instance.
     pub me: Instance,
-    /// The others, those lately gone included.
+    /// The other instances, including those recently gone.
     pub others: BTreeMap<Id, Instance>,
-    /// Names in the platform's list that no peer has spoken of.
+    /// Names in the platform's list that are not yet known as members.
     pub unmet: Vec<Id>,
 }
 
 impl Members {
-    /// Only this one.
+    /// Creates a view that holds only this instance.
     #[must_use]
     pub fn alone(me: Instance) -> Self {
         Self { me, others: BTreeMap::new(), unmet: Vec::new() }
     }
 
-    /// This one and the others, those lately gone included, this one first.
+    /// Iterates over this instance, then the others including those recently gone.
     pub fn all(&self) -> impl Iterator<Item = &Instance> {
         std::iter::once(&self.me).chain(self.others.values())
     }
 
-    /// Those that take new work; a suspected one still does.
+    /// Iterates over the instances that take new work, including suspected ones.
     pub fn live(&self) -> impl Iterator<Item = &Instance> {
         self.all().filter(|i| matches!(i.state, State::Live | State::Suspect))
     }
 
-    /// One by name.
+    /// Returns the instance with this name.
     #[must_use]
     pub fn get(&self, id: &Id) -> Option<&Instance> {
         if self.me.id == *id { Some(&self.me) } else { self.others.get(id) }
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -1,17 +1,18 @@
-//! Who is there: a state machine without sockets or clocks.
+//! Membership and failure detection: a state machine without sockets or clocks.
 //!
 //! Time is an argument, in milliseconds of the caller's own monotonic clock,
-//! so no two instances' clocks are ever compared. The task feeds in what it
-//! hears ([`heard`](Membership::heard), [`merge`](Membership::merge)) and asks
-//! [`tick`](Membership::tick) on every heartbeat; what is to be done comes out
-//! as [`Action`]s and changed names.
+//! so clocks of different instances are never compared. The task reports
+//! received frames and entries ([`record_frame`](Membership::record_frame),
+//! [`merge`](Membership::merge)) and calls [`tick`](Membership::tick) on every
+//! heartbeat; the results are [`Action`]s and [`Change`]s.
 //!
-//! A watched member that falls silent is doubted, and the doubt spreads. The
-//! member refutes it with a new word (a higher refutation). Only a receiver's
-//! own time of waiting turns `Suspect` into `Gone`: a removal told by another
-//! is a doubt and no more. Otherwise a healed partition would make each side
-//! remove the other's members on hearsay, and keys' homes would move for
-//! nothing.
+//! A watched member that falls silent is suspected, and the suspicion is
+//! gossiped. The member refutes it with a new version of its entry (a higher
+//! refutation). `Suspect` turns into `Gone` only after each receiver has waited
+//! itself: a removal reported by another instance counts as a suspicion only.
+//! Otherwise, after a partition heals, each side would remove the other's
+//! members because of stale reports, and keys' home instances would move
+//! without need.
 
 mod list;
 mod silence;
@@ -36,25 +37,26 @@
     settings::Timing,
 };
 
-/// What the task has to do.
+/// An action that the task has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Ask others after the member; answer with `vouched` or `unvouched`.
+    /// Probe the member directly and through other peers, then call
+    /// `record_probe_success` or `record_probe_failure`.
     Probe(Member),
-    /// Tell the member itself what is held against it.
+    /// Notify the member that its entry is doubted, so that it can refute it.
     Tell(Member),
 }
 
-/// A changed entry, to be passed on to all links but the one it came from.
+/// A changed entry, to be sent on all links except the one it came from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Whose entry.
+    /// Name of the member whose entry changed.
     pub id: Id,
-    /// Who told.
+    /// Peer that sent the change; `None` if it arose on this instance.
     pub from: Option<Id>,
 }
 
-/// One instance's knowledge of all.
+/// One instance's view of all members.
 #[derive(Debug)]
 pub struct Membership {
     me: Member,
@@ -64,9 +66,9 @@
     list: list::List,
     superseded: bool,
     ticked: Millis,
-    /// Raised with every change that others can see.
+    /// Incremented with every change of the view.
     revision: u64,
-    /// Absent after a change, until it is asked for.
+    /// Cached hash of the view; `None` after a change until it is next needed.
     view: Cell<Option<u64>>,
     actions: Vec<Action>,
     changes: Vec<Change>,
@@ -75,42 +77,43 @@
 #[derive(Debug)]
 struct Entry {
     member: Member,
-    /// Last sign of life, its own or one that another vouched for.
+    /// Time of the last sign of life, direct or confirmed by another instance.
     heard: Millis,
-    /// Last sign of life on a link of our own.
+    /// Time of the last frame on a direct link; `None` without a working one.
     direct: Option<Millis>,
-    /// When others doubted it though we had just heard it.
+    /// Time of a doubt from others that was deferred because the member had
+    /// just been heard directly.
     accused: Option<Millis>,
     reach: Reach,
-    /// Since when the doubt or departure stands.
+    /// Time of the last change of entry or doubt.
     since: Millis,
     asking: Asking,
 }
 
-/// What came of connecting since the last sign of life.
+/// Result of connection attempts since the last sign of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reach {
     Fine,
-    /// No connection.
+    /// No connection could be made.
     Unreachable,
-    /// Nobody listens at its address.
+    /// The connection was refused: no process listens at the address.
     NobodyThere,
 }
 
-/// Whether others are being asked after a silent member.
+/// State of indirect probing of a silent member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Asking {
     No,
-    /// It is doubted already.
+    /// Being probed, and already suspected.
     Doubted,
-    /// Others vouched before; it is not doubted while they do.
+    /// Being probed without a suspicion, because an earlier probe reached it.
     Quietly,
-    /// Not being asked now, but others have vouched since we last heard it.
+    /// Not being probed, but a probe has reached it since its last direct frame.
     Vouched,
 }
 
 impl Membership {
-    /// Knows only `me`.
+    /// Creates a view that contains only `me`.
     #[must_use]
     pub fn new(me: Instance, timing: Timing, now: Millis) -> Self {
         Self {
@@ -128,31 +131,31 @@
         }
     }
 
-    /// Own entry.
+    /// Returns this instance's own entry.
     #[must_use]
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// Another's entry, lately gone ones included.
+    /// Returns the entry of an instance, including one recently gone.
     #[must_use]
     pub fn get(&self, id: &Id) -> Option<&Member> {
         if *id == self.me.instance.id { Some(&self.me) } else { self.others.get(id).map(|e| &e.member) }
     }
 
-    /// Others' entries, lately gone ones included.
+    /// Iterates over the entries of other instances, including those recently gone.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.others.values().map(|e| &e.member)
     }
 
-    /// What owners see.
+    /// Returns the snapshot published to the rest of the process.
     #[must_use]
     pub fn members(&self) -> Members {
         let others = self.others.iter().map(|(id, entry)| (id.clone(), entry.member.shown())).collect();
         Members { me: self.me.shown(), others, unmet: self.unmet() }
     }
 
-    /// Hash over the counted members, equal where two views are.
+    /// Returns a hash over the current members; equal views have equal hashes.
     #[must_use]
     pub fn view(&self) -> u64 {
         if let Some(view) = self.view.get() {
@@ -164,60 +167,61 @@
         view
     }
 
-    /// Differs when anything else but the times of hearing does.
+    /// Returns a number that changes whenever the view does. Times of last
+    /// contact do not count.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// To be called after every change of an entry.
+    /// Must be called after every change of the view.
     fn changed(&mut self) {
         self.revision += 1;
         self.view.set(None);
     }
 
-    /// An entry changed, and others are to hear it.
+    /// Records a changed entry to be sent to other instances.
     fn tell_change(&mut self, id: &Id, from: Option<&Id>) {
         self.changes.push(Change { id: id.clone(), from: from.cloned() });
         self.changed();
     }
 
-    /// Whether a later run under this name was met; this one is to end.
+    /// Returns whether a later run under this name is known, so this run must end.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// A later run under this name is known; this one counts no more.
+    /// Ends this run because a later run under its name is known.
     pub fn supersede(&mut self) {
         self.superseded = true;
         self.me.instance.state = State::Gone;
         self.changed();
     }
 
-    /// What has become due since the last call.
+    /// Takes the actions that became due since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// What has changed since the last call.
+    /// Takes the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes over what `from` tells.
+    /// Merges entries received from `from`.
     pub fn merge(&mut self, told: Vec<Member>, from: &Id, now: Millis) {
         for member in told {
             self.merge_one(member, Some(from), now);
         }
     }
 
-    /// Says that this instance takes no new work.
+    /// Announces that this instance takes no new work.
     pub fn leave(&mut self) {
         self.declare(State::Leaving);
     }
 
-    /// Says that this run has ended.
+    /// Announces that this run has ended.
     pub fn depart(&mut self) {
         self.declare(State::Gone);
     }
@@ -230,7 +234,8 @@
         self.speak();
     }
 
-    /// Gives a new word, which every doubt about the old one falls with.
+    /// Publishes a new version of the own entry, which clears every doubt
+    /// about the previous one.
     fn speak(&mut self) {
         self.me.refutation += 1;
         let id = self.me.instance.id.clone();
@@ -245,7 +250,8 @@
         let Some(entry) = self.others.get_mut(&id) else {
             return self.insert(told, from, now);
         };
-        // A message of an earlier run: it must not bring that run back.
+        // An outdated entry, such as one of an earlier run, which must not be
+        // restored.
         if told.age() < entry.member.age() {
             return;
         }
@@ -259,11 +265,11 @@
         }
     }
 
-    /// What others say about this instance.
+    /// Merges another instance's entry about this instance, refuting a doubt.
     fn hear_of_me(&mut self, told: &Member) {
         if told.instance.incarnation > self.me.instance.incarnation {
-            // Two runs under one name would both take its keys' homes; the
-            // later start is the one that the operator meant.
+            // Two runs under one name would both act as home of its keys; the
+            // later run is the one that the operator intended.
             return self.supersede();
         }
         let mine = told.instance.incarnation == self.me.instance.incarnation;
@@ -275,7 +281,8 @@
     }
 
     fn insert(&mut self, told: Member, from: Option<&Id>, now: Millis) {
-        // Unknown and gone: a forgotten one, which must not come back.
+        // An unknown member that is gone has been forgotten already and must
+        // not be added again.
         if !told.is_counted() {
             return;
         }
@@ -290,9 +297,9 @@
         if entry.member.doubt != Doubt::None || entry.member.instance.state == State::Gone {
             return;
         }
-        // Heard just now: the doubt is wrong here, and only its subject can
-        // end it elsewhere. It comes once, so it is kept until the subject is
-        // heard again: it may have crashed since.
+        // The member was just heard directly, so the doubt is probably wrong;
+        // only the member can clear it elsewhere. The doubt is sent only once,
+        // so keep it until the member is heard again: it may have crashed since.
         if entry.direct.is_some_and(|at| now.saturating_sub(at) <= fresh) {
             entry.accused = Some(now);
             return self.tell(id);
@@ -301,12 +308,12 @@
         self.tell_change(id, from);
     }
 
-    /// How long having heard a member outweighs what others say.
+    /// Returns how long a direct frame from a member overrides doubts of others.
     fn fresh(&self) -> Millis {
         2 * self.timing.heartbeat
     }
 
-    /// Tells a member that its word is doubted somewhere.
+    /// Queues a notification to a member that its entry is doubted.
     fn tell(&mut self, id: &Id) {
         let Some(entry) = self.others.get(id) else { return };
         let doubt = entry.member.doubt.max(Doubt::Suspect);
@@ -319,7 +326,7 @@
         Self { member, heard: now, direct: None, accused: None, reach: Reach::Fine, since: now, asking: Asking::No }
     }
 
-    /// Takes a newer word.
+    /// Replaces the entry with a newer version and clears doubts.
     fn take(&mut self, told: Member, now: Millis) {
         if told.instance.incarnation > self.member.instance.incarnation {
             self.direct = None;
--- a/crates/peer/src/membership/list.rs
+++ b/crates/peer/src/membership/list.rs
@@ -1,8 +1,9 @@
-//! The platform's list of instances: late, maybe wrong, and so never the truth.
+//! The platform's list of instances, which may be outdated or wrong and so is
+//! never authoritative.
 //!
-//! What is taken from it: names that nobody has met; that this instance itself
-//! is to leave; and a second opinion about a member that is silent anyway. A
-//! member that answers is judged by its own word alone.
+//! It is used for three things: to find names of instances that are not yet
+//! members, to notice that this instance has to leave, and to confirm that a
+//! silent member is gone. For a member that responds, only its own entry counts.
 
 use std::collections::BTreeMap;
 
@@ -14,35 +15,35 @@
 use super::{Membership, Reach};
 use crate::member::Member;
 
-/// Part of the suspicion that is waited for when something else agrees with it.
+/// Divisor of the suspicion timeout when another signal confirms the failure.
 const AGREED: Millis = 2;
 
-/// One line of the platform's list.
+/// One entry of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listed {
     /// The instance's name.
     pub name: Id,
-    /// What the platform says of it.
+    /// State of the instance according to the platform.
     pub state: Standing,
 }
 
-/// What the platform says of an instance.
+/// State of an instance according to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It runs.
+    /// The instance is meant to run.
     Live,
-    /// It will be taken away.
+    /// The instance will be shut down.
     Leaving,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct List {
-    /// Absent until the first list came.
+    /// `None` until the first list arrives.
     lines: Option<BTreeMap<Id, Standing>>,
 }
 
 impl Membership {
-    /// Takes the platform's latest list.
+    /// Updates the platform's list.
     pub fn set_listed(&mut self, listed: Vec<Listed>) {
         let lines: BTreeMap<_, _> = listed.into_iter().map(|l| (l.name, l.state)).collect();
         let mine = &self.me.instance.id;
@@ -51,15 +52,17 @@
         let after = standing(&lines);
         self.list.lines = Some(lines);
         self.changed();
-        // Only a turn seen in this run counts: a late list may still show the
-        // end of the run before, and a fresh instance would leave at once.
+        // Only a transition observed in this run counts: an outdated list may
+        // still show the end of the previous run, and a newly started instance
+        // would leave immediately.
         if before == Some(Standing::Live) && after == Some(Standing::Leaving) {
             self.leave();
         }
     }
 
-    /// Takes instances that the object API names. Unknown ones are not counted
-    /// until a peer speaks of them; the task dials them.
+    /// Returns those of the instances named by the object API that are not
+    /// known, or only in an earlier run. The task dials them; they become
+    /// members once they or a peer send their entry.
     #[must_use]
     pub fn strangers(&self, known: &[Instance]) -> Vec<Instance> {
         let strange = |i: &&Instance| match self.get(&i.id) {
@@ -69,22 +72,23 @@
         known.iter().filter(|i| i.state != State::Gone).filter(strange).cloned().collect()
     }
 
-    /// Names in the list that no peer has spoken of.
+    /// Returns the names in the list that are not known as members.
     pub(super) fn unmet(&self) -> Vec<Id> {
         let lines = self.list.lines.iter().flatten();
         let live = lines.filter(|(_, standing)| **standing == Standing::Live);
         live.map(|(id, _)| id).filter(|id| self.get(id).is_none()).cloned().collect()
     }
 
-    /// How long the doubt about a member is waited with before it is removed:
-    /// half when something else than silence says the same.
+    /// Returns how long a suspected member has before it is removed: half the
+    /// suspicion timeout if another signal than its silence confirms the failure.
     pub(super) fn patience(&self, id: &Id) -> Millis {
         let unlisted = self.list.lines.as_ref().is_some_and(|lines| lines.get(id) != Some(&Standing::Live));
         let ended = self.others.get(id).is_some_and(|entry| entry.reach == Reach::NobodyThere);
         if unlisted || ended { self.timing.suspicion / AGREED } else { self.timing.suspicion }
     }
 
-    /// Whether a greeting may be taken: an earlier run than the known one may not.
+    /// Returns whether a greeting may be accepted: not if it is from an earlier
+    /// run than the known one.
     #[must_use]
     pub fn admits(&self, member: &Member) -> bool {
         let known = self.get(&member.instance.id);
--- a/crates/peer/src/membership/silence.rs
+++ b/crates/peer/src/membership/silence.rs
@@ -1,16 +1,17 @@
-//! What becomes of a member that is not heard.
+//! Detection of silent members: suspicion, probing and removal.
 
 use world::{Millis, instance::Id, instance::State};
 
 use super::{Action, Asking, Membership, Reach};
 use crate::member::{Doubt, Member};
 
-/// Heartbeats that this instance may miss itself before it blames its own pause.
+/// Heartbeats between two ticks above which this instance assumes that it was
+/// paused itself.
 const OWN_PAUSE: Millis = 3;
 
 impl Membership {
-    /// Names the members that this instance is answerable for: those that it
-    /// has or wants a link with.
+    /// Sets the members that this instance monitors: those that it has or
+    /// wants a link with.
     pub fn watch(&mut self, ids: impl IntoIterator<Item = Id>, now: Millis) {
         let wanted = ids.into_iter().collect();
         let before = std::mem::replace(&mut self.watched, wanted);
@@ -21,7 +22,7 @@
         }
     }
 
-    /// A frame came on our own link with the member.
+    /// Records that a frame arrived on a direct link with the member.
     pub fn heard(&mut self, id: &Id, now: Millis) {
         let Some(entry) = self.others.get_mut(id) else { return };
         entry.heard = now;
@@ -34,14 +35,15 @@
         }
     }
 
-    /// Our own link with the member has ended: what others say counts again.
+    /// Records that the direct link with the member has closed, so that doubts
+    /// of others count again.
     pub fn unlinked(&mut self, id: &Id, now: Millis) {
         let Some(entry) = self.others.get_mut(id) else { return };
         entry.direct = None;
         self.settle_accusation(id, now);
     }
 
-    /// Takes up a kept doubt if its subject was not heard again.
+    /// Applies a deferred doubt if the member has not been heard again.
     fn settle_accusation(&mut self, id: &Id, now: Millis) {
         let fresh = self.fresh();
         let Some(entry) = self.others.get_mut(id) else { return };
@@ -52,13 +54,14 @@
         }
     }
 
-    /// The member could not be connected to: it counts as silent already.
+    /// Records that connecting to the member failed; it now counts as silent.
     pub fn unreachable(&mut self, id: &Id) {
         self.not_reached(id, Reach::Unreachable);
     }
 
-    /// Nobody listens where the member should: a process that has ended, most
-    /// likely, and no pause, so that its refutation is waited for less long.
+    /// Records that no process listens at the member's address. Its process has
+    /// most likely ended rather than paused, so the wait for a refutation is
+    /// shorter.
     pub fn nobody_there(&mut self, id: &Id) {
         self.not_reached(id, Reach::NobodyThere);
     }
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Another one reached the member and brings its word.
+    /// Records that a probe reached the member and returned its entry.
     pub fn vouched(&mut self, word: Member, now: Millis) {
         let id = word.instance.id.clone();
         self.merge_one(word, None, now);
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Nobody who was asked could reach the member.
+    /// Records that neither this instance nor the probed peers reached the member.
     pub fn unvouched(&mut self, id: &Id, now: Millis) {
         let Some(entry) = self.others.get_mut(id) else { return };
         let quietly = entry.asking == Asking::Quietly;
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Lets time pass; called once a heartbeat.
+    /// Advances the time; called once per heartbeat interval.
     pub fn tick(&mut self, now: Millis) {
         self.forgive_own_pause(now);
         let ids: Vec<_> = self.others.keys().cloned().collect();
@@ -100,8 +103,8 @@
         }
     }
 
-    /// A paused instance that wakes hears nobody for a moment, though nobody
-    /// is at fault; without this it would doubt the whole fleet at once.
+    /// Extends all timers by a pause of this instance itself. Without this, an
+    /// instance that resumes after a pause would suspect the whole fleet at once.
     fn forgive_own_pause(&mut self, now: Millis) {
         let pause = now.saturating_sub(self.ticked);
         self.ticked = now;
@@ -111,7 +114,8 @@
         for entry in self.others.values_mut() {
             entry.heard = now;
             entry.reach = Reach::Fine;
-            // A doubt heard since waking, before this tick, is not that old.
+            // A doubt received after the pause but before this tick must not
+            // get a time in the future.
             entry.since = (entry.since + pause).min(now);
         }
     }
@@ -143,8 +147,8 @@
         let Some(entry) = self.others.get_mut(id) else { return };
         match entry.asking {
             Asking::No | Asking::Doubted => self.suspect(id, now),
-            // A one-way cut: others hear it well. Doubting it at each silence
-            // would make it refute for ever.
+            // Only the direct path is broken: other peers reach the member.
+            // Suspecting it at each silence would make it refute forever.
             Asking::Vouched => {
                 entry.asking = Asking::Quietly;
                 self.actions.push(Action::Probe(entry.member.clone()));
--- a/crates/peer/src/membership/tests.rs
+++ b/crates/peer/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! Faults between memberships, without sockets or clocks.
+//! Failure detection between simulated memberships, without sockets or clocks.
 
 mod schedule;
 mod sim;
@@ -12,12 +12,12 @@
 use super::{Listed, Membership, Standing};
 use crate::member::{Doubt, Member};
 
-/// Heartbeats in which any of these faults is found out and told to all.
+/// Heartbeats within which any of these faults is detected and known to all.
 const SOON: usize = 12;
-/// Heartbeats in which all agree again after everything has healed.
+/// Heartbeats within which all views agree after all faults have healed.
 const SETTLED: usize = 60;
 
-/// Runs faults over a full mesh and over three links each.
+/// Runs a scenario on a full mesh and with three links per instance.
 fn check(size: usize, story: impl Fn(&mut Sim)) {
     for limit in [size, 3] {
         let mut sim = Sim::new(size, limit, 7);
@@ -33,7 +33,7 @@
 }
 
 stories! {
-    /// Nothing happens: nobody is ever suspected, links stay within the limit.
+    /// Without faults, no instance is ever suspected.
     quiet(sim, 7) {
         sim.run(200);
         for node in 0..7 {
@@ -41,30 +41,31 @@
         }
     }
 
-    /// An instance crashes. Its neighbours miss its heartbeats, suspect it, and
-    /// all remove it after the suspicion; nobody else is touched.
+    /// An instance crashes. Its linked peers miss its heartbeats and suspect it,
+    /// and all remove it after the suspicion timeout. No other is removed.
     lost_heartbeats(sim, 7) {
         sim.kill(3);
         sim.run(SOON);
         assert_eq!(sim.disagreement(), None);
     }
 
-    /// One direction between two instances carries nothing; both hear all the
-    /// others. The one that hears nothing suspects, others vouch, and from then
-    /// on neither is suspected again, for as long as the cut lasts.
+    /// One direction between two instances is cut; both still reach all others.
+    /// The instance that receives nothing suspects the other until probes reach
+    /// it. From then on, neither is suspected for as long as the cut lasts.
     one_way_cut(sim, 7) {
         sim.cuts.insert((2, 5));
         sim.run(SOON);
         for _ in 0..100 {
             sim.run(1);
-            assert!((0..7).all(|node| sim.nodes[node].state_of(2) == State::Live), "2 is doubted");
-            assert!((0..7).all(|node| sim.nodes[node].state_of(5) == State::Live), "5 is doubted");
+            assert!((0..7).all(|node| sim.nodes[node].state_of(2) == State::Live), "2 is suspected");
+            assert!((0..7).all(|node| sim.nodes[node].state_of(5) == State::Live), "5 is suspected");
         }
     }
 
-    /// Two failure domains lose sight of the third. Each side removes the
-    /// other; after the healing a removal told by the far side must not make
-    /// anyone remove a member of its own side: its keys' homes would move.
+    /// One failure domain is partitioned from the other two. Each side removes
+    /// the other. After the partition heals, a removal reported by the far side
+    /// must not make an instance remove a member of its own side, because the
+    /// home instances of keys would move.
     parted_domains(sim, 9) {
         let (far, near) = ([0, 3, 6], [1, 2, 4, 5, 7, 8]);
         sim.part(&far, &near);
@@ -80,22 +81,22 @@
         assert_eq!(sim.disagreement(), None);
     }
 
-    /// An instance is paused until it has been removed, and wakes. It must not
-    /// blame the others for its own pause, and is counted again by all, in the
-    /// same run, because it refutes.
+    /// An instance is paused until it has been removed, then resumes. It must
+    /// not suspect the others because of its own pause, and all readmit it in
+    /// the same run because it refutes its removal.
     paused_and_woken(sim, 7) {
         sim.nodes[4].paused = true;
         sim.run(2 * SOON);
         assert!((0..7).filter(|n| *n != 4).all(|n| sim.nodes[n].state_of(4) == State::Gone));
         sim.nodes[4].paused = false;
         sim.run(1);
-        assert!((0..7).all(|other| sim.nodes[4].state_of(other) != State::Gone), "it blames the others");
+        assert!((0..7).all(|other| sim.nodes[4].state_of(other) != State::Gone), "it removed others");
         sim.run(SETTLED);
         assert_eq!(sim.disagreement(), None);
     }
 
-    /// A run ends and the next one starts before anyone has noticed. All take
-    /// the new run; the old one's words are refused.
+    /// A run ends and the next one starts before any peer has noticed. All
+    /// accept the new run; entries of the old run are ignored.
     restarted(sim, 7) {
         let old = sim.nodes[1].membership.me().clone();
         sim.restart(1);
@@ -106,8 +107,8 @@
         assert_eq!(sim.nodes[2].membership.get(&id(1)).unwrap().instance.incarnation, Incarnation(2));
     }
 
-    /// Leaving reaches all, is not undone by a suspicion, and its end is known
-    /// without any waiting.
+    /// All see that an instance is leaving, and see the end of its run without
+    /// waiting for a suspicion.
     leaving(sim, 7) {
         sim.nodes[6].membership.leave();
         sim.run(4);
@@ -117,8 +118,8 @@
         assert!((0..7).all(|n| sim.nodes[n].state_of(6) == State::Gone));
     }
 
-    /// Two faults together: one crashes while a cut keeps its news from a whole
-    /// domain, and another is paused while it should vouch.
+    /// Combined faults: an instance crashes while a domain is partitioned off,
+    /// and another instance, which could answer probes, is paused.
     crash_during_partition(sim, 9) {
         sim.part(&[2, 5, 8], &[0, 1, 3, 4, 6, 7]);
         sim.nodes[4].paused = true;
@@ -130,8 +131,8 @@
         assert_eq!(sim.disagreement(), None);
     }
 
-    /// A neighbour's every link partner dies with it: a lost domain. Whoever is
-    /// next in the ring finds out, one after the other.
+    /// A whole domain is lost, so that a crashed instance's linked peers may
+    /// have crashed as well. The next ones in the ring detect it one by one.
     lost_domain(sim, 9) {
         for place in [1, 4, 7] {
             sim.kill(place);
@@ -140,8 +141,8 @@
         assert_eq!(sim.disagreement(), None);
     }
 
-    /// Two faults together: the removed instance comes back as a new run while
-    /// the far side of a cut still counts the old one.
+    /// Combined faults: an instance restarts while the other side of a
+    /// partition still counts its old run as a member.
     restart_during_partition(sim, 9) {
         sim.part(&[2, 5, 8], &[0, 1, 3, 4, 6, 7]);
         sim.run(4);
@@ -153,7 +154,7 @@
     }
 }
 
-/// `i0` knows `i1`, which it last heard at 0.
+/// Creates the view of `i0` with the member `i1`, last heard at time 0.
 fn pair() -> Membership {
     let mut membership = Membership::new(instance(0, 1), TIMING, 0);
     membership.merge(vec![Member::new(instance(1, 1))], &id(1), 0);
@@ -166,7 +167,7 @@
     lines.iter().map(|(place, state)| Listed { name: id(*place), state: *state }).collect()
 }
 
-/// When the silent `i1` is removed.
+/// Returns the time at which the silent `i1` is removed.
 fn removed_after(mut membership: Membership) -> Millis {
     let mut now = 0;
     while membership.get(&id(1)).unwrap().is_counted() {
@@ -178,8 +179,8 @@
 
 #[test]
 fn a_stale_list_removes_nobody_that_answers() {
-    // The platform's list is late: it shows a run as leaving or not at all that
-    // is in good health. Taking it as the truth would empty the fleet.
+    // The platform's list may be outdated and show a healthy run as leaving or
+    // not at all. Treating it as authoritative would empty the fleet.
     for lines in [vec![(0, Standing::Live), (1, Standing::Leaving)], vec![]] {
         let mut membership = pair();
         membership.set_listed(list(&lines));
@@ -204,8 +205,9 @@
 
 #[test]
 fn one_whose_port_refuses_is_removed_sooner_unless_it_refutes() {
-    // A crash: the port refuses at once. A wall that refuses in its place, on
-    // one way only, must remove nobody: the subject's next word ends it.
+    // After a crash, the port refuses connections at once. A firewall that
+    // rejects connections from one side must not cause a removal: the member's
+    // next entry clears the suspicion.
     let mut crashed = pair();
     crashed.nobody_there(&id(1));
     let mut silent = pair();
@@ -223,7 +225,7 @@
 
 #[test]
 fn only_a_turn_seen_in_this_run_makes_it_leave() {
-    // A late list still shows the end of the run before this one.
+    // An outdated list may still show the end of the previous run.
     let mut membership = pair();
     membership.set_listed(list(&[(0, Standing::Leaving)]));
     assert_eq!(membership.me().state(), State::Live);
@@ -235,8 +237,8 @@
 
 #[test]
 fn a_doubt_about_one_just_heard_is_told_to_it_and_not_taken() {
-    // Hearsay against a member that has just spoken: only its subject can end
-    // the doubt elsewhere, by a new word.
+    // The member was heard directly a moment ago. Only the member itself can
+    // clear the doubt at other instances, by a new version of its entry.
     let mut membership = pair();
     let doubted = Member { doubt: Doubt::Gone, ..Member::new(instance(1, 1)) };
     membership.merge(vec![doubted.clone()], &id(2), 500);
@@ -247,9 +249,10 @@
 
 #[test]
 fn a_doubt_kept_back_is_taken_up_when_its_subject_stays_silent() {
-    // The doubt came once, while the member had just been heard; then its link
-    // ended, or nothing came any more. Thrown away, the doubt would be missed
-    // until the views were compared: a crash took 8 s to be known everywhere.
+    // The doubt is sent only once, just after the member was heard; then its
+    // link closes or it falls silent. If the doubt were dropped, it would be
+    // missing until the views are compared: a crash took 8 s to be known
+    // everywhere.
     let doubted = Member { doubt: Doubt::Suspect, ..Member::new(instance(1, 1)) };
     let mut ended = pair();
     ended.merge(vec![doubted.clone()], &id(2), 500);
--- a/crates/peer/src/membership/tests/schedule.rs
+++ b/crates/peer/src/membership/tests/schedule.rs
@@ -1,11 +1,12 @@
-//! After any schedule of faults and their healing, all agree on who is there.
+//! After any schedule of faults and their healing, all views agree.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 
 use super::{SETTLED, sim::Sim};
 
 const SIZE: usize = 8;
-/// Faults that pass what the suspicion spans, and the memory of the removed.
+/// Longest time between two faults in heartbeats: longer than the suspicion
+/// timeout and the time for which removed members are remembered.
 const LONGEST: usize = 80;
 
 #[derive(Debug, Clone)]
@@ -53,7 +54,7 @@
     }
 }
 
-/// The same few cases every time; as many others as `PROPTEST_CASES` says.
+/// Runs 64 fixed cases by default, or `PROPTEST_CASES` random ones if set.
 fn config() -> ProptestConfig {
     let asked = ProptestConfig { failure_persistence: None, ..ProptestConfig::default() };
     if std::env::var_os("PROPTEST_CASES").is_some() {
--- a/crates/peer/src/membership/tests/sim.rs
+++ b/crates/peer/src/membership/tests/sim.rs
@@ -1,6 +1,6 @@
-//! Several memberships, with links as the topology plans them, in steps of
-//! one heartbeat. A cut holds frames back; after a while it breaks the link,
-//! as TCP does. Everything random comes from one seed.
+//! Simulation of several memberships in steps of one heartbeat, with links as
+//! planned by the topology. A cut holds back frames and after a while breaks
+//! the link, as TCP does. All randomness comes from one seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,18 +21,18 @@
 
 pub const TIMING: Timing = Timing { heartbeat: 1_000, silence: 3_500, suspicion: 3_000, forget: 60_000 };
 const DOMAINS: usize = 3;
-/// Heartbeats until a cut breaks a link.
+/// Heartbeats after which a cut breaks a link.
 const BREAK: u32 = 4;
-/// Heartbeats a peer is left alone that closed a link.
+/// Milliseconds for which a peer is not dialled after its link was closed.
 const REST: Millis = 10_000;
 const PROBERS: usize = 3;
 
 pub struct Sim {
     pub now: Millis,
     pub nodes: Vec<Node>,
-    /// Directions that carry nothing.
+    /// Directions, as (sender, receiver), in which no frames arrive.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Broken frames of each link.
+    /// Number of steps for which each link has been cut.
     broken: BTreeMap<(usize, usize), u32>,
     limit: usize,
     rng: ChaCha8Rng,
@@ -40,7 +40,7 @@
 
 pub struct Node {
     pub membership: Membership,
-    /// Runs, be it paused.
+    /// Whether the instance runs, even if paused.
     pub up: bool,
     pub paused: bool,
     spreads: BTreeMap<usize, Spread>,
@@ -84,7 +84,7 @@
 }
 
 impl Sim {
-    /// Started and settled.
+    /// Creates a fleet and runs it until the links are stable.
     pub fn new(size: usize, limit: usize, seed: u64) -> Self {
         let nodes = (0..size).map(|place| Node::new(place, 1, 0)).collect();
         let rng = ChaCha8Rng::seed_from_u64(seed);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Cuts both directions between two groups.
+    /// Cuts both directions between all instances of two groups.
     pub fn part(&mut self, ones: &[usize], others: &[usize]) {
         for (one, other) in ones.iter().flat_map(|one| others.iter().map(move |other| (*one, *other))) {
             self.cuts.extend([(one, other), (other, one)]);
@@ -117,7 +117,8 @@
         self.nodes[place] = Node::new(place, incarnation, self.now);
     }
 
-    /// Whether all awake ones count the same, namely the ones that are up.
+    /// Returns a description of the first instance, neither down nor paused,
+    /// whose members differ from the instances that are up.
     pub fn disagreement(&self) -> Option<String> {
         let up: BTreeSet<_> = (0..self.nodes.len()).filter(|p| self.nodes[*p].up).collect();
         for node in self.nodes.iter().filter(|n| n.awake()) {
@@ -231,7 +232,8 @@
         self.nodes[one].membership.watch(plan.watch, self.now);
     }
 
-    /// Seeds (the first two), those removed, those that the object API names.
+    /// Dials one random seed (the first two instances), removed member or
+    /// instance named by the object API.
     fn stray(&mut self, one: usize) {
         let named: Vec<_> = self.nodes.iter().map(|n| n.membership.me().instance.clone()).collect();
         let node = &self.nodes[one];
@@ -264,7 +266,7 @@
         }
     }
 
-    /// Everything due on every link, at least one heartbeat.
+    /// Sends all pending changes on every link, at least one heartbeat each.
     fn beat(&mut self, one: usize) {
         for change in self.nodes[one].membership.take_changes() {
             let from = change.from.as_ref().map(place);
--- a/crates/peer/src/news.rs
+++ b/crates/peer/src/news.rs
@@ -1,4 +1,4 @@
-//! News: numbered by its origin, told apart from what has been seen.
+//! News items, the filter for duplicates, and the rate limit of a link.
 
 use std::{cmp::Ordering, collections::BTreeMap};
 
@@ -11,51 +11,51 @@
 #[cfg(test)]
 mod tests;
 
-/// Numbers below an origin's highest that are still told apart.
+/// Number of latest sequence numbers of an origin that are tracked one by one.
 const WINDOW: u64 = 128;
 
-/// One piece of news on its way. The topic is a number here, because news of
-/// an unknown topic is passed on as well.
+/// One news item. The topic is a number here, because news of a topic unknown
+/// to this build is relayed as well.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct News {
-    /// Who published it.
+    /// Instance that published it.
     pub origin: Id,
-    /// In which run.
+    /// Run in which the origin published it.
     pub incarnation: Incarnation,
-    /// From 1 in each run.
+    /// Sequence number, starting at 1 in each run.
     pub sequence: u64,
-    /// What it is about.
+    /// Number of the topic.
     pub topic: u32,
-    /// Its owner's bytes.
+    /// Body, defined by the topic owner.
     pub body: Bytes,
-    /// Links travelled.
+    /// Number of links travelled so far.
     pub hops: u32,
-    /// Whether receivers pass it on.
+    /// Whether receivers relay it.
     pub relay: bool,
-    /// The origin's clock; 0 for none.
+    /// Time of the origin's hybrid logical clock; 0 if it has none.
     pub stamp: u64,
 }
 
-/// What tells one piece of news from all others.
+/// Unique identifier of a news item.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Name {
-    /// Who published it.
+    /// Instance that published it.
     pub origin: Id,
-    /// In which run.
+    /// Run in which the origin published it.
     pub incarnation: Incarnation,
-    /// From 1 in each run.
+    /// Sequence number, starting at 1 in each run.
     pub sequence: u64,
-}
+    }
 
 impl News {
-    /// Its name.
+    /// Returns the identifier of this item.
     #[must_use]
     pub fn name(&self) -> Name {
         Name { origin: self.origin.clone(), incarnation: self.incarnation, sequence: self.sequence }
     }
 }
 
-/// Which news has been seen, one small window per origin.
+/// Set of news items already seen, as one small window per origin.
 #[derive(Debug, Default)]
 pub struct Seen {
     origins: BTreeMap<Id, Window>,
@@ -65,13 +65,13 @@
 struct Window {
     incarnation: Incarnation,
     highest: u64,
-    /// Bit n: `highest - n` was seen.
+    /// Bit n is set if `highest - n` was seen.
     bits: u128,
 }
 
 impl Seen {
-    /// Whether the news is new, which it is once only. News of an earlier run,
-    /// and news older than the window, counts as seen.
+    /// Marks the item as seen and returns whether it was new. Items of an
+    /// earlier run, and items older than the window, count as seen.
     pub fn is_new(&mut self, name: &Name) -> bool {
         let fresh = || Window { incarnation: name.incarnation, highest: 0, bits: 0 };
         let window = self.origins.entry(name.origin.clone()).or_insert_with(fresh);
@@ -81,7 +81,7 @@
         name.incarnation == window.incarnation && window.add(name.sequence)
     }
 
-    /// Whether it counts as seen, without seeing it.
+    /// Returns whether the item counts as seen, without marking it.
     #[must_use]
     pub fn has(&self, name: &Name) -> bool {
         self.origins.get(&name.origin).is_some_and(|window| match name.incarnation.cmp(&window.incarnation) {
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Drops the windows of all but these origins.
+    /// Drops the windows of all origins for which `known` returns false.
     pub fn keep(&mut self, known: impl Fn(&Id) -> bool) {
         self.origins.retain(|id, _| known(id));
     }
@@ -119,10 +119,11 @@
     }
 }
 
-/// News that a link may still bring in this second.
+/// Limit of the news items per second accepted on a link.
 ///
-/// A flooding peer would otherwise be relayed to the whole fleet. What is over
-/// is dropped: the digests on heartbeats tell owners what they missed.
+/// Otherwise a peer that floods its link would be relayed to the whole fleet.
+/// Items over the limit are dropped: the digests on heartbeats let topic
+/// owners detect what they missed.
 #[derive(Debug)]
 pub struct Allowance {
     rate: u32,
@@ -131,13 +132,13 @@
 }
 
 impl Allowance {
-    /// `rate` pieces a second.
+    /// Creates a limit of `rate` items per second.
     #[must_use]
     pub fn new(rate: u32, now: Millis) -> Self {
         Self { rate, left: rate, since: now }
     }
 
-    /// Takes one, if there is one.
+    /// Returns whether one more item is allowed, and counts it.
     pub fn take(&mut self, now: Millis) -> bool {
         if now.saturating_sub(self.since) >= 1_000 {
             self.left = self.rate;
--- a/crates/peer/src/news/tests.rs
+++ b/crates/peer/src/news/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as seen, and what a link may bring.
+//! Duplicate detection of news and the rate limit of a link.
 
 use world::instance::{Id, Incarnation};
 
@@ -8,7 +8,7 @@
     Name { origin: Id::parse(origin).unwrap(), incarnation: Incarnation(incarnation), sequence }
 }
 
-/// Gives news of (incarnation, sequence) in this order and says which is new.
+/// Adds items given as (incarnation, sequence, whether it must be new) in order.
 fn check(given: &[(u64, u64, bool)]) {
     let mut seen = Seen::default();
     for (incarnation, sequence, expected) in given {
--- a/crates/peer/src/pool.rs
+++ b/crates/peer/src/pool.rs
@@ -1,4 +1,5 @@
-//! Connections for calls, streams and probes; links have their own.
+//! Pool of connections for calls, streams and probes. Links use dedicated
+//! connections.
 
 use std::{
     collections::BTreeMap,
@@ -23,13 +24,14 @@
     ticks::Ticks,
 };
 
-/// Connections kept open; the one unused for longest goes first.
+/// Maximum number of open connections; the least recently used is evicted.
 const CONNECTIONS: usize = 64;
-/// How often an idle connection with calls on it is checked.
+/// Interval of HTTP/2 keep-alive pings on a connection with open calls.
 const KEEP_ALIVE: Duration = Duration::from_secs(5);
 
-/// Opens and keeps connections. Behind a lock and not a task: it is held for a
-/// look-up only, and a message there and back would double a call's way.
+/// Opens and caches connections. Uses a lock instead of a task: the lock is
+/// held for a look-up only, while messages to a task and back would add a
+/// second round trip to each call.
 pub(crate) struct Pool {
     me: Instance,
     key: Key,
@@ -77,7 +79,7 @@
         &self.ticks
     }
 
-    /// A client over the kept connection, made when there is none.
+    /// Returns a client on the cached connection, connecting if there is none.
     pub(crate) async fn client(&self, to: &Instance) -> Result<PeerClient<Channel>, Error> {
         let cell = self.line(to);
         let channel = cell.get_or_try_init(|| self.connect(to.peers)).await;
@@ -85,18 +87,18 @@
         Ok(self.wrap(channel))
     }
 
-    /// A client over a connection of its own.
+    /// Returns a client on a new connection that is not shared.
     pub(crate) async fn fresh(&self, address: SocketAddr) -> Result<PeerClient<Channel>, tonic::transport::Error> {
         self.connect(address).await.map(|channel| self.wrap(channel))
     }
 
-    /// Checks a body before any of it is sent.
+    /// Checks the size of a body before it is sent.
     pub(crate) fn check(&self, body: &[u8]) -> Result<(), Error> {
         let (size, limit) = (body.len(), self.body);
         if size > limit { Err(Error::TooLarge { size, limit }) } else { Ok(()) }
     }
 
-    /// A request with the shared secret.
+    /// Wraps a message in a request that carries the shared secret.
     pub(crate) fn request<T>(&self, message: T) -> Request<T> {
         let mut request = Request::new(message);
         let bytes = self.key.text().as_bytes();
--- a/crates/peer/src/reader.rs
+++ b/crates/peer/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a link.
+//! Reader task of a link.
 
 use tokio::sync::mpsc;
 use tokio_util::task::AbortOnDropHandle;
@@ -13,8 +13,9 @@
     relay::Message,
 };
 
-/// Reads a link until it ends. Each reader waits for room for one event at a
-/// time, so a flooding peer gets its turn among the others and no more.
+/// Spawns a task that reads a link until it ends. Each reader waits until the
+/// event queue has room for its next event, so that a flooding peer gets no
+/// more than its turn among the others.
 pub(crate) fn read(
     mut incoming: Streaming<Frame>,
     source: Source,
@@ -30,7 +31,7 @@
                 return;
             }
         }
-        // The task may have ended; then nobody has to know.
+        // Sending fails only if the task has ended, which needs no event.
         let _ = events.send(Event::Closed(source)).await;
     }))
 }
--- a/crates/peer/src/relay.rs
+++ b/crates/peer/src/relay.rs
@@ -1,11 +1,12 @@
-//! How news travels where not all are linked with all: pure.
+//! Broadcast of news in a fleet without a full mesh of links. Does no I/O.
 //!
-//! Bodies go along a tree that the news itself finds: a link that brought a
-//! body a second time is pruned, and carries names only from then on. A name
-//! whose body does not come in time is asked for, and the link that offered it
-//! joins the tree: so the tree mends itself when an instance or link is lost.
-//! Flooding every link sends a body once per link; this sends it about once
-//! per instance (docs/design/membership.md has the figures).
+//! Bodies are pushed along a tree that emerges from the traffic: a link that
+//! delivers a duplicate body is pruned and carries only names from then on. If
+//! a body does not arrive in time after its name, it is requested from a link
+//! that offered the name, and that link joins the tree. This repairs the tree
+//! when an instance or link is lost. Flooding would send a body once per link;
+//! the tree sends it about once per instance (docs/design/membership.md has
+//! the figures).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,41 +17,42 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a body may come after its name, in milliseconds: above the time a
-/// body takes through the tree, and short against a heartbeat.
+/// Time to wait for a body after its name arrived, in milliseconds: longer than
+/// a body takes through the tree, and short compared with a heartbeat interval.
 pub const WAIT: Millis = 150;
-/// Bodies kept for those that ask.
+/// Maximum number of recent items kept to serve requests for their bodies.
 const KEPT: usize = 256;
-/// Bytes of bodies kept, so that large ones do not fill the memory.
+/// Maximum total size of the kept bodies in bytes, to bound memory use.
 const KEPT_BYTES: usize = 2 << 20;
-/// Names waited for; a flood of names would otherwise grow without bound.
+/// Maximum number of names whose bodies are awaited, so that a flood of names
+/// does not use unbounded memory.
 const MISSING: usize = 1_024;
-/// Links that news may travel at most; far more than any way is long.
+/// Maximum number of links that news travels; far above the length of any path.
 const HOPS: u32 = 16;
 
-/// What one link is to carry.
+/// A message to send on one link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// A body.
+    /// A news item with its body.
     News(News),
-    /// An offer of a body.
+    /// Offers an item by its name.
     Have(Name),
-    /// A question for a body.
+    /// Requests the body of an offered item.
     Want(Name),
-    /// Names only from now on.
+    /// Tells the peer to send only names on this link.
     Prune,
 }
 
-/// Messages and the links that are to carry them.
+/// Messages, each with the peer on whose link it is to be sent.
 pub type Messages = Vec<(Id, Message)>;
 
-/// What this instance knows of news and of the tree.
+/// State of this instance in the broadcast tree.
 #[derive(Debug, Default)]
 pub struct Relay {
     seen: Seen,
-    /// Those that get bodies.
+    /// Linked peers in the tree, to which bodies are sent.
     eager: BTreeSet<Id>,
-    /// Those that get names.
+    /// Linked peers outside the tree, to which only names are sent.
     lazy: BTreeSet<Id>,
     kept: VecDeque<News>,
     kept_bytes: usize,
@@ -64,24 +66,24 @@
 }
 
 impl Relay {
-    /// A link stands; it is in the tree until it brings what is known.
+    /// Adds a new link. It belongs to the tree until it delivers a duplicate.
     pub fn linked(&mut self, id: &Id) {
         self.lazy.remove(id);
         self.eager.insert(id.clone());
     }
 
-    /// A link has ended.
+    /// Removes a closed link.
     pub fn unlinked(&mut self, id: &Id) {
         self.lazy.remove(id);
         self.eager.remove(id);
     }
 
-    /// Forgets origins that are no members any more.
+    /// Forgets origins that are no longer known.
     pub fn keep(&mut self, known: impl Fn(&Id) -> bool) {
         self.seen.keep(known);
     }
 
-    /// News of our own.
+    /// Publishes news of this instance and returns the messages to send.
     pub fn publish(&mut self, news: &News) -> Messages {
         self.seen.is_new(&news.name());
         if news.relay {
@@ -92,7 +94,7 @@
         links.map(|id| (id.clone(), Message::News(news.clone()))).collect()
     }
 
-    /// A body came; whether it is new, and what is to be sent.
+    /// Handles a received item; returns whether it is new and the messages to send.
     pub fn news(&mut self, from: &Id, news: &News) -> (bool, Messages) {
         let name = news.name();
         self.missing.remove(&name);
@@ -112,7 +114,7 @@
         (true, messages)
     }
 
-    /// A name came; its body is waited for.
+    /// Handles an offered name: starts waiting for the body unless it was seen.
     pub fn have(&mut self, from: &Id, name: Name, now: Millis) {
         if self.seen.has(&name) || (self.missing.len() >= MISSING && !self.missing.contains_key(&name)) {
             return;
@@ -123,30 +125,31 @@
         }
     }
 
-    /// A peer asks for a body that we offered: its way through the tree is cut.
+    /// Handles a request for an offered body. The peer's path through the tree
+    /// is broken, so its link joins the tree.
     pub fn want(&mut self, from: &Id, name: &Name) -> Messages {
         self.graft(from);
         let kept = self.kept.iter().find(|news| news.name() == *name);
         kept.map(|news| (from.clone(), Message::News(news.clone()))).into_iter().collect()
     }
 
-    /// The link is to carry names only.
+    /// Removes a link from the tree, so that it carries only names.
     pub fn prune(&mut self, id: &Id) {
         if self.eager.remove(id) {
             self.lazy.insert(id.clone());
         }
     }
 
-    /// When a body is late, if one is waited for.
+    /// Returns the earliest time at which an awaited body is overdue.
     #[must_use]
     pub fn due(&self) -> Option<Millis> {
         self.missing.values().map(|missing| missing.due).min()
     }
 
-    /// Asks for what is late, one offer after the other.
+    /// Requests overdue bodies, each from the next peer that offered it.
     pub fn ask(&mut self, now: Millis) -> Messages {
         let late = |missing: &Missing| missing.due <= now;
-        // Nobody is left to ask: the digests tell the owner.
+        // No peer is left to ask; the topic owner detects the loss by the digests.
         self.missing.retain(|_, missing| !late(missing) || !missing.offers.is_empty());
         let mut messages = Messages::new();
         for (name, missing) in self.missing.iter_mut().filter(|(_, missing)| late(missing)) {
--- a/crates/peer/src/relay/tests.rs
+++ b/crates/peer/src/relay/tests.rs
@@ -1,4 +1,4 @@
-//! News over a graph of links, with a clock of messages: each takes 10 ms.
+//! Broadcasts over a simulated graph of links, on which each message takes 10 ms.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,13 +14,13 @@
 use crate::news::News;
 
 const HOP: Millis = 10;
-/// Longer than any question is waited with, all offers included.
+/// Longer than it takes to request a body from every peer that offered it.
 const QUIET: Millis = 40 * WAIT;
 
 struct Graph {
     now: Millis,
     nodes: BTreeMap<Id, Relay>,
-    /// What is under way: when it arrives, from whom, to whom.
+    /// Messages in transit: arrival time, sender, receiver, message.
     air: Vec<(Millis, Id, Id, Message)>,
     got: BTreeMap<Id, u64>,
     bodies: usize,
@@ -32,7 +32,7 @@
 }
 
 impl Graph {
-    /// A ring with chords, as the topology makes them.
+    /// Creates a ring with chords, as the topology plans it.
     fn new(size: usize, chords: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
         let nodes = (0..size).map(|place| (id(place), Relay::default())).collect();
@@ -58,7 +58,8 @@
         self.nodes.values_mut().for_each(|relay| relay.unlinked(&id(place)));
     }
 
-    /// Publishes and says how many bodies were sent; all have it once after.
+    /// Publishes an item, asserts that every other node receives it exactly
+    /// once, and returns the number of bodies sent.
     fn publish(&mut self, place: usize) -> usize {
         self.published += 1;
         let news = News {
@@ -80,8 +81,8 @@
         }
         let others: BTreeSet<_> = self.nodes.keys().filter(|node| **node != id(place)).collect();
         let have: BTreeSet<_> = self.got.keys().collect();
-        assert_eq!(have, others, "not everywhere");
-        assert!(self.got.values().all(|times| *times == 1), "more than once");
+        assert_eq!(have, others, "not received everywhere");
+        assert!(self.got.values().all(|times| *times == 1), "received more than once");
         self.bodies
     }
 
@@ -145,9 +146,9 @@
 
 #[test]
 fn the_tree_mends_itself_when_instances_are_lost() {
-    // A tenth of the instances is lost in the middle of the tree, and nobody's
-    // links are replaced yet. The names on the pruned links show what is
-    // missing; the next news is everywhere all the same, and exactly once.
+    // A tenth of the instances are lost inside the tree, before any link is
+    // replaced. The names on the pruned links reveal the missing bodies, so the
+    // next items still arrive everywhere exactly once.
     let mut graph = Graph::new(100, 10);
     for origin in 0..10 {
         graph.publish(origin);
@@ -164,7 +165,7 @@
 
 #[test]
 fn a_body_that_nobody_can_give_is_given_up() {
-    // The one that offered it has gone; the memory of it must not stay.
+    // The peer that offered it is gone; its state must not be kept forever.
     let mut relay = Relay::default();
     relay.linked(&id(1));
     let name = crate::news::Name { origin: id(9), incarnation: Incarnation(1), sequence: 1 };
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! What peers may ask of this instance, over tonic.
+//! The tonic server that handles links, probes, calls and streams of peers.
 
 use std::{pin::Pin, sync::Arc};
 
@@ -33,7 +33,8 @@
     wire::{KEY, OVERHEAD},
 };
 
-/// Answers peers; everything that needs the links goes to the task.
+/// Implementation of the peer service. Whatever needs the links is forwarded
+/// to the task as an event.
 #[derive(Debug, Clone)]
 pub(crate) struct Service {
     pub(crate) settings: Arc<Settings>,
@@ -43,7 +44,7 @@
     pub(crate) pool: Arc<Pool>,
 }
 
-/// Serves until cancelled.
+/// Serves peers until cancelled.
 pub(crate) async fn serve(service: Service, listener: TcpListener, meter: Meter, cancel: CancellationToken) {
     let settings = service.settings.clone();
     let key = settings.key.clone();
@@ -52,7 +53,7 @@
     let checked = InterceptedService::new(peer, move |request| check(&key, request));
     let incoming = TcpListenerStream::new(listener).map(move |stream| {
         let stream = stream?;
-        // A heartbeat that waits for more to send is late for nothing.
+        // Nagle's algorithm would delay heartbeats.
         stream.set_nodelay(true)?;
         Ok::<_, std::io::Error>(meter.count(stream))
     });
@@ -72,7 +73,7 @@
     Err(not_run(Code::Unauthenticated, "wrong key; give all instances the same one"))
 }
 
-/// A status that says that the owner never saw the call.
+/// Returns a status that says that the call never reached the topic owner.
 fn not_run(code: Code, why: &str) -> Status {
     let mut status = Status::new(code, why);
     status.metadata_mut().insert(NOT_RUN, MetadataValue::from_static("1"));
@@ -138,7 +139,7 @@
         self.events.send(event).await.map_err(|_| closing())
     }
 
-    /// Checks who calls whom about what.
+    /// Validates the caller, the intended run and the topic of a call.
     fn admit(&self, call: &CallRequest) -> Result<(Id, Topic), Status> {
         let (from, incarnation) = caller(call.caller.as_ref())?;
         let members = self.members.borrow();
@@ -147,11 +148,11 @@
             return Err(closing());
         }
         if call.wanted != 0 && call.wanted != me.incarnation.0 {
-            // The caller means the run before this one, whose memory is lost.
+            // The caller means an earlier run, whose in-memory state is lost.
             return Err(not_run(Code::FailedPrecondition, "this instance was started anew since"));
         }
         if members.get(&from).is_some_and(|known| known.incarnation.0 > incarnation) {
-            // A run that has been replaced must not act under its name.
+            // A superseded run must not act under its name.
             return Err(not_run(Code::FailedPrecondition, "the caller was started anew since"));
         }
         let topic = Topic::try_from(call.topic);
@@ -160,8 +161,9 @@
         Ok((from, topic))
     }
 
-    /// Never waits: a queue that is full is a true "not run" at once, which
-    /// serves the caller better than an unknown outcome at its deadline.
+    /// Hands a message to the topic owners without waiting. Failing at once with
+    /// a definite "not run" when the queue is full serves the caller better than
+    /// an unknown outcome at its deadline.
     fn hand_over(&self, message: Inbound) -> Result<(), Status> {
         self.inbound.try_send(message).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => not_run(Code::ResourceExhausted, "too many messages wait here"),
@@ -180,13 +182,14 @@
     not_run(Code::FailedPrecondition, "this instance is shutting down")
 }
 
-/// Asks a member for its word over a connection of its own.
+/// Asks a member for its own entry over a new connection.
 pub(crate) async fn probe(pool: &Pool, target: &Member) -> Option<Member> {
     let client = pool.fresh(target.instance.peers).await.ok()?;
     ask(client, pool, target).await
 }
 
-/// Asks a peer after `target`, which may be the peer itself.
+/// Sends a peer a probe request for the entry of `target`, which may be the
+/// peer itself.
 pub(crate) async fn ask(
     mut client: crate::generated::peer_client::PeerClient<tonic::transport::Channel>,
     pool: &Pool,
--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a [`spawn`](crate::spawn) needs.
+//! Settings for [`spawn`](crate::spawn).
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -6,39 +6,40 @@
 use timeline::Recorder;
 use world::{Millis, instance::Instance};
 
-/// How an instance takes part.
+/// Settings of an instance's peer links.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// This instance; `peers` is replaced by the bound address when its port is 0.
+    /// This instance; if the port of `peers` is 0, it is replaced by the bound port.
     pub me: Instance,
-    /// Where to listen for peers.
+    /// Address to listen on for peers.
     pub listen: SocketAddr,
-    /// Where to look for peers before any is known.
+    /// Addresses to dial to find the first peers.
     pub seeds: Vec<SocketAddr>,
-    /// The secret that all instances share.
+    /// Secret shared by all instances.
     pub key: Key,
-    /// Spans of membership.
+    /// Intervals and timeouts of membership.
     pub timing: Timing,
     /// Bounds on links and queues.
     pub limits: Limits,
-    /// Whose clock goes with each message and follows the senders'.
+    /// Recorder whose hybrid logical clock stamps sent messages and advances
+    /// with received ones.
     pub recorder: Option<Recorder>,
 }
 
 impl Settings {
-    /// Settings with the usual spans and bounds.
+    /// Creates settings with the default timing and limits.
     #[must_use]
     pub fn new(me: Instance, listen: SocketAddr, seeds: Vec<SocketAddr>, key: Key) -> Self {
         Self { me, listen, seeds, key, timing: Timing::default(), limits: Limits::default(), recorder: None }
     }
 }
 
-/// The secret that all instances share.
+/// Secret shared by all instances.
 #[derive(Clone)]
 pub struct Key(String);
 
 impl Key {
-    /// Takes the text as it is; empty is allowed for trials only.
+    /// Creates a key from the unmodified text; an empty one is meant only for trials.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(text.into())
@@ -48,8 +49,8 @@
         &self.0
     }
 
-    /// Compares in a time that does not tell how much was right: otherwise a
-    /// guesser finds the key byte by byte.
+    /// Compares in constant time: otherwise an attacker could find the key
+    /// byte by byte from the response times.
     pub(crate) fn is(&self, offered: &[u8]) -> bool {
         self.0.as_bytes().ct_eq(offered).into()
     }
@@ -61,16 +62,16 @@
     }
 }
 
-/// Spans of membership, in milliseconds.
+/// Intervals and timeouts of membership, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats on a link.
+    /// Interval between two heartbeats on a link.
     pub heartbeat: Millis,
-    /// Without a heartbeat until a peer is suspected.
+    /// Time without a frame after which a peer is suspected.
     pub silence: Millis,
-    /// From suspicion to removal, unless refuted.
+    /// Time from suspicion to removal, unless refuted.
     pub suspicion: Millis,
-    /// How long a removed member is remembered.
+    /// Time for which a removed member is remembered.
     pub forget: Millis,
 }
 
@@ -85,7 +86,7 @@
         Duration::from_millis(self.heartbeat)
     }
 
-    /// For connecting and greeting: a peer that takes longer is silent.
+    /// Timeout for connecting and greeting; a peer that takes longer counts as silent.
     pub(crate) fn dial(&self) -> Duration {
         Duration::from_millis(self.silence / 2)
     }
@@ -94,18 +95,19 @@
 /// Bounds on links and queues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Most links an instance keeps; up to one more instance than that, all
-    /// are linked with all. At least 3.
+    /// Maximum number of links of an instance, at least 3. Fleets of up to
+    /// `links + 1` instances form a full mesh.
     pub links: usize,
-    /// Frames waiting for one link; further ones are dropped for it alone.
+    /// Queue length in frames of each link; further frames for it are dropped.
     pub frames: usize,
-    /// Messages waiting for their owner; further calls are refused as not run.
+    /// Queue length in messages for the topic owners; further calls are
+    /// refused as not run.
     pub inbound: usize,
-    /// Chunks of one stream on their way, each side.
+    /// Number of chunks of one stream that the sending instance buffers.
     pub chunks: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a body in bytes.
     pub body: usize,
-    /// News taken from one link per second; more is dropped.
+    /// News items accepted per second on one link; further ones are dropped.
     pub news: u32,
 }
 
--- a/crates/peer/src/spread.rs
+++ b/crates/peer/src/spread.rs
@@ -1,7 +1,7 @@
-//! What one link still has to be told: pure.
+//! Pending membership changes and digests of one link. Does no I/O.
 //!
-//! A link is reliable while it lasts, so each change goes over it once. A new
-//! link starts with everything.
+//! A link is reliable while it is open, so each change is sent on it once. A
+//! new link starts with all entries and digests pending.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,39 +10,40 @@
 
 use crate::{member::Member, membership::Membership, topic::Topic};
 
-/// Members in one heartbeat; the rest goes with the next.
+/// Maximum number of members in one heartbeat; the rest is sent with the next.
 const MEMBERS: usize = 64;
-/// Heartbeats with an unequal view until everything is asked for: changes on
-/// their way explain an inequality of one or two.
+/// Consecutive heartbeats with a different view hash before the full view is
+/// requested. Changes in transit explain one or two mismatches.
 const UNEQUAL: u32 = 3;
-/// Heartbeats between two such questions.
+/// Minimum number of heartbeats between two requests for the full view.
 const ASKING: u32 = 10;
 
-/// Own digests by topic.
+/// Digests of this instance by topic.
 #[derive(Debug, Default)]
 pub struct Digests(BTreeMap<Topic, Bytes>);
 
 impl Digests {
-    /// Sets a value; false when it was that already.
+    /// Sets a digest and returns whether it changed.
     pub fn set(&mut self, topic: Topic, value: Bytes) -> bool {
         self.0.insert(topic, value.clone()) != Some(value)
     }
 }
 
-/// A heartbeat before it is put on the wire.
+/// A heartbeat message.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Entries that changed.
+    /// Membership entries that changed.
     pub members: Vec<Member>,
-    /// Digests that changed; unknown topics as they came.
+    /// Digests that changed, by topic number, including topics unknown to this build.
     pub digests: Vec<(u32, Bytes)>,
-    /// Hash of the sender's view; absent in one that is about a single doubt.
+    /// Hash of the sender's view.
     pub view: u64,
-    /// Asks for everything.
+    /// Requests all of the receiver's entries.
     pub want_all: bool,
 }
 
-/// What one link has to be told, and what came over it.
+/// Changes that are still to be sent on one link, and the comparison with the
+/// peer's view.
 #[derive(Debug, Default)]
 pub struct Spread {
     members: BTreeSet<Id>,
@@ -53,7 +54,7 @@
 }
 
 impl Spread {
-    /// Everything is to be told.
+    /// Creates the state of a new link, with everything pending.
     #[must_use]
     pub fn new(membership: &Membership, digests: &Digests) -> Self {
         let mut spread = Self { digests: digests.0.keys().copied().collect(), ..Self::default() };
@@ -61,29 +62,31 @@
         spread
     }
 
-    /// An entry changed.
+    /// Adds a changed entry.
     pub fn add(&mut self, id: &Id) {
         self.members.insert(id.clone());
     }
 
-    /// The other side asked for everything.
+    /// Adds all entries, as the peer requested.
     pub fn add_all(&mut self, membership: &Membership) {
         let ids = membership.others().chain([membership.me()]).map(|m| m.instance.id.clone());
         self.members.extend(ids);
     }
 
-    /// A digest changed.
+    /// Adds a changed digest.
     pub fn add_digest(&mut self, topic: Topic) {
         self.digests.insert(topic);
     }
 
-    /// Whether there is something that should not wait for the next heartbeat.
+    /// Returns whether changes are pending, which are sent before the next
+    /// regular heartbeat.
     #[must_use]
     pub fn is_due(&self) -> bool {
         !self.members.is_empty() || !self.digests.is_empty()
     }
 
-    /// The next heartbeat; [`sent`](Self::sent) once the link has taken it.
+    /// Returns the next heartbeat. Call [`mark_sent`](Self::mark_sent) once it
+    /// is in the link's queue.
     #[must_use]
     pub fn next(&self, membership: &Membership, digests: &Digests) -> Heartbeat {
         let members = self.members.iter().take(MEMBERS).filter_map(|id| membership.get(id)).cloned().collect();
@@ -92,7 +95,8 @@
         Heartbeat { members, digests, view: membership.view(), want_all: self.want_all }
     }
 
-    /// The link took the last one that `next` gave.
+    /// Clears the changes contained in the heartbeat that `next_heartbeat`
+    /// returned last.
     pub fn sent(&mut self) {
         let later = self.members.iter().nth(MEMBERS).cloned();
         self.members = later.map(|id| self.members.split_off(&id)).unwrap_or_default();
@@ -100,7 +104,8 @@
         self.want_all = false;
     }
 
-    /// The other side's view came; asks for everything when it stays unequal.
+    /// Compares the peer's view hash with the own one and requests all entries
+    /// if they keep differing.
     pub fn compare(&mut self, theirs: u64, mine: u64) {
         self.rest = self.rest.saturating_sub(1);
         self.unequal = if theirs == mine { 0 } else { self.unequal + 1 };
--- a/crates/peer/src/task.rs
+++ b/crates/peer/src/task.rs
@@ -1,8 +1,8 @@
 //! The task that owns the links.
 //!
-//! Everything that happens arrives as an [`Event`] or [`Command`], is handled
-//! without waiting, and what has to be told is put into the links' queues at
-//! the end of each round. A queue that is full costs its own link only.
+//! All inputs arrive as an [`Event`] or [`Command`] and are handled without
+//! waiting. At the end of each round, pending changes are put into the links'
+//! queues. A full queue affects only its own link.
 
 mod dialling;
 mod links;
@@ -38,17 +38,17 @@
     traffic::Meter,
 };
 
-/// Events waiting for the task. Small, because each reader waits in line for a
-/// place: a flood then stands this far before the others' frames, no more.
+/// Length of the event queue. Small, because each reader waits for room: a
+/// flood delays other links' frames by no more than this many events.
 const EVENTS: usize = 64;
-/// Commands waiting for the task.
+/// Length of the command queue.
 const COMMANDS: usize = 256;
-/// Events handled before the links are told.
+/// Maximum number of events handled before pending changes are sent.
 const ROUND: usize = 32;
-/// States as metrics spell them.
+/// Metric label of each state.
 const STATES: [(State, &str); 4] =
     [(State::Live, "live"), (State::Suspect, "suspect"), (State::Leaving, "leaving"), (State::Gone, "gone")];
-/// How long a last word has to get out.
+/// Time to wait on shutdown until the links' queues are empty.
 const LAST_WORD: Duration = Duration::from_millis(200);
 
 pub(crate) struct Task {
@@ -62,9 +62,10 @@
     relay: Relay,
     published: u64,
     dialling: dialling::Dialling,
-    /// What the links were planned from last; absent when to be planned anew.
+    /// Membership revision that the links were last planned from; `None` forces
+    /// a new plan.
     planned: Option<u64>,
-    /// What `members` shows.
+    /// Membership revision last published on `members`.
     shown: u64,
     events: mpsc::Sender<Event>,
     inbound: mpsc::Sender<Inbound>,
@@ -131,7 +132,7 @@
                 _ = heartbeat.tick() => self.beat(),
                 Some(event) = events.recv() => self.round(event, &mut events),
                 command = commands.recv() => match command {
-                    // Without a handle nobody could end it any more.
+                    // All handles are dropped, so the task could never be closed.
                     None => return self.depart(None).await,
                     Some(Command::Close(done)) => return self.depart(Some(done)).await,
                     Some(command) => self.command(command),
@@ -143,7 +144,8 @@
 
     fn heartbeat(&self) -> Interval {
         let mut heartbeat = interval(self.settings.timing.heartbeat());
-        // After a pause one heartbeat says all that the missed ones would.
+        // After a pause, one heartbeat carries everything that the missed
+        // ones would have.
         heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
         heartbeat
     }
@@ -166,7 +168,7 @@
             Event::Asked(doubt, reply) => {
                 let from = self.settings.me.id.clone();
                 self.membership.merge(vec![doubt], &from, now);
-                // The asker may have given up.
+                // Fails if the peer no longer waits for the reply.
                 let _ = reply.send(self.membership.me().clone());
             }
             Event::Probed { id, word: None } => self.membership.unvouched(&id, now),
@@ -183,14 +185,14 @@
             Command::Leave(done) => {
                 self.membership.leave();
                 self.settle();
-                // The caller may not care.
+                // Fails if the caller no longer waits.
                 let _ = done.send(());
             }
             Command::Close(_) => unreachable!("handled by the loop"),
         }
     }
 
-    /// Once a heartbeat.
+    /// Runs once per heartbeat interval.
     fn beat(&mut self) {
         let now = self.clock.now();
         self.membership.tick(now);
@@ -198,7 +200,7 @@
         self.close_silent();
         self.dial_stray();
         self.beat_links();
-        // Waits may have ended.
+        // Backoffs of peers may have ended.
         self.planned = None;
         self.report();
     }
@@ -212,8 +214,8 @@
         }
     }
 
-    /// After each round: act on what the membership found, keep the links as
-    /// planned, tell what changed.
+    /// Ends a round: performs the membership's actions, opens and closes links
+    /// as planned, publishes the members and sends changes.
     fn settle(&mut self) {
         for action in self.membership.take_actions() {
             self.act(action);
@@ -248,7 +250,8 @@
         }
     }
 
-    /// Tells all that this run has ended and gives the word a moment.
+    /// Announces that this run has ended and waits a moment for the links to
+    /// send it.
     async fn depart(mut self, done: Option<oneshot::Sender<()>>) {
         self.membership.depart();
         self.settle();
@@ -257,11 +260,11 @@
                 tokio::time::sleep(LAST_WORD / 20).await;
             }
         };
-        // A link that does not drain has a peer that is not listening; it will
-        // notice by the silence.
+        // The peer of a link that does not drain is not reading; it will detect
+        // the end by silence.
         let _ = tokio::time::timeout(LAST_WORD, empty).await;
         if let Some(done) = done {
-            // The caller may have given up.
+            // Fails if the caller no longer waits for the shutdown.
             let _ = done.send(());
         }
     }
--- a/crates/peer/src/task/dialling.rs
+++ b/crates/peer/src/task/dialling.rs
@@ -1,5 +1,5 @@
-//! Looking for peers: seeds, instances that the object API names, and those
-//! removed, which may be the far side of a partition.
+//! Dialling of peers: planned links, seeds, instances named by the object API,
+//! and removed members, which may be on the other side of a partition.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,21 +21,21 @@
     wire::Greeting,
 };
 
-/// Seeds dialled at the start; the rest one by one if these do not answer.
+/// Number of seeds dialled at the start; others are tried one by one later.
 const FIRST_SEEDS: usize = 3;
-/// Heartbeats a peer is left alone that has no room for a link.
+/// Backoff, in heartbeats, for a peer that has no room for a link.
 const REST: Millis = 30;
-/// Doublings of the wait after failures.
+/// Maximum number of doublings of the backoff after failures.
 const DOUBLINGS: u32 = 4;
 
-/// Whom to dial, and when again.
+/// Candidates for dialling and the backoff of each peer.
 #[derive(Debug)]
 pub(super) struct Dialling {
     heartbeat: Millis,
     seeds: Vec<SocketAddr>,
     strangers: BTreeMap<Id, Instance>,
     under_way: BTreeSet<SocketAddr>,
-    /// Our own addresses, as others met us there.
+    /// Addresses known to lead to this instance itself.
     own: BTreeSet<SocketAddr>,
     waits: BTreeMap<Id, Wait>,
     missing: BTreeMap<Id, Millis>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes the latest instances that nobody has met.
+    /// Replaces the instances that are named by the object API but not members.
     pub(super) fn know(&mut self, strangers: Vec<Instance>) {
         self.strangers = strangers.into_iter().map(|i| (i.id.clone(), i)).collect();
     }
@@ -69,7 +69,7 @@
         self.waits.get(id).is_none_or(|wait| wait.until <= now)
     }
 
-    /// Leaves a peer alone for a while that has no room.
+    /// Starts the backoff of a peer that has no room for a link.
     pub(super) fn rest(&mut self, id: &Id, now: Millis) {
         self.waits.entry(id.clone()).or_default().until = now + REST * self.heartbeat;
     }
@@ -83,12 +83,13 @@
     fn failed(&mut self, id: &Id, now: Millis) {
         let wait = self.waits.entry(id.clone()).or_default();
         let span = self.heartbeat << wait.failures.min(DOUBLINGS);
-        // Jitter: all that lost one peer would come back to it at once.
+        // Jitter: otherwise all peers of a lost instance would redial it at the
+        // same time.
         wait.until = now + rand::rng().random_range(span / 2..=span);
         wait.failures += 1;
     }
 
-    /// How long a planned link has been missing.
+    /// Returns how long a planned link has been missing.
     pub(super) fn missing_for(&mut self, id: &Id, now: Millis) -> Millis {
         now - *self.missing.entry(id.clone()).or_insert(now)
     }
@@ -110,16 +111,16 @@
         }
     }
 
-    /// Tries one address at random that no link leads to. One a heartbeat
-    /// finds the far side of a healed partition in a few seconds and costs
-    /// next to nothing while there is none.
+    /// Dials one random address that belongs to no current member. One dial per
+    /// heartbeat finds the other side of a healed partition within a few seconds
+    /// and costs almost nothing otherwise.
     pub(super) fn dial_stray(&mut self) {
         if self.is_ended() {
             return;
         }
         let counted: BTreeSet<_> =
             self.membership.others().filter(|m| m.is_counted()).map(|m| m.instance.peers).collect();
-        // Not one that ended on purpose: its next run will dial.
+        // Skip members that shut down deliberately: their next run will dial.
         let lost = |m: &&Member| !m.is_counted() && m.instance.state != State::Gone;
         let gone = self.membership.others().filter(lost).map(|m| m.instance.peers);
         let strangers = self.dialling.strangers.values().map(|i| i.peers);
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Dials in a task of its own, once at a time for each address.
+    /// Dials an address in a new task, with at most one dial per address at a time.
     pub(super) fn dial(&mut self, address: SocketAddr, wanted: Option<Id>) {
         if self.dialling.own.contains(&address) || !self.dialling.under_way.insert(address) {
             return;
@@ -141,7 +142,7 @@
         let greeting = Greeting { sender: self.membership.me().clone(), full: false };
         tokio::spawn(async move {
             let outcome = link::dial(address, greeting, &pool, &settings).await;
-            // The task may have ended; the link then closes with the event.
+            // Fails if the task has ended; dropping the event closes the link.
             let _ = events.send(Event::Dialled { address, wanted, outcome }).await;
         });
     }
@@ -157,7 +158,7 @@
                 self.membership.supersede();
             }
             Err(failure) => {
-                tracing::debug!(%address, ?failure, "peer not linked");
+                tracing::debug!(%address, ?failure, "failed to link with peer");
                 let Some(id) = wanted else { return };
                 self.dialling.failed(&id, now);
                 match failure {
@@ -170,7 +171,7 @@
         }
     }
 
-    /// The address turned out to be our own.
+    /// Records that an address leads to this instance itself.
     pub(super) fn is_own(&mut self, address: SocketAddr) {
         self.dialling.own.insert(address);
     }
--- a/crates/peer/src/task/links.rs
+++ b/crates/peer/src/task/links.rs
@@ -22,29 +22,29 @@
     wire::{self, Greeting},
 };
 
-/// Heartbeats until the side that should not dial does.
+/// Heartbeats to wait for a peer that should dial before dialling it instead.
 const LATE: Millis = 3;
 
-/// One link that stands.
+/// An open link.
 #[derive(Debug)]
 pub(super) struct Link {
     pub(super) source: Source,
     pub(super) spread: Spread,
-    /// Digests that their owner has not been given yet.
+    /// Digests of the peer that are not yet handed to the topic owners.
     pub(super) digests: BTreeMap<Topic, Bytes>,
-    /// When the last frame came.
+    /// Time of the last received frame.
     pub(super) heard: Millis,
     sender: mpsc::Sender<Frame>,
     incarnation: Incarnation,
-    /// We dialled.
+    /// Whether this instance dialled the link.
     ours: bool,
     _reader: AbortOnDropHandle<()>,
 }
 
 impl Link {
-    /// Puts a frame into the queue, unless it is full. A peer that does not
-    /// read then misses frames: heartbeats repeat, changed entries stay due,
-    /// digests make up for news.
+    /// Puts a frame into the queue and returns false if it is full. A peer that
+    /// does not read then misses frames: heartbeats are repeated, changed
+    /// entries stay pending, and digests reveal missed news.
     pub(super) fn send(&self, frame: Frame) -> bool {
         let sent = self.sender.try_send(frame).is_ok();
         if !sent {
@@ -59,7 +59,7 @@
 }
 
 impl Task {
-    /// A peer dialled us and has greeted.
+    /// Handles the greeting of a peer that dialled this instance.
     pub(super) fn accept(
         &mut self,
         greeting: Greeting,
@@ -70,21 +70,21 @@
         let id = greeting.sender.instance.id.clone();
         if let Err(refusal) = self.examine(&greeting, false) {
             self.membership.merge(vec![greeting.sender], &id, now);
-            // The peer may have given up.
+            // Fails if the peer no longer waits.
             let _ = reply.send(Err(refusal));
             return;
         }
         let (sender, receiver) = mpsc::channel(self.settings.limits.frames);
         let answer =
             Greeting { sender: self.membership.me().clone(), full: self.is_full_for(&greeting.sender.instance) };
-        // The queue is new and has room.
+        // Cannot fail: the queue is empty.
         let _ = sender.try_send(wire::frame(answer));
         if reply.send(Ok(receiver)).is_ok() {
             self.keep(greeting, sender, incoming, false);
         }
     }
 
-    /// A peer that we dialled has greeted.
+    /// Handles the greeting of a peer that this instance dialled.
     pub(super) fn opened(&mut self, address: SocketAddr, wanted: Option<&Id>, opened: Opened) {
         let Opened { greeting, sender, incoming } = opened;
         let id = greeting.sender.instance.id.clone();
@@ -92,8 +92,8 @@
             return self.is_own(address);
         }
         if let Some(wanted) = wanted.filter(|wanted| **wanted != id) {
-            // Another instance has taken over the address: the one we meant
-            // is not there.
+            // Another instance now uses the address, so the wanted one is
+            // not reachable there.
             self.membership.unreachable(wanted);
         }
         if self.examine(&greeting, true).is_err() {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Whether a link with the greeted peer is to be kept.
+    /// Checks whether a link with the greeting peer may be kept.
     fn examine(&self, greeting: &Greeting, ours: bool) -> Result<(), Status> {
         let sender = &greeting.sender.instance;
         let me = &self.membership.me().instance;
@@ -120,8 +120,8 @@
             return Err(Status::aborted("a later run under this name is known"));
         }
         let Some(link) = self.links.get(&sender.id) else { return Ok(()) };
-        // Both may dial at the same moment. Both ends keep the link that the
-        // lower name dialled, so one of the two is left and not none.
+        // Both sides may dial at the same time. Both keep the link that the
+        // lower name dialled, so that exactly one of the two remains.
         let lower_dialled = ours == (me.id < sender.id);
         let same_run = link.incarnation == sender.incarnation;
         if same_run && !lower_dialled && !link.sender.is_closed() {
@@ -148,8 +148,9 @@
         self.relay.linked(&id);
         self.links.insert(id, link);
         self.planned = None;
-        // What is due goes out before the plan may close the link again: a
-        // newcomer learns the fleet even from a peer without room.
+        // Send pending changes before the plan may close the link again, so
+        // that a new instance learns the members even from a peer that has no
+        // room for its link.
         self.flush_links();
     }
 
@@ -159,19 +160,20 @@
             self.unlink(&source.id);
             let now = self.clock.now();
             if self.is_near(&source.id) {
-                // Whoever should dial: a crashed peer refuses, and is found out
-                // at once and not by its silence.
+                // Redial regardless of which side should: a crashed peer refuses
+                // the connection and is detected at once instead of by silence.
                 self.dial_member(&source.id, now);
             } else {
-                // It may have closed for want of room, and would do so for ever.
+                // The peer may have closed the link because it has no room, and
+                // would do so again and again.
                 self.dialling.rest(&source.id, now);
             }
         }
     }
 
-    /// Closes links that bring nothing. The other end may have lost its side
-    /// and dial anew, and would be refused as linked already for as long as
-    /// TCP believes in the old connection.
+    /// Closes links on which no frames arrive. The peer may have lost its side
+    /// and dial again, and would be refused as a duplicate until TCP gives up
+    /// the old connection.
     pub(super) fn close_silent(&mut self) {
         let now = self.clock.now();
         let silent = |link: &&Link| now.saturating_sub(link.heard) > self.settings.timing.silence;
@@ -189,10 +191,10 @@
         self.planned = None;
     }
 
-    /// Dials and closes as the topology plans.
+    /// Dials and closes links as planned by the topology.
     pub(super) fn keep_links(&mut self) {
         if self.is_ended() {
-            // A word of this run would be taken for one of the later run's.
+            // Peers could take frames of this run for frames of the later run.
             let all = if self.membership.is_superseded() { self.linked() } else { Vec::new() };
             return all.iter().for_each(|id| self.unlink(id));
         }
@@ -203,7 +205,7 @@
             topology::plan(&self.settings.me, &counted, &linked, self.settings.limits.links)
         };
         for id in &plan.close {
-            tracing::debug!(peer = %id, "link closed: too many");
+            tracing::debug!(peer = %id, "link closed: over the link limit");
             self.unlink(id);
             self.dialling.rest(id, now);
         }
@@ -233,7 +235,7 @@
         }
     }
 
-    /// The links' names, oldest first.
+    /// Returns the names of the linked peers, oldest link first.
     fn linked(&self) -> Vec<Id> {
         let mut links: Vec<_> = self.links.values().collect();
         links.sort_by_key(|link| link.source.serial);
--- a/crates/peer/src/task/messages.rs
+++ b/crates/peer/src/task/messages.rs
@@ -1,4 +1,4 @@
-//! Frames in and out, news, digests, probes.
+//! Handling and sending of frames: heartbeats, news, digests and probes.
 
 use std::collections::BTreeSet;
 
@@ -23,12 +23,12 @@
     wire,
 };
 
-/// Peers asked after a silent one.
+/// Maximum number of peers asked to probe a silent member.
 const PROBERS: usize = 3;
 
 impl Task {
     pub(super) fn received(&mut self, source: &Source, received: Received) {
-        // A frame of a link that has been replaced, in flight when it was.
+        // Ignore frames of a link that has since been replaced.
         let Some(link) = self.links.get_mut(&source.id).filter(|link| link.source == *source) else { return };
         let now = self.clock.now();
         link.heard = now;
@@ -49,14 +49,14 @@
         if heartbeat.want_all {
             link.spread.add_all(&self.membership);
         }
-        // A topic of a later build has no owner here.
+        // A topic known only to a later build has no owner here.
         let known = heartbeat.digests.into_iter().filter_map(|(topic, value)| Some((topic.try_into().ok()?, value)));
         link.digests.extend(known);
         self.hand_over_digests(id);
     }
 
-    /// Gives owners the digests they have not got; what does not fit into the
-    /// queue now is tried again with the next heartbeat.
+    /// Hands a peer's pending digests to the topic owners; those that do not fit
+    /// into the queue are retried on the next heartbeat.
     fn hand_over_digests(&mut self, id: &Id) {
         let inbound = &self.inbound;
         let Some(link) = self.links.get_mut(id) else { return };
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Not our own, nor of a run that has been replaced.
+    /// Returns whether news is neither from this instance nor from a superseded run.
     fn is_of_now(&self, name: &Name) -> bool {
         let known = self.membership.get(&name.origin);
         let replaced = known.is_some_and(|m| m.instance.incarnation > name.incarnation);
@@ -97,14 +97,15 @@
         self.send_all(messages);
     }
 
-    /// Bodies are late: a link or an instance of the tree is lost.
+    /// Requests overdue news bodies. A link or instance in the tree is probably lost.
     pub(super) fn ask_late(&mut self) {
         let messages = self.relay.ask(self.clock.now());
         self.send_all(messages);
     }
 
     fn deliver(&self, from: &Id, news: &News) {
-        // A topic of a later build is passed on and has no owner here.
+        // News of a topic known only to a later build is relayed but has no
+        // owner here.
         let Ok(topic) = Topic::try_from(news.topic) else { return };
         self.pool.ticks().observe(news.stamp);
         let (origin, body) = (news.origin.clone(), news.body.clone());
@@ -145,7 +146,7 @@
         }
     }
 
-    /// One heartbeat on every link.
+    /// Sends one heartbeat on every link.
     pub(super) fn beat_links(&mut self) {
         let ids: Vec<_> = self.links.keys().cloned().collect();
         for id in ids {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// What is due on each link, at once.
+    /// Sends the pending changes of each link immediately.
     pub(super) fn flush_links(&mut self) {
         let due: Vec<_> = self.links.iter().filter(|(_, l)| l.spread.is_due()).map(|(id, _)| id.clone()).collect();
         for id in due {
@@ -179,8 +180,8 @@
         }
     }
 
-    /// Tells a member what is held against it, on our link with it or on a
-    /// connection of its own; its answer is its new word.
+    /// Notifies a member that its entry is doubted, on its link or else on a new
+    /// connection, on which it responds with its new entry.
     fn tell(&self, member: Member) {
         if let Some(link) = self.links.get(&member.instance.id) {
             let view = self.membership.view();
@@ -190,8 +191,8 @@
         self.ask(member, Vec::new());
     }
 
-    /// Asks peers of different failure domains after a member, and the member
-    /// itself on a new connection.
+    /// Probes a member on a new connection and through peers in different failure
+    /// domains.
     fn probe(&self, member: &Member) {
         let mut domains = BTreeSet::new();
         let linked = self.links.keys().filter(|id| **id != member.instance.id);
@@ -207,13 +208,13 @@
         tokio::spawn(async move {
             let word = timeout(within, first_word(&pool, &member, &probers)).await.ok().flatten();
             let id = member.instance.id.clone();
-            // The task may have ended; then nobody has to know.
+            // Sending fails only if the task has ended, which needs no event.
             let _ = events.send(Event::Probed { id, word }).await;
         });
     }
 }
 
-/// The first answer that brings the member's word.
+/// Returns the member's own entry from the first probe that obtains it.
 async fn first_word(pool: &Pool, member: &Member, probers: &[Instance]) -> Option<Member> {
     let answers: FuturesUnordered<BoxFuture<'_, Option<Member>>> = FuturesUnordered::new();
     answers.push(Box::pin(server::probe(pool, member)));
--- a/crates/peer/src/task/tests.rs
+++ b/crates/peer/src/task/tests.rs
@@ -1,4 +1,4 @@
-//! Odd peers, over real connections: later builds, floods, one that never reads.
+//! Misbehaving and later-build peers over real connections.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,7 +20,7 @@
 };
 
 const PATIENCE: Duration = Duration::from_secs(30);
-/// A topic of a later build.
+/// Number of a topic that only a later build knows.
 const LATER: u32 = 4_000;
 
 fn settings(name: &str, seed: Option<&Handle>) -> Settings {
@@ -39,7 +39,7 @@
     settings
 }
 
-/// A peer made by hand, linked with a real instance.
+/// A scripted peer that is linked with a real instance.
 struct Raw {
     pool: Arc<Pool>,
     sender: mpsc::Sender<Frame>,
@@ -52,7 +52,7 @@
         let pool = Arc::new(Pool::new(&settings));
         let (sender, receiver) = mpsc::channel(1_024);
         let member = pb::Member::from(&Member::new(settings.me));
-        // Of a later build, which still understands this one.
+        // A later build that still understands this one.
         let greeting = pb::Greeting { version: 9, oldest: 1, sender: Some(member), full: false };
         sender.send(Frame { kind: Some(Kind::Greeting(greeting)) }).await.unwrap();
         let mut client = pool.fresh(to.address()).await.unwrap();
@@ -87,20 +87,20 @@
 async fn next_news(inbound: &mut mpsc::Receiver<Inbound>, by: &str) -> Bytes {
     let wanted = async {
         loop {
-            match inbound.recv().await.expect("the task runs") {
+            match inbound.recv().await.expect("the task is running") {
                 Inbound::News { origin, body, .. } if origin.as_str() == by => return body,
                 _ => {}
             }
         }
     };
-    timeout(PATIENCE, wanted).await.expect("the news comes")
+    timeout(PATIENCE, wanted).await.expect("the news arrives")
 }
 
 #[tokio::test]
 async fn what_a_later_build_adds_is_kept_out_of_the_way() {
-    // A roll-out of ours has two builds at work. Frames, topics and digests
-    // that only the later one knows arrive at the earlier one: it takes the
-    // rest, keeps the link, passes the news on, and refuses the calls as not run.
+    // During a rollout, two builds run side by side. The earlier build receives
+    // frames, topics and digests that only the later one knows. It handles the
+    // rest, keeps the link, relays the news and refuses the calls as not run.
     let (node, mut inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let raw = Raw::link("z", &node).await;
     let mut other = Raw::link("y", &node).await;
@@ -119,7 +119,7 @@
 
     let relayed = async {
         loop {
-            let frame = other.incoming.message().await.unwrap().expect("the link stays");
+            let frame = other.incoming.message().await.unwrap().expect("the link stays open");
             if let Some(Kind::News(news)) = frame.kind {
                 return (news.topic, news.hops);
             }
@@ -136,8 +136,8 @@
 
 #[tokio::test]
 async fn a_flood_from_one_peer_does_not_hold_up_others() {
-    // One peer sends far more news than any owner can use. Without a bound all
-    // of it would be relayed, and heartbeats of others would wait behind it.
+    // One peer sends far more news than any topic owner can handle. Without a
+    // rate limit all of it would be relayed and delay heartbeats of others.
     let (node, mut inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let (other, _other_inbound) = crate::spawn(settings("b", Some(&node))).await.unwrap();
     until_live(&node, 2).await;
@@ -158,8 +158,8 @@
 
 #[tokio::test]
 async fn a_peer_that_never_reads_costs_its_own_link_only() {
-    // Its queue and the connection's buffers fill; what does not fit is dropped
-    // for it alone, and the publisher never waits.
+    // Its queue and the connection's buffers fill up. Further frames are dropped
+    // for this peer only, and the publisher never waits.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let (other, mut inbound) = crate::spawn(settings("b", Some(&node))).await.unwrap();
     until_live(&node, 2).await;
@@ -175,8 +175,9 @@
 
 #[tokio::test]
 async fn a_silent_link_is_closed_and_its_peer_removed() {
-    // The connection stands, but nothing comes: the peer hangs, or lost its
-    // side. Kept open, the link would have its peer refused as linked already.
+    // The connection is open, but no frames arrive: the peer hangs or has lost
+    // its side. If the link were kept, the peer's next dial would be refused as
+    // a duplicate.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let mut raw = Raw::link("z", &node).await;
     until_live(&node, 2).await;
@@ -187,7 +188,7 @@
 
 #[tokio::test]
 async fn a_connection_that_says_nothing_is_harmless() {
-    // Opened by mistake, or by a peer that hangs before its greeting.
+    // Opened by mistake, or by a peer that hangs before it sends its greeting.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let _silent = TcpStream::connect(node.address()).await.unwrap();
     sleep(Duration::from_millis(10)).await;
--- a/crates/peer/src/ticks.rs
+++ b/crates/peer/src/ticks.rs
@@ -1,8 +1,9 @@
-//! Stamps on messages, so that an effect's event never comes before its cause's.
+//! Hybrid logical clock stamps on messages, so that an event in the timeline
+//! is never ordered before its cause on another instance.
 
 use timeline::{Recorder, Stamp};
 
-/// On the wire: the sender has no clock.
+/// Stamp on the wire of a sender without a clock.
 const NONE: u64 = 0;
 
 /// The process's hybrid logical clock, if it has one.
@@ -14,12 +15,13 @@
         Self(recorder)
     }
 
-    /// For a message about to be sent.
+    /// Returns the stamp for a message about to be sent.
     pub(crate) fn stamp(&self) -> u64 {
         self.0.as_ref().map_or(NONE, |recorder| recorder.clock().0)
     }
 
-    /// Of a message just received, before anything acts on it.
+    /// Advances the clock past the stamp of a received message. Call this before
+    /// the message takes effect.
     pub(crate) fn observe(&self, stamp: u64) {
         if let Some(recorder) = &self.0
             && stamp != NONE
--- a/crates/peer/src/topic.rs
+++ b/crates/peer/src/topic.rs
@@ -1,32 +1,32 @@
-//! What a message is about. The crate that owns a topic owns its wire types.
+//! Message topics. The crate that owns a topic owns its wire types.
 
-/// What a message is about.
+/// Topic of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Topic {
     /// Configuration changes and generations.
     Config,
-    /// Claims, bills, grants: calls to a key's home.
+    /// Claims, bills and grants: calls to a key's home instance.
     Journal,
-    /// Requests in flight under a key, and their answers.
+    /// Requests in flight under a key, and their responses.
     Request,
-    /// Sums over instances.
+    /// Sums aggregated over instances.
     Statistics,
-    /// Versions that the guard stopped.
+    /// Model versions stopped by the guard.
     Stop,
-    /// Events for operators.
+    /// Timeline events for operators.
     Timeline,
-    /// Operators' questions to the whole fleet.
+    /// Operators' queries to the whole fleet.
     Operator,
-    /// Load and cache reports.
+    /// Reports of load and caches.
     Load,
 }
 
-/// A topic of a build that this one does not know.
+/// Number of a topic that this build does not know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unknown(pub u32);
 
 impl Topic {
-    /// Every topic.
+    /// All topics.
     pub const ALL: [Self; 8] = [
         Self::Config,
         Self::Journal,
@@ -38,7 +38,7 @@
         Self::Load,
     ];
 
-    /// Its number on the wire; never reused.
+    /// Returns the number on the wire, which is never reused.
     #[must_use]
     pub fn number(self) -> u32 {
         match self {
--- a/crates/peer/src/topology.rs
+++ b/crates/peer/src/topology.rs
@@ -1,11 +1,13 @@
-//! Who is linked with whom: pure, from the members and the links there are.
+//! Plans the links of an instance from the members and its current links. Does
+//! no I/O.
 //!
-//! Up to one instance more than the limit, all are linked with all. Above it
-//! each instance keeps a ring (its successor and predecessor in the order of
-//! hashed names) and fills the rest of its limit with chords. The ring makes
-//! one whole of all instances whatever the chords are; the chords make the ways
-//! short, and are chosen over as many failure domains as possible, so that a
-//! lost domain cuts nobody off until the ring has closed again.
+//! With at most one instance more than the link limit, the fleet is a full
+//! mesh. Above that, each instance keeps its two ring links (to its successor
+//! and predecessor in the order of hashed names) and fills the rest of its
+//! limit with chords. The ring keeps the graph connected whatever the chords
+//! are. The chords shorten the paths and are spread over as many failure
+//! domains as possible, so that the loss of a domain disconnects no instance
+//! before the ring is repaired.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,26 +20,27 @@
 #[cfg(test)]
 mod tests;
 
-/// Links of an instance that belong to the ring.
+/// Number of ring links of an instance.
 const RING: usize = 2;
 
-/// What is to be done about links.
+/// Planned changes to an instance's links.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Members that this instance is answerable for noticing as silent.
+    /// Members that this instance monitors for silence.
     pub watch: Vec<Id>,
-    /// To be dialled now.
+    /// Peers to dial now.
     pub dial: Vec<Id>,
-    /// To be dialled when they have not dialled us after a while.
+    /// Peers that should dial this instance; to be dialled if they have not done
+    /// so after a while.
     pub late: Vec<Id>,
-    /// Any one of these would make a good chord, the best first.
+    /// Candidates for one more chord, best first.
     pub chords: Vec<Id>,
-    /// Links to close.
+    /// Peers whose links to close.
     pub close: Vec<Id>,
 }
 
-/// Plans `me`'s links. `counted` are the others that are counted; `linked` the
-/// names of the links there are, oldest first.
+/// Plans `me`'s links. `counted` are the other current members, `linked` the
+/// names of the linked peers, oldest link first.
 #[must_use]
 pub fn plan(me: &Instance, counted: &[&Instance], linked: &[Id], limit: usize) -> Plan {
     if counted.len() <= limit {
@@ -66,7 +69,7 @@
     plan
 }
 
-/// Whether a link that `other` has dialled would be kept.
+/// Returns whether a link dialled by `other` would be kept.
 #[must_use]
 pub fn has_room(me: &Instance, counted: &[&Instance], linked: &[Id], other: &Instance, limit: usize) -> bool {
     if is_near(me, counted, &other.id, limit) {
@@ -76,8 +79,8 @@
     linked.len() < limit && used < share(me, counted, limit)
 }
 
-/// Whether `other` stands next to `me` in the ring, or the fleet is small
-/// enough for all to be linked.
+/// Returns whether `other` is a ring neighbour of `me`, or the fleet is small
+/// enough for a full mesh.
 #[must_use]
 pub fn is_near(me: &Instance, counted: &[&Instance], other: &Id, limit: usize) -> bool {
     if counted.len() <= limit {
@@ -91,7 +94,7 @@
     let watch = counted.iter().map(|i| i.id.clone()).collect();
     let missing = counted.iter().map(|i| i.id.clone()).filter(|id| !linked.contains(id));
     // The lower name dials, so that a pair does not open two links at once;
-    // the higher one only when that did not work.
+    // the higher one dials only if the lower one has not.
     let (dial, late) = missing.partition(|id| me.id < *id);
     Plan { watch, dial, late, ..Plan::default() }
 }
@@ -107,7 +110,8 @@
     (after.unwrap_or(first), before.unwrap_or(last))
 }
 
-/// Links per failure domain, our own place counted as one.
+/// Returns the number of links per failure domain; this instance itself counts
+/// as one in its own.
 fn domains<'a>(me: &'a Instance, counted: &[&'a Instance], linked: &[Id]) -> BTreeMap<&'a Domain, usize> {
     let mut domains = BTreeMap::from([(&me.domain, 1)]);
     for instance in counted.iter().filter(|i| linked.contains(&i.id)) {
@@ -116,9 +120,10 @@
     domains
 }
 
-/// Most links with one failure domain: twice an even share. The last ones to
-/// choose find most others full, and would take all their links where a late
-/// domain has room; with it they would lose them all.
+/// Returns the maximum number of links to one failure domain: twice an even
+/// share. Instances that choose last find most others full. Without this limit
+/// they would take all their links in a domain that still has room, and lose
+/// them all with that domain.
 fn share(me: &Instance, counted: &[&Instance], limit: usize) -> usize {
     let domains: BTreeSet<_> = counted.iter().map(|i| &i.domain).chain([&me.domain]).collect();
     2 * limit.div_ceil(domains.len())
@@ -139,13 +144,15 @@
     free.into_iter().map(|i| i.id.clone()).collect()
 }
 
-/// The same from both sides, so that both sides pick each other.
+/// Returns the preference of two instances for each other, the same from both
+/// sides, so that both pick each other.
 fn liking(one: &Id, other: &Id) -> u64 {
     let place = |id: &Id| hash::stable(id.as_str().as_bytes());
     hash::rendezvous(place(one) ^ place(other), b"link")
 }
 
-/// Chords too many: the youngest of the most used domain first.
+/// Returns the excess chords to close: repeatedly the newest one in the most
+/// used domain.
 fn surplus(
     counted: &[&Instance],
     mut chords: Vec<&Id>,
--- a/crates/peer/src/topology/tests.rs
+++ b/crates/peer/src/topology/tests.rs
@@ -1,4 +1,4 @@
-//! The links that all plan together.
+//! The graph that results when all instances plan their links.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 
 use super::{has_room, plan};
 
-/// Rounds in which all plan again, unless nothing changes any more before.
+/// Maximum number of planning rounds until no link changes.
 const ROUNDS: usize = 24;
 
 struct Fleet {
@@ -47,7 +47,7 @@
         for other in plan.dial.iter().chain(&plan.late) {
             self.link(&me.id, other);
         }
-        // One at a time, as the task does: each changes which domain is next.
+        // One chord at a time, as the task does: each changes which domain is preferred.
         if let Some(other) = plan.chords.iter().find(|id| self.has_room(id, &me)).cloned() {
             self.link(&me.id, &other);
         }
@@ -86,7 +86,8 @@
         self.instances.iter().map(|i| &i.domain).collect::<BTreeSet<_>>().len()
     }
 
-    /// The most links from any one to any other; none when some are cut off.
+    /// Returns the largest distance between two instances in links, or `None`
+    /// if the graph is disconnected.
     fn diameter(&self) -> Option<usize> {
         self.instances.iter().map(|i| self.reach(&i.id)).max()?
     }
@@ -124,20 +125,21 @@
     }
 }
 
-/// All reach all in few hops over few links, also in the moment in which a
-/// failure domain is lost and no link has been replaced yet.
+/// Asserts that all instances reach each other in at most `hops` hops over at
+/// most `limit` links each, and that the graph stays connected when a failure
+/// domain is lost, even before any link is replaced.
 fn check(size: usize, domains: usize, limit: usize, hops: usize) {
     let mut fleet = Fleet::new(size, domains, limit);
-    let diameter = fleet.diameter().expect("all are reached");
+    let diameter = fleet.diameter().expect("the graph is connected");
     assert!(diameter <= hops, "{diameter} hops");
     assert!(fleet.most_links() <= limit, "{} links", fleet.most_links());
 
     fleet.lose(0);
     if limit > 3 {
-        assert!(fleet.diameter().is_some(), "some are cut off until the links are replaced");
+        assert!(fleet.diameter().is_some(), "disconnected until the links are replaced");
     }
     fleet.settle();
-    assert!(fleet.diameter().is_some(), "some are cut off for good");
+    assert!(fleet.diameter().is_some(), "disconnected permanently");
     assert!(fleet.most_links() <= limit, "{} links after the loss", fleet.most_links());
 }
 
@@ -158,9 +160,9 @@
 
 #[test]
 fn links_stand_in_many_domains() {
-    // A domain that holds most of an instance's links would take them all at
-    // once. An even share would be an eighth, twice that is allowed. Few links
-    // may be missing for it.
+    // If one domain held most of an instance's links, its loss would cost them
+    // all at once. An even share is one eighth, and twice that is allowed. The
+    // limit must not leave many links unused.
     let fleet = Fleet::new(200, 8, 12);
     let domain = |id: &Id| &fleet.instances.iter().find(|i| i.id == *id).unwrap().domain;
     for links in fleet.links.values() {
--- a/crates/peer/src/traffic.rs
+++ b/crates/peer/src/traffic.rs
@@ -1,7 +1,8 @@
-//! Counts the bytes of connections that peers open to us.
+//! Counts the bytes on connections opened by peers.
 //!
-//! Every connection between instances is accepted by one of them, so the sum
-//! over all instances is all their traffic (TCP payload, without headers).
+//! Every connection between instances is accepted by exactly one of them, so
+//! the sum over all instances is their total traffic (TCP payload without
+//! headers).
 
 use std::{
     io,
@@ -19,12 +20,12 @@
 };
 use tonic::transport::server::{Connected, TcpConnectInfo};
 
-/// Bytes on accepted connections since the start.
+/// Bytes transferred on accepted connections since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// From peers.
+    /// Bytes received from peers.
     pub received: u64,
-    /// To peers.
+    /// Bytes sent to peers.
     pub sent: u64,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// An accepted connection.
+/// An accepted connection whose bytes are counted.
 #[derive(Debug)]
 pub(crate) struct Counted {
     stream: TcpStream,
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -1,8 +1,8 @@
-//! Between our types and the generated wire types.
+//! Conversions between this crate's types and the generated wire types.
 //!
-//! A message of another build is read as far as this one knows it: unknown
-//! fields are skipped, an unknown state takes no new work, an entry that makes
-//! no sense is left out alone.
+//! Messages of other builds are read as far as this build knows them: unknown
+//! fields are skipped, a member with an unknown state gets no new work, and an
+//! invalid entry is skipped, but not the rest of its message.
 
 use std::net::SocketAddr;
 
@@ -21,14 +21,14 @@
 
 /// Protocol version of this build.
 pub const VERSION: u32 = 1;
-/// Oldest version that this build understands.
+/// Oldest protocol version that this build understands.
 pub const OLDEST: u32 = 1;
-/// Where the shared secret travels.
+/// Metadata key of the shared secret.
 pub(crate) const KEY: &str = "arbutuslug-key-bin";
-/// Room in a message for all but the body.
+/// Maximum size of a message without its body, in bytes.
 pub(crate) const OVERHEAD: usize = 64 << 10;
 
-/// A message that makes no sense; the text names the field.
+/// An invalid message; the text names the invalid field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Invalid(pub &'static str);
 
@@ -74,7 +74,8 @@
         let state = match wire.state() {
             pb::State::Live => State::Live,
             pb::State::Left => State::Gone,
-            // Also one that a later build made up: no new work goes there.
+            // `Unspecified` includes states added by a later build: such a
+            // member gets no new work.
             pb::State::Leaving | pb::State::Unspecified => State::Leaving,
         };
         let doubt = match wire.doubt() {
@@ -171,9 +172,9 @@
 /// The first frame on a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Greeting {
-    /// Who greets.
+    /// Entry of the sender.
     pub sender: Member,
-    /// It has all the links it may keep.
+    /// Whether the sender has no room for this link and will close a link soon.
     pub full: bool,
 }
 
@@ -195,7 +196,7 @@
     }
 }
 
-/// One frame with its kind.
+/// Wraps a message in a frame.
 #[must_use]
 pub fn frame(kind: impl Into<pb::frame::Kind>) -> pb::Frame {
     pb::Frame { kind: Some(kind.into()) }
--- a/crates/peer/src/wire/tests.rs
+++ b/crates/peer/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Messages of builds before and after this one.
+//! Compatibility with messages of earlier and later builds.
 
 use prost::Message;
 use world::instance::State;
@@ -10,7 +10,7 @@
     spread::Heartbeat,
 };
 
-/// A member as the first build wrote it: no refutation, no doubt.
+/// A member as written by the first build, without refutation and doubt.
 #[derive(Clone, PartialEq, Message)]
 struct OldMember {
     #[prost(string, tag = "1")]
@@ -27,7 +27,7 @@
     peers: String,
     #[prost(string, tag = "8")]
     operators: String,
-    /// Of a later build.
+    /// Field added by a later build.
     #[prost(string, optional, tag = "100")]
     colour: Option<String>,
 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads a member off the wire.
+/// Decodes a member and compares its state or error.
 fn check(wire: &OldMember, expected: &Result<State, Invalid>) {
     let read = pb::Member::decode(wire.encode_to_vec().as_slice()).unwrap();
     let member = Member::try_from(read);
@@ -62,14 +62,14 @@
 members! {
     of_an_earlier_build: member() => Ok(State::Live);
     with_a_field_of_a_later_build: OldMember { colour: Some("blue".into()), ..member() } => Ok(State::Live);
-    // Not known to take work: it gets none.
+    // A member with an unknown state may not accept work, so it gets none.
     with_a_state_of_a_later_build: OldMember { state: 77, ..member() } => Ok(State::Leaving);
     without_a_state: OldMember { state: 0, ..member() } => Ok(State::Leaving);
     without_a_name: OldMember { id: String::new(), ..member() } => Err(Invalid("id"));
     with_a_host_name: OldMember { peers: "host:1".into(), ..member() } => Err(Invalid("peers"));
 }
 
-/// Whether a greeting of these versions is understood.
+/// Checks whether a greeting of these versions is accepted.
 fn check_version(version: u32, oldest: u32, expected: bool) {
     let sender = pb::Member::decode(member().encode_to_vec().as_slice()).unwrap();
     let greeting = pb::Greeting { version, oldest, sender: Some(sender), full: false };
--- a/crates/peer/tests/aggregation.rs
+++ b/crates/peer/tests/aggregation.rs
@@ -1,4 +1,4 @@
-//! Every instance's sum reaches every domain's root, once.
+//! Every instance's sum reaches the root of its domain exactly once.
 
 use std::collections::BTreeMap;
 
@@ -37,7 +37,8 @@
             assert_eq!(place.roots.len(), roots.len() - 1);
         }
     }
-    // Each but the roots is the child of one, so every sum arrives once.
+    // Each instance except the roots is the child of exactly one, so every sum
+    // arrives once.
     let children: usize = places.values().map(|p| p.children.len()).sum();
     assert_eq!(children + roots.len(), size);
 }
--- a/crates/peer/tests/links.rs
+++ b/crates/peer/tests/links.rs
@@ -1,4 +1,4 @@
-//! Instances over real connections.
+//! Calls, streams, news and membership between instances over real connections.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -35,8 +35,8 @@
 
 #[tokio::test]
 async fn a_call_says_whether_it_may_have_arrived() {
-    // The caller of a claim must know "not run" from "may have run": the first
-    // may be tried elsewhere, the second must be asked about.
+    // The caller of a claim must distinguish "not run" from "may have run": the
+    // first may be retried elsewhere, the second requires asking for the outcome.
     let limits = Limits { inbound: 1, ..Limits::default() };
     let mut nodes = fleet(2, limits).await;
     let handle = nodes[1].handle.clone();
@@ -50,7 +50,7 @@
     let stranger = handle.call(&id(9), Topic::Journal, Bytes::new(), WITHIN).await;
     assert_eq!(stranger, Err(Error::Unknown(id(9))));
 
-    // Waits in the owner's queue past its time.
+    // This call times out while it waits in the owner's queue.
     let waiting = tokio::spawn({
         let handle = handle.clone();
         async move { handle.call(&id(0), Topic::Journal, Bytes::new(), WITHIN / 4).await }
@@ -59,13 +59,13 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 
-    // The queue is full of the first.
+    // The first call fills the queue.
     let full = call(WITHIN).await.unwrap_err();
     assert!(matches!(full, Error::Refused(..)) && !full.may_have_arrived(), "{full}");
     let unanswered = waiting.await.unwrap().unwrap_err();
     assert!(matches!(unanswered, Error::Lost(..)) && unanswered.may_have_arrived(), "{unanswered}");
 
-    // The owner takes it and drops the reply.
+    // The owner takes the next call and drops its reply.
     nodes[0].inbound.recv().await.unwrap();
     let calling = tokio::spawn({
         let handle = handle.clone();
@@ -77,8 +77,8 @@
 
 #[tokio::test]
 async fn a_stream_is_sent_no_faster_than_it_is_read() {
-    // A slow reader of a large answer must cost the sender a bounded queue and
-    // not the whole answer's memory.
+    // A slow reader of a large response must cost the sender only a bounded
+    // queue, not memory for the whole response.
     const CHUNK: usize = 64 << 10;
     const CHUNKS: usize = 2_000;
     let mut nodes = fleet(2, Limits::default()).await;
@@ -91,9 +91,9 @@
     let mut taken = 0;
     while let Ok(Ok(())) = tokio::time::timeout(WITHIN / 20, sink.send(Bytes::from(vec![0; CHUNK]))).await {
         taken += 1;
-        assert!(taken < CHUNKS, "the sender was never held back");
+        assert!(taken < CHUNKS, "the sender never had to wait");
     }
-    // Reading lets it go on, and every chunk comes.
+    // Once the reader continues, so does the sender, and every chunk arrives.
     let sending = tokio::spawn(async move {
         for _ in taken..CHUNKS {
             sink.send(Bytes::from(vec![0; CHUNK])).await.unwrap();
@@ -108,7 +108,7 @@
     assert_eq!(read, CHUNKS);
 }
 
-/// Publishes from each and expects each piece once, everywhere else.
+/// Publishes one item from each instance and checks that all others receive it.
 async fn check_news(size: usize, links: usize) {
     let mut nodes = fleet(size, Limits { links, ..Limits::default() }).await;
     for origin in 0..size {
@@ -137,8 +137,8 @@
 
 #[tokio::test]
 async fn a_wrong_key_is_refused() {
-    // A process that can reach the port but lacks the key must learn nothing
-    // and change nothing.
+    // A process that can reach the port but lacks the key must neither read nor
+    // change any state.
     let node = spawn(settings(0, 1, vec![])).await;
     let seeds = vec![node.handle.address()];
     let wrong = Settings { key: Key::new("guess"), ..settings(1, 1, seeds.clone()) };
@@ -151,8 +151,8 @@
 
 #[tokio::test]
 async fn a_crash_is_noticed_and_a_restart_taken_back() {
-    // An instance ends without a word and is started anew under its name at
-    // another port. The others count it out, and then the new run in.
+    // An instance crashes and is restarted under its name on another port. The
+    // others remove it and then admit the new run.
     let nodes = fleet(4, Limits::default()).await;
     nodes[3].handle.abort();
     for node in &nodes[..3] {
@@ -167,9 +167,9 @@
 
 #[tokio::test]
 async fn one_that_nobody_can_dial_dials_itself() {
-    // Nothing goes over the connections that others opened to the last one any
-    // more, nor over new ones: its port is cut off, though it can dial out. All
-    // links with it fall silent and are closed; it dials, and is counted on.
+    // The last instance's port is cut off: no data passes on connections that
+    // others opened to it, nor on new ones, though it can dial out. Its links
+    // fall silent and are closed; it dials the others and stays a member.
     let nodes = fleet(3, Limits::default()).await;
     let outside = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut last = settings(3, 1, vec![nodes[0].handle.address()]);
@@ -200,7 +200,7 @@
     };
     next(&mut inbound, after(0)).await;
     wire.freeze(true);
-    // Only a new link can bring what is published from here on.
+    // From here on, news can arrive only over a new link.
     let frozen_at = *latest.borrow();
     next(&mut inbound, after(frozen_at)).await;
     publishing.abort();
@@ -226,8 +226,9 @@
 
 #[tokio::test]
 async fn the_earlier_run_of_a_name_ends_its_links() {
-    // Somebody starts an instance whose earlier run was only paused. Two runs
-    // under one name would take the same keys: the earlier one has to stop.
+    // An instance is restarted while its earlier run was only paused. Two runs
+    // under one name would act as home of the same keys, so the earlier one has
+    // to stop.
     let node = spawn(settings(0, 1, vec![])).await;
     let seeds = vec![node.handle.address()];
     let earlier = spawn(settings(1, 1, seeds.clone())).await;
@@ -255,7 +256,7 @@
     assert_eq!(second, (id(1), Topic::Config, Bytes::from("18")));
 }
 
-/// A wall clock three seconds ahead of everybody else's.
+/// Returns a wall clock time three seconds ahead of the other instances.
 fn ahead() -> uhlc::NTP64 {
     uhlc::system_time_clock() + uhlc::NTP64::from(Duration::from_secs(3))
 }
@@ -265,9 +266,9 @@
     Recorder::over(source, Capacity::default(), clock)
 }
 
-/// One instance's clock runs three seconds ahead. It calls, publishes and
-/// streams; what the other does on receipt must come later in the time line,
-/// or an operator would read the effect before its cause.
+/// One instance's clock is three seconds ahead. It publishes news and replies
+/// to a call; what the receiver does next must get a later stamp in the
+/// timeline, or an operator would see the effect before its cause.
 #[tokio::test]
 async fn effects_are_stamped_after_their_causes() {
     let (first, second) = (recorder(0, Clock::over(ahead)), recorder(1, Clock::default()));
@@ -281,7 +282,7 @@
     next(&mut slow.inbound, |message| matches!(message, Inbound::News { .. }).then_some(())).await;
     assert!(second.clock() > cause, "news");
 
-    // A fresh clock, so that the reply alone can have moved it.
+    // A new clock, so that only the reply can have advanced it.
     let caller = recorder(2, Clock::default());
     let third = spawn(Settings { recorder: Some(caller.clone()), ..settings(2, 1, vec![fast.handle.address()]) }).await;
     until(&third.handle, |members| members.live().count() == 3).await;
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Several instances in one process, over real connections on port 0.
+//! Several instances in one process, connected over loopback TCP on free ports.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,11 +9,12 @@
     instance::{Id, Incarnation, Instance, State},
 };
 
-/// Long enough for any of these tests; none asserts how long a thing takes.
+/// Timeout of each wait, long enough for any of these tests. No test asserts a
+/// duration.
 const PATIENCE: Duration = Duration::from_secs(30);
 const DOMAINS: usize = 3;
 
-/// Shorter spans, so that a test does not take long; far above scheduling noise.
+/// Short timeouts, to keep tests fast, but far above scheduling noise.
 pub const TIMING: Timing = Timing { heartbeat: 100, silence: 1_500, suspicion: 1_000, forget: 60_000 };
 
 pub struct Node {
@@ -46,7 +47,8 @@
     Node { handle, inbound }
 }
 
-/// Starts instances that know the first one's address only.
+/// Starts instances whose only seed is the first one, and waits until all see
+/// each other.
 pub async fn fleet(size: usize, limits: Limits) -> Vec<Node> {
     let mut nodes: Vec<Node> = Vec::new();
     for place in 0..size {
@@ -59,7 +61,7 @@
     nodes
 }
 
-/// Waits until an instance sees the members so.
+/// Waits until an instance's view of the members satisfies a condition.
 pub async fn until(handle: &Handle, wanted: impl Fn(&Members) -> bool) -> Arc<Members> {
     let mut members = handle.members();
     let seen = tokio::time::timeout(PATIENCE, members.wait_for(|m| wanted(m))).await;
@@ -69,15 +71,15 @@
     }
 }
 
-/// The next inbound message that `pick` wants.
+/// Returns the next inbound message that `pick` selects, skipping others.
 pub async fn next<T>(inbound: &mut mpsc::Receiver<Inbound>, pick: impl Fn(Inbound) -> Option<T>) -> T {
     let wanted = async {
         loop {
-            let message = inbound.recv().await.expect("the task runs");
+            let message = inbound.recv().await.expect("the task is running");
             if let Some(wanted) = pick(message) {
                 return wanted;
             }
         }
     };
-    tokio::time::timeout(PATIENCE, wanted).await.expect("the message comes")
+    tokio::time::timeout(PATIENCE, wanted).await.expect("the message arrives")
 }
--- a/crates/peer/tests/support/wire.rs
+++ b/crates/peer/tests/support/wire.rs
@@ -1,5 +1,5 @@
-//! A stretch of wire before one instance, which can be made to carry nothing
-//! while its connections stand.
+//! A TCP proxy in front of one instance, which can stop forwarding while its
+//! connections stay open.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 }
 
 impl Wire {
-    /// Carries every connection from `listener` to `to`.
+    /// Forwards every connection accepted by `listener` to `to`.
     pub fn open(listener: TcpListener, to: SocketAddr) -> Self {
         let (frozen, state) = watch::channel(false);
         tokio::spawn(async move {
