--- a/crates/peer/src/event.rs
+++ b/crates/peer/src/event.rs
@@ -34,7 +34,7 @@
     /// has it, which may carry a doubt to refute.
     Asked(Member, oneshot::Sender<Member>),
     /// A probe ended, with the member's own entry if it was reached.
-    Probed { id: Id, word: Option<Member> },
+    Probed { id: Id, entry: Option<Member> },
 }
 
 impl Event {
--- a/crates/peer/src/handle.rs
+++ b/crates/peer/src/handle.rs
@@ -69,15 +69,15 @@
     /// [`Error`], which says whether the peer may have received the call.
     pub async fn call(&self, to: &Id, topic: Topic, body: Bytes, within: Duration) -> Result<Bytes, Error> {
         let deadline = Instant::now() + within;
-        self.pool.check(&body)?;
-        let peer = self.target(to)?;
+        self.pool.check_body(&body)?;
+        let peer = self.peer(to)?;
         let client = timeout_at(deadline, self.pool.client(&peer)).await;
         let mut client = client.unwrap_or_else(|_| Err(Error::Unreachable(to.clone())))?;
-        let request = self.pool.request(self.question(&peer, topic, body));
+        let request = self.pool.request(self.call_request(&peer, topic, body));
         match timeout_at(deadline, client.call(request)).await {
             Ok(Ok(reply)) => {
                 let reply = reply.into_inner();
-                self.pool.ticks().observe(reply.stamp);
+                self.pool.hybrid_clock().observe(reply.stamp);
                 Ok(reply.body)
             }
             Ok(Err(status)) => Err(Error::from_status(to, &status)),
@@ -99,18 +99,18 @@
         topic: Topic,
         body: Bytes,
     ) -> Result<impl Stream<Item = Result<Bytes, Error>> + Send + Unpin + use<>, Error> {
-        self.pool.check(&body)?;
-        let peer = self.target(to)?;
+        self.pool.check_body(&body)?;
+        let peer = self.peer(to)?;
         let mut client = self.pool.client(&peer).await?;
-        let request = self.pool.request(self.question(&peer, topic, body));
+        let request = self.pool.request(self.call_request(&peer, topic, body));
         let reply = client.stream(request).await.map_err(|status| Error::from_status(to, &status))?;
         let to = to.clone();
-        let ticks = self.pool.ticks().clone();
-        let answer = move |chunk: Result<crate::generated::Chunk, tonic::Status>| {
-            let chunk = chunk.inspect(|chunk| ticks.observe(chunk.stamp));
+        let hybrid_clock = self.pool.hybrid_clock().clone();
+        let decode = move |chunk: Result<crate::generated::Chunk, tonic::Status>| {
+            let chunk = chunk.inspect(|chunk| hybrid_clock.observe(chunk.stamp));
             chunk.map(|c| c.body).map_err(|status| Error::Lost(to.clone(), status.message().into()))
         };
-        Ok(reply.into_inner().map(answer))
+        Ok(reply.into_inner().map(decode))
     }
 
     /// Broadcasts news to every live instance, delivered at most once each. An
@@ -121,7 +121,7 @@
     ///
     /// [`Error::Closed`], [`Error::TooLarge`].
     pub async fn publish(&self, topic: Topic, body: Bytes) -> Result<(), Error> {
-        self.pool.check(&body)?;
+        self.pool.check_body(&body)?;
         self.command(Command::Publish(topic, body)).await
     }
 
@@ -179,13 +179,13 @@
         self.abort.cancel();
     }
 
-    fn target(&self, to: &Id) -> Result<Instance, Error> {
+    fn peer(&self, to: &Id) -> Result<Instance, Error> {
         let members = self.members.borrow();
         let peer = members.others.get(to).filter(|i| i.state != State::Gone);
         peer.cloned().ok_or_else(|| Error::Unknown(to.clone()))
     }
 
-    fn question(&self, to: &Instance, topic: Topic, body: Bytes) -> CallRequest {
+    fn call_request(&self, to: &Instance, topic: Topic, body: Bytes) -> CallRequest {
         let caller = Some(self.pool.caller());
         CallRequest { caller, topic: topic.number(), body, wanted: to.incarnation.0 }
     }
--- a/crates/peer/src/ticks.rs
+++ b/crates/peer/src/hybrid_clock.rs
@@ -8,9 +8,9 @@
 
 /// The process's hybrid logical clock, if it has one.
 #[derive(Debug, Clone)]
-pub(crate) struct Ticks(Option<Recorder>);
+pub(crate) struct HybridClock(Option<Recorder>);
 
-impl Ticks {
+impl HybridClock {
     pub(crate) fn new(recorder: Option<Recorder>) -> Self {
         Self(recorder)
     }
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -10,10 +10,10 @@
 
 use crate::{
     generated::{Frame, frame::Kind},
+    outbox::Heartbeat,
     pool::Pool,
     relay::Message,
     settings::Settings,
-    spread::Heartbeat,
     wire::{self, Greeting},
 };
 
@@ -58,20 +58,20 @@
     settings: &Settings,
 ) -> Result<Opened, Failure> {
     let opening = open(address, greeting, pool, settings.limits.frames);
-    timeout(settings.timing.dial(), opening).await.unwrap_or(Err(Failure::Unreachable))
+    timeout(settings.timing.dial_timeout(), opening).await.unwrap_or(Err(Failure::Unreachable))
 }
 
-async fn open(address: SocketAddr, greeting: Greeting, pool: &Pool, frames: usize) -> Result<Opened, Failure> {
-    let mut client = pool.fresh(address).await.map_err(|error| connecting(&error))?;
-    let (sender, receiver) = mpsc::channel(frames);
+async fn open(address: SocketAddr, greeting: Greeting, pool: &Pool, queue_len: usize) -> Result<Opened, Failure> {
+    let mut client = pool.connect_new(address).await.map_err(|error| connect_failure(&error))?;
+    let (sender, receiver) = mpsc::channel(queue_len);
     sender.try_send(wire::frame(greeting)).map_err(|_| Failure::Unreachable)?;
     let reply = client.link(pool.request(ReceiverStream::new(receiver))).await;
-    let mut incoming = reply.map_err(|status| failure(status.code()))?.into_inner();
-    let greeting = greeting_from(&mut incoming).await.ok_or(Failure::Refused)?;
+    let mut incoming = reply.map_err(|status| status_failure(status.code()))?.into_inner();
+    let greeting = read_greeting(&mut incoming).await.ok_or(Failure::Refused)?;
     Ok(Opened { greeting, sender, incoming })
 }
 
-fn connecting(error: &tonic::transport::Error) -> Failure {
+fn connect_failure(error: &tonic::transport::Error) -> Failure {
     let mut source = error.source();
     while let Some(cause) = source {
         if cause.downcast_ref::<io::Error>().is_some_and(|e| e.kind() == io::ErrorKind::ConnectionRefused) {
@@ -82,7 +82,7 @@
     Failure::Unreachable
 }
 
-fn failure(code: Code) -> Failure {
+fn status_failure(code: Code) -> Failure {
     match code {
         Code::AlreadyExists => Failure::Duplicate,
         Code::Aborted => Failure::Superseded,
@@ -93,7 +93,7 @@
 
 /// Reads the first frame; returns `None` unless it is a greeting of a
 /// compatible version.
-pub(crate) async fn greeting_from(incoming: &mut Streaming<Frame>) -> Option<Greeting> {
+pub(crate) async fn read_greeting(incoming: &mut Streaming<Frame>) -> Option<Greeting> {
     match incoming.message().await.ok()??.kind? {
         Kind::Greeting(greeting) => greeting.try_into().ok(),
         _ => None,
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -43,7 +43,7 @@
 
     /// Returns the version of the entry, which orders all entries of this name.
     #[must_use]
-    pub fn age(&self) -> (Incarnation, u32) {
+    pub fn version(&self) -> (Incarnation, u32) {
         (self.instance.incarnation, self.refutation)
     }
 
@@ -60,23 +60,23 @@
 
     /// Returns the instance with its `state` set to [`state`](Self::state).
     #[must_use]
-    pub fn shown(&self) -> Instance {
+    pub fn to_instance(&self) -> Instance {
         Instance { state: self.state(), ..self.instance.clone() }
     }
 
     /// Returns whether this is a current member: live, suspect or leaving.
     #[must_use]
-    pub fn is_counted(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.state() != State::Gone
     }
 
     /// Returns this entry's contribution to the hash of the view. A mere
     /// suspicion does not change it, so that no peer requests a full view
     /// because of one.
-    pub(crate) fn print(&self) -> u64 {
+    pub(crate) fn view_hash(&self) -> u64 {
         let name = hash::stable(self.instance.id.as_str().as_bytes());
-        let word = [self.instance.incarnation.0, u64::from(self.refutation)];
-        hash::rendezvous(name, &word.map(u64::to_le_bytes).concat())
+        let version = [self.instance.incarnation.0, u64::from(self.refutation)];
+        hash::rendezvous(name, &version.map(u64::to_le_bytes).concat())
     }
 }
 
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -44,7 +44,7 @@
     /// `record_probe_success` or `record_probe_failure`.
     Probe(Member),
     /// Notify the member that its entry is doubted, so that it can refute it.
-    Tell(Member),
+    Notify(Member),
 }
 
 /// A changed entry, to be sent on all links except the one it came from.
@@ -65,7 +65,7 @@
     watched: BTreeSet<Id>,
     list: list::List,
     superseded: bool,
-    ticked: Millis,
+    last_tick: Millis,
     /// Incremented with every change of the view.
     revision: u64,
     /// Cached hash of the view; `None` after a change until it is next needed.
@@ -78,38 +78,38 @@
 struct Entry {
     member: Member,
     /// Time of the last sign of life, direct or confirmed by another instance.
-    heard: Millis,
+    last_heard: Millis,
     /// Time of the last frame on a direct link; `None` without a working one.
-    direct: Option<Millis>,
+    last_direct: Option<Millis>,
     /// Time of a doubt from others that was deferred because the member had
     /// just been heard directly.
-    accused: Option<Millis>,
-    reach: Reach,
+    deferred_doubt: Option<Millis>,
+    reachability: Reachability,
     /// Time of the last change of entry or doubt.
-    since: Millis,
-    asking: Asking,
+    changed_at: Millis,
+    probe_state: ProbeState,
 }
 
 /// Result of connection attempts since the last sign of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Reach {
-    Fine,
+enum Reachability {
+    Reachable,
     /// No connection could be made.
     Unreachable,
     /// The connection was refused: no process listens at the address.
-    NobodyThere,
+    ConnectionRefused,
 }
 
 /// State of indirect probing of a silent member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Asking {
-    No,
+enum ProbeState {
+    Idle,
     /// Being probed, and already suspected.
-    Doubted,
+    ProbingSuspect,
     /// Being probed without a suspicion, because an earlier probe reached it.
-    Quietly,
+    ProbingUnsuspected,
     /// Not being probed, but a probe has reached it since its last direct frame.
-    Vouched,
+    Reached,
 }
 
 impl Membership {
@@ -123,7 +123,7 @@
             watched: BTreeSet::new(),
             list: list::List::default(),
             superseded: false,
-            ticked: now,
+            last_tick: now,
             revision: 0,
             view: Cell::new(None),
             actions: Vec::new(),
@@ -151,8 +151,8 @@
     /// Returns the snapshot published to the rest of the process.
     #[must_use]
     pub fn members(&self) -> Members {
-        let others = self.others.iter().map(|(id, entry)| (id.clone(), entry.member.shown())).collect();
-        Members { me: self.me.shown(), others, unmet: self.unmet() }
+        let others = self.others.iter().map(|(id, entry)| (id.clone(), entry.member.to_instance())).collect();
+        Members { me: self.me.to_instance(), others, unmet: self.unmet() }
     }
 
     /// Returns a hash over the current members; equal views have equal hashes.
@@ -161,8 +161,8 @@
         if let Some(view) = self.view.get() {
             return view;
         }
-        let counted = self.others().chain([&self.me]).filter(|m| m.is_counted());
-        let view = counted.fold(0, |sum, member| sum ^ member.print());
+        let present = self.others().chain([&self.me]).filter(|m| m.is_present());
+        let view = present.fold(0, |sum, member| sum ^ member.view_hash());
         self.view.set(Some(view));
         view
     }
@@ -175,15 +175,15 @@
     }
 
     /// Must be called after every change of the view.
-    fn changed(&mut self) {
+    fn bump_revision(&mut self) {
         self.revision += 1;
         self.view.set(None);
     }
 
     /// Records a changed entry to be sent to other instances.
-    fn tell_change(&mut self, id: &Id, from: Option<&Id>) {
+    fn record_change(&mut self, id: &Id, from: Option<&Id>) {
         self.changes.push(Change { id: id.clone(), from: from.cloned() });
-        self.changed();
+        self.bump_revision();
     }
 
     /// Returns whether a later run under this name is known, so this run must end.
@@ -196,7 +196,7 @@
     pub fn supersede(&mut self) {
         self.superseded = true;
         self.me.instance.state = State::Gone;
-        self.changed();
+        self.bump_revision();
     }
 
     /// Takes the actions that became due since the last call.
@@ -210,89 +210,89 @@
     }
 
     /// Merges entries received from `from`.
-    pub fn merge(&mut self, told: Vec<Member>, from: &Id, now: Millis) {
-        for member in told {
-            self.merge_one(member, Some(from), now);
+    pub fn merge(&mut self, received: Vec<Member>, from: &Id, now: Millis) {
+        for member in received {
+            self.merge_entry(member, Some(from), now);
         }
     }
 
     /// Announces that this instance takes no new work.
     pub fn leave(&mut self) {
-        self.declare(State::Leaving);
+        self.set_own_state(State::Leaving);
     }
 
     /// Announces that this run has ended.
-    pub fn depart(&mut self) {
-        self.declare(State::Gone);
+    pub fn end(&mut self) {
+        self.set_own_state(State::Gone);
     }
 
-    fn declare(&mut self, state: State) {
+    fn set_own_state(&mut self, state: State) {
         if self.me.instance.state == State::Gone || self.me.instance.state == state {
             return;
         }
         self.me.instance.state = state;
-        self.speak();
+        self.renew_own();
     }
 
     /// Publishes a new version of the own entry, which clears every doubt
     /// about the previous one.
-    fn speak(&mut self) {
+    fn renew_own(&mut self) {
         self.me.refutation += 1;
         let id = self.me.instance.id.clone();
-        self.tell_change(&id, None);
+        self.record_change(&id, None);
     }
 
-    fn merge_one(&mut self, told: Member, from: Option<&Id>, now: Millis) {
-        if told.instance.id == self.me.instance.id {
-            return self.hear_of_me(&told);
+    fn merge_entry(&mut self, received: Member, from: Option<&Id>, now: Millis) {
+        if received.instance.id == self.me.instance.id {
+            return self.merge_own(&received);
         }
-        let id = told.instance.id.clone();
+        let id = received.instance.id.clone();
         let Some(entry) = self.others.get_mut(&id) else {
-            return self.insert(told, from, now);
+            return self.insert(received, from, now);
         };
         // An outdated entry, such as one of an earlier run, which must not be
         // restored.
-        if told.age() < entry.member.age() {
+        if received.version() < entry.member.version() {
             return;
         }
-        let doubted = told.doubt != Doubt::None;
-        if told.age() > entry.member.age() {
-            entry.take(told, now);
-            self.tell_change(&id, from);
+        let doubted = received.doubt != Doubt::None;
+        if received.version() > entry.member.version() {
+            entry.replace(received, now);
+            self.record_change(&id, from);
         }
         if doubted {
-            self.hear_doubt(&id, from, now);
+            self.apply_doubt(&id, from, now);
         }
     }
 
     /// Merges another instance's entry about this instance, refuting a doubt.
-    fn hear_of_me(&mut self, told: &Member) {
-        if told.instance.incarnation > self.me.instance.incarnation {
+    fn merge_own(&mut self, received: &Member) {
+        if received.instance.incarnation > self.me.instance.incarnation {
             // Two runs under one name would both act as home of its keys; the
             // later run is the one that the operator intended.
             return self.supersede();
         }
-        let mine = told.instance.incarnation == self.me.instance.incarnation;
-        let doubted = told.doubt != Doubt::None && told.refutation >= self.me.refutation;
-        if mine && (doubted || told.refutation > self.me.refutation) {
-            self.me.refutation = told.refutation;
-            self.speak();
+        let same_run = received.instance.incarnation == self.me.instance.incarnation;
+        let doubted = received.doubt != Doubt::None && received.refutation >= self.me.refutation;
+        if same_run && (doubted || received.refutation > self.me.refutation) {
+            self.me.refutation = received.refutation;
+            self.renew_own();
         }
     }
 
-    fn insert(&mut self, told: Member, from: Option<&Id>, now: Millis) {
+    fn insert(&mut self, received: Member, from: Option<&Id>, now: Millis) {
         // An unknown member that is gone has been forgotten already and must
         // not be added again.
-        if !told.is_counted() {
+        if !received.is_present() {
             return;
         }
-        let id = told.instance.id.clone();
-        self.others.insert(id.clone(), Entry::new(told, now));
-        self.tell_change(&id, from);
+        let id = received.instance.id.clone();
+        self.others.insert(id.clone(), Entry::new(received, now));
+        self.record_change(&id, from);
     }
 
-    fn hear_doubt(&mut self, id: &Id, from: Option<&Id>, now: Millis) {
-        let fresh = self.fresh();
+    fn apply_doubt(&mut self, id: &Id, from: Option<&Id>, now: Millis) {
+        let validity = self.direct_validity();
         let Some(entry) = self.others.get_mut(id) else { return };
         if entry.member.doubt != Doubt::None || entry.member.instance.state == State::Gone {
             return;
@@ -300,50 +300,58 @@
         // The member was just heard directly, so the doubt is probably wrong;
         // only the member can clear it elsewhere. The doubt is sent only once,
         // so keep it until the member is heard again: it may have crashed since.
-        if entry.direct.is_some_and(|at| now.saturating_sub(at) <= fresh) {
-            entry.accused = Some(now);
-            return self.tell(id);
+        if entry.last_direct.is_some_and(|at| now.saturating_sub(at) <= validity) {
+            entry.deferred_doubt = Some(now);
+            return self.notify(id);
         }
         entry.doubt(now);
-        self.tell_change(id, from);
+        self.record_change(id, from);
     }
 
     /// Returns how long a direct frame from a member overrides doubts of others.
-    fn fresh(&self) -> Millis {
+    fn direct_validity(&self) -> Millis {
         2 * self.timing.heartbeat
     }
 
     /// Queues a notification to a member that its entry is doubted.
-    fn tell(&mut self, id: &Id) {
+    fn notify(&mut self, id: &Id) {
         let Some(entry) = self.others.get(id) else { return };
         let doubt = entry.member.doubt.max(Doubt::Suspect);
-        self.actions.push(Action::Tell(Member { doubt, ..entry.member.clone() }));
+        self.actions.push(Action::Notify(Member { doubt, ..entry.member.clone() }));
     }
 }
 
 impl Entry {
     fn new(member: Member, now: Millis) -> Self {
-        Self { member, heard: now, direct: None, accused: None, reach: Reach::Fine, since: now, asking: Asking::No }
+        Self {
+            member,
+            last_heard: now,
+            last_direct: None,
+            deferred_doubt: None,
+            reachability: Reachability::Reachable,
+            changed_at: now,
+            probe_state: ProbeState::Idle,
+        }
     }
 
     /// Replaces the entry with a newer version and clears doubts.
-    fn take(&mut self, told: Member, now: Millis) {
-        if told.instance.incarnation > self.member.instance.incarnation {
-            self.direct = None;
+    fn replace(&mut self, received: Member, now: Millis) {
+        if received.instance.incarnation > self.member.instance.incarnation {
+            self.last_direct = None;
         }
-        self.member = Member { doubt: Doubt::None, ..told };
-        self.heard = now;
-        self.since = now;
-        self.accused = None;
-        self.reach = Reach::Fine;
-        if self.asking == Asking::Doubted {
-            self.asking = Asking::Vouched;
+        self.member = Member { doubt: Doubt::None, ..received };
+        self.last_heard = now;
+        self.changed_at = now;
+        self.deferred_doubt = None;
+        self.reachability = Reachability::Reachable;
+        if self.probe_state == ProbeState::ProbingSuspect {
+            self.probe_state = ProbeState::Reached;
         }
     }
 
     fn doubt(&mut self, now: Millis) {
         self.member.doubt = Doubt::Suspect;
-        self.accused = None;
-        self.since = now;
+        self.deferred_doubt = None;
+        self.changed_at = now;
     }
 }
--- a/crates/peer/src/membership/list.rs
+++ b/crates/peer/src/membership/list.rs
@@ -12,11 +12,11 @@
     instance::{Id, Instance, State},
 };
 
-use super::{Membership, Reach};
+use super::{Membership, Reachability};
 use crate::member::Member;
 
 /// Divisor of the suspicion timeout when another signal confirms the failure.
-const AGREED: Millis = 2;
+const CONFIRMED_DIVISOR: Millis = 2;
 
 /// One entry of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,19 +39,19 @@
 #[derive(Debug, Default)]
 pub(super) struct List {
     /// `None` until the first list arrives.
-    lines: Option<BTreeMap<Id, Standing>>,
+    entries: Option<BTreeMap<Id, Standing>>,
 }
 
 impl Membership {
     /// Updates the platform's list.
     pub fn set_listed(&mut self, listed: Vec<Listed>) {
-        let lines: BTreeMap<_, _> = listed.into_iter().map(|l| (l.name, l.state)).collect();
-        let mine = &self.me.instance.id;
-        let standing = |lines: &BTreeMap<Id, Standing>| lines.get(mine).copied();
-        let before = self.list.lines.as_ref().and_then(standing);
-        let after = standing(&lines);
-        self.list.lines = Some(lines);
-        self.changed();
+        let entries: BTreeMap<_, _> = listed.into_iter().map(|l| (l.name, l.state)).collect();
+        let own_id = &self.me.instance.id;
+        let own_state = |entries: &BTreeMap<Id, Standing>| entries.get(own_id).copied();
+        let before = self.list.entries.as_ref().and_then(own_state);
+        let after = own_state(&entries);
+        self.list.entries = Some(entries);
+        self.bump_revision();
         // Only a transition observed in this run counts: an outdated list may
         // still show the end of the previous run, and a newly started instance
         // would leave immediately.
@@ -64,33 +64,33 @@
     /// known, or only in an earlier run. The task dials them; they become
     /// members once they or a peer send their entry.
     #[must_use]
-    pub fn strangers(&self, known: &[Instance]) -> Vec<Instance> {
-        let strange = |i: &&Instance| match self.get(&i.id) {
+    pub fn undiscovered(&self, known: &[Instance]) -> Vec<Instance> {
+        let is_unknown = |i: &&Instance| match self.get(&i.id) {
             None => true,
             Some(member) => i.incarnation > member.instance.incarnation,
         };
-        known.iter().filter(|i| i.state != State::Gone).filter(strange).cloned().collect()
+        known.iter().filter(|i| i.state != State::Gone).filter(is_unknown).cloned().collect()
     }
 
     /// Returns the names in the list that are not known as members.
     pub(super) fn unmet(&self) -> Vec<Id> {
-        let lines = self.list.lines.iter().flatten();
-        let live = lines.filter(|(_, standing)| **standing == Standing::Live);
+        let entries = self.list.entries.iter().flatten();
+        let live = entries.filter(|(_, standing)| **standing == Standing::Live);
         live.map(|(id, _)| id).filter(|id| self.get(id).is_none()).cloned().collect()
     }
 
     /// Returns how long a suspected member has before it is removed: half the
     /// suspicion timeout if another signal than its silence confirms the failure.
-    pub(super) fn patience(&self, id: &Id) -> Millis {
-        let unlisted = self.list.lines.as_ref().is_some_and(|lines| lines.get(id) != Some(&Standing::Live));
-        let ended = self.others.get(id).is_some_and(|entry| entry.reach == Reach::NobodyThere);
-        if unlisted || ended { self.timing.suspicion / AGREED } else { self.timing.suspicion }
+    pub(super) fn removal_delay(&self, id: &Id) -> Millis {
+        let unlisted = self.list.entries.as_ref().is_some_and(|entries| entries.get(id) != Some(&Standing::Live));
+        let refused = self.others.get(id).is_some_and(|entry| entry.reachability == Reachability::ConnectionRefused);
+        if unlisted || refused { self.timing.suspicion / CONFIRMED_DIVISOR } else { self.timing.suspicion }
     }
 
     /// Returns whether a greeting may be accepted: not if it is from an earlier
     /// run than the known one.
     #[must_use]
-    pub fn admits(&self, member: &Member) -> bool {
+    pub fn accepts(&self, member: &Member) -> bool {
         let known = self.get(&member.instance.id);
         known.is_none_or(|k| member.instance.incarnation >= k.instance.incarnation)
     }
--- a/crates/peer/src/membership/tests.rs
+++ b/crates/peer/src/membership/tests.rs
@@ -13,28 +13,28 @@
 use crate::member::{Doubt, Member};
 
 /// Heartbeats within which any of these faults is detected and known to all.
-const SOON: usize = 12;
+const DETECTION_HEARTBEATS: usize = 12;
 /// Heartbeats within which all views agree after all faults have healed.
-const SETTLED: usize = 60;
+const CONVERGENCE_HEARTBEATS: usize = 60;
 
 /// Runs a scenario on a full mesh and with three links per instance.
-fn check(size: usize, story: impl Fn(&mut Sim)) {
+fn check(size: usize, scenario: impl Fn(&mut Sim)) {
     for limit in [size, 3] {
         let mut sim = Sim::new(size, limit, 7);
         assert_eq!(sim.disagreement(), None, "at the start, limit {limit}");
-        story(&mut sim);
+        scenario(&mut sim);
     }
 }
 
-macro_rules! stories {
-    ($($(#[$doc:meta])* $name:ident($sim:ident, $size:expr) $story:block)*) => {
-        $($(#[$doc])* #[test] fn $name() { check($size, |$sim| $story); })*
+macro_rules! scenarios {
+    ($($(#[$doc:meta])* $name:ident($sim:ident, $size:expr) $scenario:block)*) => {
+        $($(#[$doc])* #[test] fn $name() { check($size, |$sim| $scenario); })*
     };
 }
 
-stories! {
+scenarios! {
     /// Without faults, no instance is ever suspected.
-    quiet(sim, 7) {
+    no_faults(sim, 7) {
         sim.run(200);
         for node in 0..7 {
             assert!((0..7).all(|other| sim.nodes[node].state_of(other) == State::Live));
@@ -43,9 +43,9 @@
 
     /// An instance crashes. Its linked peers miss its heartbeats and suspect it,
     /// and all remove it after the suspicion timeout. No other is removed.
-    lost_heartbeats(sim, 7) {
+    crashed_instance_is_removed(sim, 7) {
         sim.kill(3);
-        sim.run(SOON);
+        sim.run(DETECTION_HEARTBEATS);
         assert_eq!(sim.disagreement(), None);
     }
 
@@ -54,7 +54,7 @@
     /// it. From then on, neither is suspected for as long as the cut lasts.
     one_way_cut(sim, 7) {
         sim.cuts.insert((2, 5));
-        sim.run(SOON);
+        sim.run(DETECTION_HEARTBEATS);
         for _ in 0..100 {
             sim.run(1);
             assert!((0..7).all(|node| sim.nodes[node].state_of(2) == State::Live), "2 is suspected");
@@ -66,17 +66,17 @@
     /// the other. After the partition heals, a removal reported by the far side
     /// must not make an instance remove a member of its own side, because the
     /// home instances of keys would move.
-    parted_domains(sim, 9) {
+    partitioned_domain(sim, 9) {
         let (far, near) = ([0, 3, 6], [1, 2, 4, 5, 7, 8]);
-        sim.part(&far, &near);
-        sim.run(3 * SOON);
+        sim.partition_groups(&far, &near);
+        sim.run(3 * DETECTION_HEARTBEATS);
         assert!(near.iter().all(|n| far.iter().all(|f| sim.nodes[*n].state_of(*f) == State::Gone)));
         assert!(far.iter().all(|f| far.iter().all(|g| sim.nodes[*f].state_of(*g) != State::Gone)));
         sim.cuts.clear();
-        for _ in 0..SETTLED {
+        for _ in 0..CONVERGENCE_HEARTBEATS {
             sim.run(1);
-            let kept = |side: &[usize]| side.iter().all(|a| side.iter().all(|b| sim.nodes[*a].state_of(*b) != State::Gone));
-            assert!(kept(&far) && kept(&near), "a member was removed by the healing");
+            let is_complete = |side: &[usize]| side.iter().all(|a| side.iter().all(|b| sim.nodes[*a].state_of(*b) != State::Gone));
+            assert!(is_complete(&far) && is_complete(&near), "a member was removed by the healing");
         }
         assert_eq!(sim.disagreement(), None);
     }
@@ -84,23 +84,23 @@
     /// An instance is paused until it has been removed, then resumes. It must
     /// not suspect the others because of its own pause, and all readmit it in
     /// the same run because it refutes its removal.
-    paused_and_woken(sim, 7) {
+    paused_instance_resumes(sim, 7) {
         sim.nodes[4].paused = true;
-        sim.run(2 * SOON);
+        sim.run(2 * DETECTION_HEARTBEATS);
         assert!((0..7).filter(|n| *n != 4).all(|n| sim.nodes[n].state_of(4) == State::Gone));
         sim.nodes[4].paused = false;
         sim.run(1);
         assert!((0..7).all(|other| sim.nodes[4].state_of(other) != State::Gone), "it removed others");
-        sim.run(SETTLED);
+        sim.run(CONVERGENCE_HEARTBEATS);
         assert_eq!(sim.disagreement(), None);
     }
 
     /// A run ends and the next one starts before any peer has noticed. All
     /// accept the new run; entries of the old run are ignored.
-    restarted(sim, 7) {
+    restarted_instance(sim, 7) {
         let old = sim.nodes[1].membership.me().clone();
         sim.restart(1);
-        sim.run(SOON);
+        sim.run(DETECTION_HEARTBEATS);
         assert_eq!(sim.disagreement(), None);
         let now = sim.now;
         sim.nodes[2].membership.merge(vec![Member { refutation: 99, ..old }], &id(3), now);
@@ -109,11 +109,11 @@
 
     /// All see that an instance is leaving, and see the end of its run without
     /// waiting for a suspicion.
-    leaving(sim, 7) {
+    leaving_instance(sim, 7) {
         sim.nodes[6].membership.leave();
         sim.run(4);
         assert!((0..7).all(|n| sim.nodes[n].state_of(6) == State::Leaving));
-        sim.nodes[6].membership.depart();
+        sim.nodes[6].membership.end();
         sim.run(4);
         assert!((0..7).all(|n| sim.nodes[n].state_of(6) == State::Gone));
     }
@@ -121,13 +121,13 @@
     /// Combined faults: an instance crashes while a domain is partitioned off,
     /// and another instance, which could answer probes, is paused.
     crash_during_partition(sim, 9) {
-        sim.part(&[2, 5, 8], &[0, 1, 3, 4, 6, 7]);
+        sim.partition_groups(&[2, 5, 8], &[0, 1, 3, 4, 6, 7]);
         sim.nodes[4].paused = true;
         sim.kill(0);
-        sim.run(2 * SOON);
+        sim.run(2 * DETECTION_HEARTBEATS);
         sim.cuts.clear();
         sim.nodes[4].paused = false;
-        sim.run(SETTLED);
+        sim.run(CONVERGENCE_HEARTBEATS);
         assert_eq!(sim.disagreement(), None);
     }
 
@@ -137,19 +137,19 @@
         for place in [1, 4, 7] {
             sim.kill(place);
         }
-        sim.run(3 * SOON);
+        sim.run(3 * DETECTION_HEARTBEATS);
         assert_eq!(sim.disagreement(), None);
     }
 
     /// Combined faults: an instance restarts while the other side of a
     /// partition still counts its old run as a member.
     restart_during_partition(sim, 9) {
-        sim.part(&[2, 5, 8], &[0, 1, 3, 4, 6, 7]);
+        sim.partition_groups(&[2, 5, 8], &[0, 1, 3, 4, 6, 7]);
         sim.run(4);
         sim.restart(5);
-        sim.run(SOON);
+        sim.run(DETECTION_HEARTBEATS);
         sim.cuts.clear();
-        sim.run(SETTLED);
+        sim.run(CONVERGENCE_HEARTBEATS);
         assert_eq!(sim.disagreement(), None);
     }
 }
@@ -158,8 +158,8 @@
 fn pair() -> Membership {
     let mut membership = Membership::new(instance(0, 1), TIMING, 0);
     membership.merge(vec![Member::new(instance(1, 1))], &id(1), 0);
-    membership.watch([id(1)], 0);
-    membership.heard(&id(1), 0);
+    membership.set_watched([id(1)], 0);
+    membership.record_frame(&id(1), 0);
     membership
 }
 
@@ -168,9 +168,9 @@
 }
 
 /// Returns the time at which the silent `i1` is removed.
-fn removed_after(mut membership: Membership) -> Millis {
+fn removal_time(mut membership: Membership) -> Millis {
     let mut now = 0;
-    while membership.get(&id(1)).unwrap().is_counted() {
+    while membership.get(&id(1)).unwrap().is_present() {
         now += TIMING.heartbeat;
         membership.tick(now);
     }
@@ -178,14 +178,14 @@
 }
 
 #[test]
-fn a_stale_list_removes_nobody_that_answers() {
+fn an_outdated_list_does_not_remove_a_responding_member() {
     // The platform's list may be outdated and show a healthy run as leaving or
     // not at all. Treating it as authoritative would empty the fleet.
     for lines in [vec![(0, Standing::Live), (1, Standing::Leaving)], vec![]] {
         let mut membership = pair();
         membership.set_listed(list(&lines));
         for beat in 1..100 {
-            membership.heard(&id(1), beat * TIMING.heartbeat);
+            membership.record_frame(&id(1), beat * TIMING.heartbeat);
             membership.tick(beat * TIMING.heartbeat);
             assert_eq!(membership.get(&id(1)).unwrap().state(), State::Live);
         }
@@ -193,38 +193,38 @@
 }
 
 #[test]
-fn the_list_hastens_only_what_silence_says_too() {
+fn the_list_only_hastens_the_removal_of_silent_members() {
     let mut agreeing = pair();
     agreeing.set_listed(list(&[(0, Standing::Live), (1, Standing::Leaving)]));
     let mut disagreeing = pair();
     disagreeing.set_listed(list(&[(0, Standing::Live), (1, Standing::Live)]));
-    let alone = removed_after(pair());
-    assert!(removed_after(agreeing) < alone);
-    assert_eq!(removed_after(disagreeing), alone);
+    let alone = removal_time(pair());
+    assert!(removal_time(agreeing) < alone);
+    assert_eq!(removal_time(disagreeing), alone);
 }
 
 #[test]
-fn one_whose_port_refuses_is_removed_sooner_unless_it_refutes() {
+fn a_refused_connection_hastens_removal_unless_refuted() {
     // After a crash, the port refuses connections at once. A firewall that
     // rejects connections from one side must not cause a removal: the member's
     // next entry clears the suspicion.
     let mut crashed = pair();
-    crashed.nobody_there(&id(1));
+    crashed.record_connection_refused(&id(1));
     let mut silent = pair();
-    silent.unreachable(&id(1));
-    assert!(removed_after(crashed) < removed_after(silent));
+    silent.record_unreachable(&id(1));
+    assert!(removal_time(crashed) < removal_time(silent));
 
-    let mut walled = pair();
-    walled.nobody_there(&id(1));
-    walled.tick(TIMING.heartbeat);
-    assert_eq!(walled.get(&id(1)).unwrap().state(), State::Suspect);
-    walled.vouched(Member { refutation: 1, ..Member::new(instance(1, 1)) }, TIMING.heartbeat);
-    walled.tick(3 * TIMING.heartbeat);
-    assert_eq!(walled.get(&id(1)).unwrap().state(), State::Live);
+    let mut blocked = pair();
+    blocked.record_connection_refused(&id(1));
+    blocked.tick(TIMING.heartbeat);
+    assert_eq!(blocked.get(&id(1)).unwrap().state(), State::Suspect);
+    blocked.record_probe_success(Member { refutation: 1, ..Member::new(instance(1, 1)) }, TIMING.heartbeat);
+    blocked.tick(3 * TIMING.heartbeat);
+    assert_eq!(blocked.get(&id(1)).unwrap().state(), State::Live);
 }
 
 #[test]
-fn only_a_turn_seen_in_this_run_makes_it_leave() {
+fn only_a_transition_seen_in_this_run_makes_it_leave() {
     // An outdated list may still show the end of the previous run.
     let mut membership = pair();
     membership.set_listed(list(&[(0, Standing::Leaving)]));
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_doubt_about_one_just_heard_is_told_to_it_and_not_taken() {
+fn a_doubt_about_a_member_just_heard_is_sent_to_it_and_not_applied() {
     // The member was heard directly a moment ago. Only the member itself can
     // clear the doubt at other instances, by a new version of its entry.
     let mut membership = pair();
@@ -244,11 +244,11 @@
     membership.merge(vec![doubted.clone()], &id(2), 500);
     assert_eq!(membership.get(&id(1)).unwrap().state(), State::Live);
     let told = Member { doubt: Doubt::Suspect, ..doubted };
-    assert_eq!(membership.take_actions(), [super::Action::Tell(told)]);
+    assert_eq!(membership.take_actions(), [super::Action::Notify(told)]);
 }
 
 #[test]
-fn a_doubt_kept_back_is_taken_up_when_its_subject_stays_silent() {
+fn a_deferred_doubt_is_applied_when_its_member_stays_silent() {
     // The doubt is sent only once, just after the member was heard; then its
     // link closes or it falls silent. If the doubt were dropped, it would be
     // missing until the views are compared: a crash took 8 s to be known
@@ -256,7 +256,7 @@
     let doubted = Member { doubt: Doubt::Suspect, ..Member::new(instance(1, 1)) };
     let mut ended = pair();
     ended.merge(vec![doubted.clone()], &id(2), 500);
-    ended.unlinked(&id(1), 600);
+    ended.record_link_closed(&id(1), 600);
     assert_eq!(ended.get(&id(1)).unwrap().state(), State::Suspect);
 
     let mut silent = pair();
@@ -266,7 +266,7 @@
 
     let mut heard = pair();
     heard.merge(vec![doubted], &id(2), 500);
-    heard.heard(&id(1), 1_000);
+    heard.record_frame(&id(1), 1_000);
     heard.tick(3_000);
     assert_eq!(heard.get(&id(1)).unwrap().state(), State::Live);
 }
--- a/crates/peer/src/membership/tests/schedule.rs
+++ b/crates/peer/src/membership/tests/schedule.rs
@@ -2,22 +2,22 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 
-use super::{SETTLED, sim::Sim};
+use super::{CONVERGENCE_HEARTBEATS, sim::Sim};
 
 const SIZE: usize = 8;
 /// Longest time between two faults in heartbeats: longer than the suspicion
 /// timeout and the time for which removed members are remembered.
-const LONGEST: usize = 80;
+const MAX_HEARTBEATS_BETWEEN: usize = 80;
 
 #[derive(Debug, Clone)]
 enum Fault {
     Cut(usize, usize),
-    Part(usize),
+    Partition(usize),
     Heal,
     Kill(usize),
     Restart(usize),
     Pause(usize),
-    Wake(usize),
+    Resume(usize),
     Leave(usize),
 }
 
@@ -25,12 +25,12 @@
     let node = || 0..SIZE;
     prop_oneof![
         4 => (node(), node()).prop_map(|(one, other)| Fault::Cut(one, other)),
-        2 => node().prop_map(Fault::Part),
+        2 => node().prop_map(Fault::Partition),
         2 => Just(Fault::Heal),
         2 => node().prop_map(Fault::Kill),
         2 => node().prop_map(Fault::Restart),
         2 => node().prop_map(Fault::Pause),
-        2 => node().prop_map(Fault::Wake),
+        2 => node().prop_map(Fault::Resume),
         1 => node().prop_map(Fault::Leave),
     ]
 }
@@ -40,16 +40,16 @@
         Fault::Cut(one, other) => {
             sim.cuts.insert((one, other));
         }
-        Fault::Part(first) => {
+        Fault::Partition(first) => {
             let (ones, others): (Vec<_>, Vec<_>) = (0..SIZE).partition(|place| *place < first);
-            sim.part(&ones, &others);
+            sim.partition_groups(&ones, &others);
         }
         Fault::Heal => sim.cuts.clear(),
         Fault::Kill(place) => sim.kill(place),
         Fault::Restart(place) => sim.restart(place),
         Fault::Pause(place) => sim.nodes[place].paused = true,
-        Fault::Wake(place) => sim.nodes[place].paused = false,
-        Fault::Leave(place) if sim.nodes[place].awake() => sim.nodes[place].membership.leave(),
+        Fault::Resume(place) => sim.nodes[place].paused = false,
+        Fault::Leave(place) if sim.nodes[place].is_running() => sim.nodes[place].membership.leave(),
         Fault::Leave(_) => {}
     }
 }
@@ -68,7 +68,7 @@
 
     #[test]
     fn all_agree_after_healing(
-        faults in prop::collection::vec((fault(), 0..LONGEST), 1..12),
+        faults in prop::collection::vec((fault(), 0..MAX_HEARTBEATS_BETWEEN), 1..12),
         limit in prop_oneof![Just(SIZE), Just(3), Just(4)],
         seed: u64,
     ) {
@@ -79,7 +79,7 @@
         }
         sim.cuts.clear();
         sim.nodes.iter_mut().for_each(|node| node.paused = false);
-        sim.run(2 * SETTLED);
+        sim.run(2 * CONVERGENCE_HEARTBEATS);
         prop_assert_eq!(sim.disagreement(), None);
         prop_assert!((0..SIZE).all(|place| sim.links(place) <= limit.max(SIZE - 1)));
     }
--- a/crates/peer/src/membership/tests/sim.rs
+++ b/crates/peer/src/membership/tests/sim.rs
@@ -14,18 +14,18 @@
 use crate::{
     member::Member,
     membership::{Action, Membership},
+    outbox::{Digests, Heartbeat, Outbox},
     settings::Timing,
-    spread::{Digests, Heartbeat, Spread},
     topology,
 };
 
 pub const TIMING: Timing = Timing { heartbeat: 1_000, silence: 3_500, suspicion: 3_000, forget: 60_000 };
 const DOMAINS: usize = 3;
 /// Heartbeats after which a cut breaks a link.
-const BREAK: u32 = 4;
+const HEARTBEATS_UNTIL_BREAK: u32 = 4;
 /// Milliseconds for which a peer is not dialled after its link was closed.
-const REST: Millis = 10_000;
-const PROBERS: usize = 3;
+const BACKOFF: Millis = 10_000;
+const MAX_PROBERS: usize = 3;
 
 pub struct Sim {
     pub now: Millis,
@@ -33,7 +33,7 @@
     /// Directions, as (sender, receiver), in which no frames arrive.
     pub cuts: BTreeSet<(usize, usize)>,
     /// Number of steps for which each link has been cut.
-    broken: BTreeMap<(usize, usize), u32>,
+    cut_steps: BTreeMap<(usize, usize), u32>,
     limit: usize,
     rng: ChaCha8Rng,
 }
@@ -43,8 +43,8 @@
     /// Whether the instance runs, even if paused.
     pub up: bool,
     pub paused: bool,
-    spreads: BTreeMap<usize, Spread>,
-    rests: BTreeMap<usize, Millis>,
+    outboxes: BTreeMap<usize, Outbox>,
+    backoffs: BTreeMap<usize, Millis>,
 }
 
 pub fn id(place: usize) -> Id {
@@ -71,10 +71,10 @@
 impl Node {
     fn new(place: usize, incarnation: u64, now: Millis) -> Self {
         let membership = Membership::new(instance(place, incarnation), TIMING, now);
-        Self { membership, up: true, paused: false, spreads: BTreeMap::new(), rests: BTreeMap::new() }
+        Self { membership, up: true, paused: false, outboxes: BTreeMap::new(), backoffs: BTreeMap::new() }
     }
 
-    pub fn awake(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.up && !self.paused
     }
 
@@ -88,7 +88,7 @@
     pub fn new(size: usize, limit: usize, seed: u64) -> Self {
         let nodes = (0..size).map(|place| Node::new(place, 1, 0)).collect();
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut sim = Self { now: 0, nodes, cuts: BTreeSet::new(), broken: BTreeMap::new(), limit, rng };
+        let mut sim = Self { now: 0, nodes, cuts: BTreeSet::new(), cut_steps: BTreeMap::new(), limit, rng };
         sim.run(20);
         sim
     }
@@ -100,7 +100,7 @@
     }
 
     /// Cuts both directions between all instances of two groups.
-    pub fn part(&mut self, ones: &[usize], others: &[usize]) {
+    pub fn partition_groups(&mut self, ones: &[usize], others: &[usize]) {
         for (one, other) in ones.iter().flat_map(|one| others.iter().map(move |other| (*one, *other))) {
             self.cuts.extend([(one, other), (other, one)]);
         }
@@ -121,23 +121,23 @@
     /// whose members differ from the instances that are up.
     pub fn disagreement(&self) -> Option<String> {
         let up: BTreeSet<_> = (0..self.nodes.len()).filter(|p| self.nodes[*p].up).collect();
-        for node in self.nodes.iter().filter(|n| n.awake()) {
+        for node in self.nodes.iter().filter(|n| n.is_running()) {
             let members = node.membership.members();
-            let counted = members.all().filter(|i| i.state != State::Gone);
-            let words: BTreeMap<_, _> = counted.map(|i| (place(&i.id), (i.incarnation, i.state))).collect();
-            let expected: BTreeMap<_, _> = up.iter().map(|p| (*p, self.word(*p))).collect();
-            if words != expected {
-                return Some(format!("{}: {words:?} and not {expected:?}", members.me.id));
+            let present = members.all().filter(|i| i.state != State::Gone);
+            let seen: BTreeMap<_, _> = present.map(|i| (place(&i.id), (i.incarnation, i.state))).collect();
+            let expected: BTreeMap<_, _> = up.iter().map(|p| (*p, self.own_entry(*p))).collect();
+            if seen != expected {
+                return Some(format!("{}: {seen:?} and not {expected:?}", members.me.id));
             }
         }
         None
     }
 
     pub fn links(&self, place: usize) -> usize {
-        self.nodes[place].spreads.len()
+        self.nodes[place].outboxes.len()
     }
 
-    fn word(&self, place: usize) -> (Incarnation, State) {
+    fn own_entry(&self, place: usize) -> (Incarnation, State) {
         let me = &self.nodes[place].membership.me().instance;
         (me.incarnation, me.state)
     }
@@ -146,28 +146,28 @@
         self.now += TIMING.heartbeat;
         self.break_links();
         for place in 0..self.nodes.len() {
-            if self.nodes[place].awake() {
+            if self.nodes[place].is_running() {
                 self.nodes[place].membership.tick(self.now);
-                self.act(place);
-                self.keep_links(place);
-                self.stray(place);
-                self.beat(place);
+                self.perform_actions(place);
+                self.update_links(place);
+                self.dial_unlinked(place);
+                self.send_heartbeats(place);
             }
         }
     }
 
     fn is_open(&self, one: usize, other: usize) -> bool {
-        let free = !self.cuts.contains(&(one, other)) && !self.cuts.contains(&(other, one));
-        free && self.nodes[one].awake() && self.nodes[other].awake()
+        let uncut = !self.cuts.contains(&(one, other)) && !self.cuts.contains(&(other, one));
+        uncut && self.nodes[one].is_running() && self.nodes[other].is_running()
     }
 
     fn break_links(&mut self) {
         for one in 0..self.nodes.len() {
-            for other in self.nodes[one].spreads.keys().copied().collect::<Vec<_>>() {
-                let held = self.cuts.contains(&(one, other)) || self.cuts.contains(&(other, one));
-                let count = self.broken.entry((one, other)).or_default();
-                *count = if held { *count + 1 } else { 0 };
-                if *count >= BREAK {
+            for other in self.nodes[one].outboxes.keys().copied().collect::<Vec<_>>() {
+                let is_cut = self.cuts.contains(&(one, other)) || self.cuts.contains(&(other, one));
+                let count = self.cut_steps.entry((one, other)).or_default();
+                *count = if is_cut { *count + 1 } else { 0 };
+                if *count >= HEARTBEATS_UNTIL_BREAK {
                     self.unlink(one, other);
                 }
             }
@@ -179,14 +179,14 @@
             return false;
         }
         for (here, there) in [(one, other), (other, one)] {
-            let word = self.nodes[there].membership.me().clone();
+            let entry = self.nodes[there].membership.me().clone();
             let node = &mut self.nodes[here];
-            if !node.membership.admits(&word) {
+            if !node.membership.accepts(&entry) {
                 return true;
             }
-            node.membership.merge(vec![word], &id(there), self.now);
-            node.membership.heard(&id(there), self.now);
-            node.spreads.insert(there, Spread::new(&node.membership, &Digests::default()));
+            node.membership.merge(vec![entry], &id(there), self.now);
+            node.membership.record_frame(&id(there), self.now);
+            node.outboxes.insert(there, Outbox::new(&node.membership, &Digests::default()));
         }
         true
     }
@@ -195,12 +195,12 @@
         let now = self.now;
         for (here, there) in [(one, other), (other, one)] {
             let node = &mut self.nodes[here];
-            if node.spreads.remove(&there).is_some() {
-                node.membership.unlinked(&id(there), now);
+            if node.outboxes.remove(&there).is_some() {
+                node.membership.record_link_closed(&id(there), now);
             }
         }
-        self.broken.remove(&(one, other));
-        self.broken.remove(&(other, one));
+        self.cut_steps.remove(&(one, other));
+        self.cut_steps.remove(&(other, one));
     }
 
     fn unlink_all(&mut self, place: usize) {
@@ -209,47 +209,47 @@
         }
     }
 
-    fn keep_links(&mut self, one: usize) {
+    fn update_links(&mut self, one: usize) {
         let node = &self.nodes[one];
-        let linked: Vec<Id> = node.spreads.keys().map(|p| id(*p)).collect();
-        let counted: Vec<&Instance> =
-            node.membership.others().filter(|m| m.is_counted()).map(|m| &m.instance).collect();
-        let plan = topology::plan(&node.membership.me().instance, &counted, &linked, self.limit);
+        let linked: Vec<Id> = node.outboxes.keys().map(|p| id(*p)).collect();
+        let present: Vec<&Instance> =
+            node.membership.others().filter(|m| m.is_present()).map(|m| &m.instance).collect();
+        let plan = topology::plan(&node.membership.me().instance, &present, &linked, self.limit);
         for other in plan.close.iter().map(place) {
             self.unlink(one, other);
-            self.nodes[one].rests.insert(other, self.now + REST);
+            self.nodes[one].backoffs.insert(other, self.now + BACKOFF);
         }
-        for other in plan.dial.iter().chain(&plan.late) {
+        for other in plan.dial.iter().chain(&plan.dial_later) {
             if !self.link(one, place(other)) {
-                self.nodes[one].membership.unreachable(other);
+                self.nodes[one].membership.record_unreachable(other);
             }
         }
-        let rested = |id: &&Id| self.nodes[one].rests.get(&place(id)).is_none_or(|until| *until <= self.now);
-        if let Some(other) = plan.chords.iter().find(rested).map(place) {
+        let may_dial = |id: &&Id| self.nodes[one].backoffs.get(&place(id)).is_none_or(|until| *until <= self.now);
+        if let Some(other) = plan.chords.iter().find(may_dial).map(place) {
             self.link(one, other);
-            self.nodes[one].rests.insert(other, self.now + REST);
+            self.nodes[one].backoffs.insert(other, self.now + BACKOFF);
         }
-        self.nodes[one].membership.watch(plan.watch, self.now);
+        self.nodes[one].membership.set_watched(plan.watch, self.now);
     }
 
     /// Dials one random seed (the first two instances), removed member or
     /// instance named by the object API.
-    fn stray(&mut self, one: usize) {
+    fn dial_unlinked(&mut self, one: usize) {
         let named: Vec<_> = self.nodes.iter().map(|n| n.membership.me().instance.clone()).collect();
         let node = &self.nodes[one];
-        let gone = node.membership.others().filter(|m| !m.is_counted()).map(|m| place(&m.instance.id));
-        let seeds = (0..2).filter(|p| node.spreads.is_empty() || node.state_of(*p) == State::Gone);
-        let strangers = node.membership.strangers(&named).into_iter().map(|i| place(&i.id));
-        if let Some(other) = gone.chain(seeds).chain(strangers).choose(&mut self.rng) {
+        let gone = node.membership.others().filter(|m| !m.is_present()).map(|m| place(&m.instance.id));
+        let seeds = (0..2).filter(|p| node.outboxes.is_empty() || node.state_of(*p) == State::Gone);
+        let undiscovered = node.membership.undiscovered(&named).into_iter().map(|i| place(&i.id));
+        if let Some(other) = gone.chain(seeds).chain(undiscovered).choose(&mut self.rng) {
             self.link(one, other);
         }
     }
 
-    fn act(&mut self, one: usize) {
+    fn perform_actions(&mut self, one: usize) {
         for action in self.nodes[one].membership.take_actions() {
-            let (Action::Probe(doubt) | Action::Tell(doubt)) = &action;
+            let (Action::Probe(doubt) | Action::Notify(doubt)) = &action;
             let target = place(&doubt.instance.id);
-            let through = self.nodes[one].spreads.keys().copied().take(PROBERS);
+            let through = self.nodes[one].outboxes.keys().copied().take(MAX_PROBERS);
             let probers: Vec<usize> = std::iter::once(one).chain(through).collect();
             let reached = probers.into_iter().any(|via| {
                 let first = via == one || self.is_open(one, via);
@@ -258,32 +258,32 @@
             if reached {
                 let subject = &mut self.nodes[target].membership;
                 subject.merge(vec![doubt.clone()], &id(one), self.now);
-                let word = subject.me().clone();
-                self.nodes[one].membership.vouched(word, self.now);
+                let entry = subject.me().clone();
+                self.nodes[one].membership.record_probe_success(entry, self.now);
             } else {
-                self.nodes[one].membership.unvouched(&doubt.instance.id, self.now);
+                self.nodes[one].membership.record_probe_failure(&doubt.instance.id, self.now);
             }
         }
     }
 
     /// Sends all pending changes on every link, at least one heartbeat each.
-    fn beat(&mut self, one: usize) {
+    fn send_heartbeats(&mut self, one: usize) {
         for change in self.nodes[one].membership.take_changes() {
             let from = change.from.as_ref().map(place);
-            let others = self.nodes[one].spreads.iter_mut().filter(|(other, _)| Some(**other) != from);
-            others.for_each(|(_, spread)| spread.add(&change.id));
+            let others = self.nodes[one].outboxes.iter_mut().filter(|(other, _)| Some(**other) != from);
+            others.for_each(|(_, outbox)| outbox.add(&change.id));
         }
-        for other in self.nodes[one].spreads.keys().copied().collect::<Vec<_>>() {
-            if self.cuts.contains(&(one, other)) || !self.nodes[other].awake() {
+        for other in self.nodes[one].outboxes.keys().copied().collect::<Vec<_>>() {
+            if self.cuts.contains(&(one, other)) || !self.nodes[other].is_running() {
                 continue;
             }
             loop {
                 let node = &mut self.nodes[one];
-                let Some(spread) = node.spreads.get_mut(&other) else { break };
-                let heartbeat = spread.next(&node.membership, &Digests::default());
-                spread.sent();
-                let more = spread.is_due();
-                self.hear(other, one, heartbeat);
+                let Some(outbox) = node.outboxes.get_mut(&other) else { break };
+                let heartbeat = outbox.next_heartbeat(&node.membership, &Digests::default());
+                outbox.mark_sent();
+                let more = outbox.has_pending();
+                self.receive(other, one, heartbeat);
                 if !more {
                     break;
                 }
@@ -291,15 +291,15 @@
         }
     }
 
-    fn hear(&mut self, one: usize, from: usize, heartbeat: Heartbeat) {
+    fn receive(&mut self, one: usize, from: usize, heartbeat: Heartbeat) {
         let node = &mut self.nodes[one];
-        node.membership.heard(&id(from), self.now);
+        node.membership.record_frame(&id(from), self.now);
         node.membership.merge(heartbeat.members, &id(from), self.now);
         let mine = node.membership.view();
-        let Some(spread) = node.spreads.get_mut(&from) else { return };
-        spread.compare(heartbeat.view, mine);
+        let Some(outbox) = node.outboxes.get_mut(&from) else { return };
+        outbox.compare_view(heartbeat.view, mine);
         if heartbeat.want_all {
-            spread.add_all(&node.membership);
+            outbox.add_all(&node.membership);
         }
     }
 }
--- a/crates/peer/src/news.rs
+++ b/crates/peer/src/news.rs
@@ -12,7 +12,7 @@
 mod tests;
 
 /// Number of latest sequence numbers of an origin that are tracked one by one.
-const WINDOW: u64 = 128;
+const WINDOW_LEN: u64 = 128;
 
 /// One news item. The topic is a number here, because news of a topic unknown
 /// to this build is relayed as well.
@@ -45,7 +45,7 @@
     pub incarnation: Incarnation,
     /// Sequence number, starting at 1 in each run.
     pub sequence: u64,
-    }
+}
 
 impl News {
     /// Returns the identifier of this item.
@@ -72,46 +72,46 @@
 impl Seen {
     /// Marks the item as seen and returns whether it was new. Items of an
     /// earlier run, and items older than the window, count as seen.
-    pub fn is_new(&mut self, name: &Name) -> bool {
-        let fresh = || Window { incarnation: name.incarnation, highest: 0, bits: 0 };
-        let window = self.origins.entry(name.origin.clone()).or_insert_with(fresh);
+    pub fn insert(&mut self, name: &Name) -> bool {
+        let new_window = || Window { incarnation: name.incarnation, highest: 0, bits: 0 };
+        let window = self.origins.entry(name.origin.clone()).or_insert_with(new_window);
         if name.incarnation > window.incarnation {
-            *window = fresh();
+            *window = new_window();
         }
-        name.incarnation == window.incarnation && window.add(name.sequence)
+        name.incarnation == window.incarnation && window.insert(name.sequence)
     }
 
     /// Returns whether the item counts as seen, without marking it.
     #[must_use]
-    pub fn has(&self, name: &Name) -> bool {
+    pub fn contains(&self, name: &Name) -> bool {
         self.origins.get(&name.origin).is_some_and(|window| match name.incarnation.cmp(&window.incarnation) {
             Ordering::Less => true,
-            Ordering::Equal => window.has(name.sequence),
+            Ordering::Equal => window.contains(name.sequence),
             Ordering::Greater => false,
         })
     }
 
     /// Drops the windows of all origins for which `known` returns false.
-    pub fn keep(&mut self, known: impl Fn(&Id) -> bool) {
+    pub fn retain_origins(&mut self, known: impl Fn(&Id) -> bool) {
         self.origins.retain(|id, _| known(id));
     }
 }
 
 impl Window {
-    fn has(&self, sequence: u64) -> bool {
-        let Some(back) = self.highest.checked_sub(sequence) else { return false };
-        back >= WINDOW || self.bits & (1 << back) != 0
+    fn contains(&self, sequence: u64) -> bool {
+        let Some(distance) = self.highest.checked_sub(sequence) else { return false };
+        distance >= WINDOW_LEN || self.bits & (1 << distance) != 0
     }
 
-    fn add(&mut self, sequence: u64) -> bool {
+    fn insert(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
-            let step = sequence - self.highest;
-            self.bits = if step < WINDOW { self.bits << step } else { 0 };
+            let shift = sequence - self.highest;
+            self.bits = if shift < WINDOW_LEN { self.bits << shift } else { 0 };
             self.bits |= 1;
             self.highest = sequence;
             return true;
         }
-        if self.has(sequence) {
+        if self.contains(sequence) {
             return false;
         }
         self.bits |= 1 << (self.highest - sequence);
@@ -125,27 +125,27 @@
 /// Items over the limit are dropped: the digests on heartbeats let topic
 /// owners detect what they missed.
 #[derive(Debug)]
-pub struct Allowance {
+pub struct RateLimit {
     rate: u32,
-    left: u32,
-    since: Millis,
+    remaining: u32,
+    window_start: Millis,
 }
 
-impl Allowance {
+impl RateLimit {
     /// Creates a limit of `rate` items per second.
     #[must_use]
     pub fn new(rate: u32, now: Millis) -> Self {
-        Self { rate, left: rate, since: now }
+        Self { rate, remaining: rate, window_start: now }
     }
 
     /// Returns whether one more item is allowed, and counts it.
     pub fn take(&mut self, now: Millis) -> bool {
-        if now.saturating_sub(self.since) >= 1_000 {
-            self.left = self.rate;
-            self.since = now;
+        if now.saturating_sub(self.window_start) >= 1_000 {
+            self.remaining = self.rate;
+            self.window_start = now;
         }
-        let allowed = self.left > 0;
-        self.left = self.left.saturating_sub(1);
+        let allowed = self.remaining > 0;
+        self.remaining = self.remaining.saturating_sub(1);
         allowed
     }
 }
--- a/crates/peer/src/news/tests.rs
+++ b/crates/peer/src/news/tests.rs
@@ -2,7 +2,7 @@
 
 use world::instance::{Id, Incarnation};
 
-use super::{Allowance, Name, Seen};
+use super::{Name, RateLimit, Seen};
 
 fn name(origin: &str, incarnation: u64, sequence: u64) -> Name {
     Name { origin: Id::parse(origin).unwrap(), incarnation: Incarnation(incarnation), sequence }
@@ -13,8 +13,8 @@
     let mut seen = Seen::default();
     for (incarnation, sequence, expected) in given {
         let name = name("a", *incarnation, *sequence);
-        assert_eq!(seen.has(&name), !expected, "before {incarnation}/{sequence} of {given:?}");
-        let is_new = seen.is_new(&name);
+        assert_eq!(seen.contains(&name), !expected, "before {incarnation}/{sequence} of {given:?}");
+        let is_new = seen.insert(&name);
         assert_eq!(is_new, *expected, "{incarnation}/{sequence} of {given:?}");
     }
 }
@@ -24,26 +24,26 @@
 }
 
 orders! {
-    each_once: [(1, 1, true), (1, 1, false), (1, 2, true), (1, 1, false)];
-    over_another_way_out_of_order: [(1, 3, true), (1, 1, true), (1, 2, true), (1, 3, false), (1, 1, false)];
-    after_a_gap: [(1, 1, true), (1, 100, true), (1, 2, true), (1, 1, false)];
-    older_than_the_window: [(1, 1, true), (1, 500, true), (1, 372, false), (1, 373, true), (1, 1, false)];
-    a_restart_counts_from_one_again: [(1, 900, true), (2, 1, true), (2, 1, false), (1, 901, false)];
+    each_item_is_new_once: [(1, 1, true), (1, 1, false), (1, 2, true), (1, 1, false)];
+    out_of_order_items_are_new_once: [(1, 3, true), (1, 1, true), (1, 2, true), (1, 3, false), (1, 1, false)];
+    items_after_a_gap_are_new: [(1, 1, true), (1, 100, true), (1, 2, true), (1, 1, false)];
+    items_older_than_the_window_count_as_seen: [(1, 1, true), (1, 500, true), (1, 372, false), (1, 373, true), (1, 1, false)];
+    a_restart_begins_at_one_again: [(1, 900, true), (2, 1, true), (2, 1, false), (1, 901, false)];
 }
 
 #[test]
-fn origins_are_apart_and_forgotten() {
+fn origins_are_independent_and_can_be_forgotten() {
     let mut seen = Seen::default();
-    assert!(seen.is_new(&name("a", 1, 1)) && seen.is_new(&name("b", 1, 1)));
-    seen.keep(|id| id.as_str() == "a");
-    assert!(!seen.is_new(&name("a", 1, 1)) && seen.is_new(&name("b", 1, 1)));
+    assert!(seen.insert(&name("a", 1, 1)) && seen.insert(&name("b", 1, 1)));
+    seen.retain_origins(|id| id.as_str() == "a");
+    assert!(!seen.insert(&name("a", 1, 1)) && seen.insert(&name("b", 1, 1)));
 }
 
 #[test]
-fn a_flood_is_cut_to_the_allowance() {
-    let mut allowance = Allowance::new(10, 0);
-    let taken = |allowance: &mut Allowance, now| (0..1_000).filter(|_| allowance.take(now)).count();
-    assert_eq!(taken(&mut allowance, 0), 10);
-    assert_eq!(taken(&mut allowance, 999), 0);
-    assert_eq!(taken(&mut allowance, 1_000), 10);
+fn a_flood_is_cut_to_the_rate_limit() {
+    let mut rate_limit = RateLimit::new(10, 0);
+    let taken = |rate_limit: &mut RateLimit, now| (0..1_000).filter(|_| rate_limit.take(now)).count();
+    assert_eq!(taken(&mut rate_limit, 0), 10);
+    assert_eq!(taken(&mut rate_limit, 999), 0);
+    assert_eq!(taken(&mut rate_limit, 1_000), 10);
 }
--- a/crates/peer/src/spread.rs
+++ b/crates/peer/src/outbox.rs
@@ -11,12 +11,12 @@
 use crate::{member::Member, membership::Membership, topic::Topic};
 
 /// Maximum number of members in one heartbeat; the rest is sent with the next.
-const MEMBERS: usize = 64;
+const MAX_MEMBERS: usize = 64;
 /// Consecutive heartbeats with a different view hash before the full view is
 /// requested. Changes in transit explain one or two mismatches.
-const UNEQUAL: u32 = 3;
+const MISMATCHES_BEFORE_REQUEST: u32 = 3;
 /// Minimum number of heartbeats between two requests for the full view.
-const ASKING: u32 = 10;
+const REQUEST_INTERVAL_HEARTBEATS: u32 = 10;
 
 /// Digests of this instance by topic.
 #[derive(Debug, Default)]
@@ -45,21 +45,21 @@
 /// Changes that are still to be sent on one link, and the comparison with the
 /// peer's view.
 #[derive(Debug, Default)]
-pub struct Spread {
+pub struct Outbox {
     members: BTreeSet<Id>,
     digests: BTreeSet<Topic>,
-    unequal: u32,
-    rest: u32,
+    mismatches: u32,
+    cooldown: u32,
     want_all: bool,
 }
 
-impl Spread {
+impl Outbox {
     /// Creates the state of a new link, with everything pending.
     #[must_use]
     pub fn new(membership: &Membership, digests: &Digests) -> Self {
-        let mut spread = Self { digests: digests.0.keys().copied().collect(), ..Self::default() };
-        spread.add_all(membership);
-        spread
+        let mut outbox = Self { digests: digests.0.keys().copied().collect(), ..Self::default() };
+        outbox.add_all(membership);
+        outbox
     }
 
     /// Adds a changed entry.
@@ -81,15 +81,15 @@
     /// Returns whether changes are pending, which are sent before the next
     /// regular heartbeat.
     #[must_use]
-    pub fn is_due(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.members.is_empty() || !self.digests.is_empty()
     }
 
     /// Returns the next heartbeat. Call [`mark_sent`](Self::mark_sent) once it
     /// is in the link's queue.
     #[must_use]
-    pub fn next(&self, membership: &Membership, digests: &Digests) -> Heartbeat {
-        let members = self.members.iter().take(MEMBERS).filter_map(|id| membership.get(id)).cloned().collect();
+    pub fn next_heartbeat(&self, membership: &Membership, digests: &Digests) -> Heartbeat {
+        let members = self.members.iter().take(MAX_MEMBERS).filter_map(|id| membership.get(id)).cloned().collect();
         let digest = |topic: &Topic| digests.0.get(topic).map(|value| (topic.number(), value.clone()));
         let digests = self.digests.iter().filter_map(digest).collect();
         Heartbeat { members, digests, view: membership.view(), want_all: self.want_all }
@@ -97,8 +97,8 @@
 
     /// Clears the changes contained in the heartbeat that `next_heartbeat`
     /// returned last.
-    pub fn sent(&mut self) {
-        let later = self.members.iter().nth(MEMBERS).cloned();
+    pub fn mark_sent(&mut self) {
+        let later = self.members.iter().nth(MAX_MEMBERS).cloned();
         self.members = later.map(|id| self.members.split_off(&id)).unwrap_or_default();
         self.digests.clear();
         self.want_all = false;
@@ -106,14 +106,14 @@
 
     /// Compares the peer's view hash with the own one and requests all entries
     /// if they keep differing.
-    pub fn compare(&mut self, theirs: u64, mine: u64) {
-        self.rest = self.rest.saturating_sub(1);
-        self.unequal = if theirs == mine { 0 } else { self.unequal + 1 };
-        if self.unequal < UNEQUAL || self.rest > 0 {
+    pub fn compare_view(&mut self, theirs: u64, mine: u64) {
+        self.cooldown = self.cooldown.saturating_sub(1);
+        self.mismatches = if theirs == mine { 0 } else { self.mismatches + 1 };
+        if self.mismatches < MISMATCHES_BEFORE_REQUEST || self.cooldown > 0 {
             return;
         }
         self.want_all = true;
-        self.unequal = 0;
-        self.rest = ASKING;
+        self.mismatches = 0;
+        self.cooldown = REQUEST_INTERVAL_HEARTBEATS;
     }
 }
--- a/crates/peer/src/reader.rs
+++ b/crates/peer/src/reader.rs
@@ -9,14 +9,14 @@
     event::{Clock, Event},
     generated::{Frame, frame::Kind},
     link::{Received, Source},
-    news::Allowance,
+    news::RateLimit,
     relay::Message,
 };
 
 /// Spawns a task that reads a link until it ends. Each reader waits until the
 /// event queue has room for its next event, so that a flooding peer gets no
 /// more than its turn among the others.
-pub(crate) fn read(
+pub(crate) fn spawn_reader(
     mut incoming: Streaming<Frame>,
     source: Source,
     events: mpsc::Sender<Event>,
@@ -24,9 +24,9 @@
     rate: u32,
 ) -> AbortOnDropHandle<()> {
     AbortOnDropHandle::new(tokio::spawn(async move {
-        let mut allowance = Allowance::new(rate, clock.now());
+        let mut rate_limit = RateLimit::new(rate, clock.now());
         while let Ok(Some(frame)) = incoming.message().await {
-            let received = receive(frame, &mut allowance, clock.now());
+            let received = decode(frame, &mut rate_limit, clock.now());
             if events.send(Event::Received(source.clone(), received)).await.is_err() {
                 return;
             }
@@ -36,10 +36,10 @@
     }))
 }
 
-fn receive(frame: Frame, allowance: &mut Allowance, now: Millis) -> Received {
+fn decode(frame: Frame, rate_limit: &mut RateLimit, now: Millis) -> Received {
     let message = match frame.kind {
         Some(Kind::Heartbeat(heartbeat)) => return Received::Heartbeat(heartbeat.into()),
-        Some(Kind::News(_)) if !allowance.take(now) => {
+        Some(Kind::News(_)) if !rate_limit.take(now) => {
             metrics::counter!("peer_news_dropped_total", "where" => "allowance").increment(1);
             return Received::Other;
         }
--- a/crates/peer/src/relay/tests.rs
+++ b/crates/peer/src/relay/tests.rs
@@ -10,19 +10,19 @@
     instance::{Id, Incarnation},
 };
 
-use super::{Message, Messages, Relay, WAIT};
+use super::{BODY_TIMEOUT, Message, Messages, Relay};
 use crate::news::News;
 
-const HOP: Millis = 10;
+const HOP_MS: Millis = 10;
 /// Longer than it takes to request a body from every peer that offered it.
-const QUIET: Millis = 40 * WAIT;
+const SETTLE_TIME: Millis = 40 * BODY_TIMEOUT;
 
 struct Graph {
     now: Millis,
     nodes: BTreeMap<Id, Relay>,
     /// Messages in transit: arrival time, sender, receiver, message.
-    air: Vec<(Millis, Id, Id, Message)>,
-    got: BTreeMap<Id, u64>,
+    in_transit: Vec<(Millis, Id, Id, Message)>,
+    received: BTreeMap<Id, u64>,
     bodies: usize,
     published: u64,
 }
@@ -36,7 +36,8 @@
     fn new(size: usize, chords: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
         let nodes = (0..size).map(|place| (id(place), Relay::default())).collect();
-        let mut graph = Self { now: 0, nodes, air: Vec::new(), got: BTreeMap::new(), bodies: 0, published: 0 };
+        let mut graph =
+            Self { now: 0, nodes, in_transit: Vec::new(), received: BTreeMap::new(), bodies: 0, published: 0 };
         for place in 0..size {
             graph.link(place, (place + 1) % size);
             for _ in 0..chords / 2 {
@@ -48,14 +49,14 @@
 
     fn link(&mut self, one: usize, other: usize) {
         if one != other {
-            self.nodes.get_mut(&id(one)).unwrap().linked(&id(other));
-            self.nodes.get_mut(&id(other)).unwrap().linked(&id(one));
+            self.nodes.get_mut(&id(one)).unwrap().add_link(&id(other));
+            self.nodes.get_mut(&id(other)).unwrap().add_link(&id(one));
         }
     }
 
     fn lose(&mut self, place: usize) {
         self.nodes.remove(&id(place));
-        self.nodes.values_mut().for_each(|relay| relay.unlinked(&id(place)));
+        self.nodes.values_mut().for_each(|relay| relay.remove_link(&id(place)));
     }
 
     /// Publishes an item, asserts that every other node receives it exactly
@@ -72,32 +73,32 @@
             relay: true,
             stamp: 0,
         };
-        (self.got, self.bodies) = (BTreeMap::new(), 0);
+        (self.received, self.bodies) = (BTreeMap::new(), 0);
         let messages = self.nodes.get_mut(&id(place)).unwrap().publish(&news);
         self.send(&id(place), messages);
-        let end = self.now + QUIET;
+        let end = self.now + SETTLE_TIME;
         while self.now < end {
             self.step();
         }
         let others: BTreeSet<_> = self.nodes.keys().filter(|node| **node != id(place)).collect();
-        let have: BTreeSet<_> = self.got.keys().collect();
+        let have: BTreeSet<_> = self.received.keys().collect();
         assert_eq!(have, others, "not received everywhere");
-        assert!(self.got.values().all(|times| *times == 1), "received more than once");
+        assert!(self.received.values().all(|times| *times == 1), "received more than once");
         self.bodies
     }
 
     fn step(&mut self) {
-        self.now += HOP;
+        self.now += HOP_MS;
         let now = self.now;
-        let (arrived, air) = std::mem::take(&mut self.air).into_iter().partition(|(at, ..)| *at <= now);
-        self.air = air;
+        let (arrived, in_transit) = std::mem::take(&mut self.in_transit).into_iter().partition(|(at, ..)| *at <= now);
+        self.in_transit = in_transit;
         for (_, from, to, message) in arrived {
             self.arrive(&from, &to, message);
         }
         for node in self.nodes.keys().cloned().collect::<Vec<_>>() {
             let relay = self.nodes.get_mut(&node).unwrap();
-            if relay.due().is_some_and(|due| due <= now) {
-                let messages = relay.ask(now);
+            if relay.next_due().is_some_and(|due| due <= now) {
+                let messages = relay.request_overdue(now);
                 self.send(&node, messages);
             }
         }
@@ -107,17 +108,17 @@
         let Some(relay) = self.nodes.get_mut(to) else { return };
         let messages = match message {
             Message::News(news) => {
-                let (is_new, messages) = relay.news(from, &news);
-                *self.got.entry(to.clone()).or_default() += u64::from(is_new);
+                let (is_new, messages) = relay.on_news(from, &news);
+                *self.received.entry(to.clone()).or_default() += u64::from(is_new);
                 messages
             }
             Message::Have(name) => {
-                relay.have(from, name, self.now);
+                relay.on_have(from, name, self.now);
                 Messages::new()
             }
-            Message::Want(name) => relay.want(from, &name),
+            Message::Want(name) => relay.on_want(from, &name),
             Message::Prune => {
-                relay.prune(from);
+                relay.prune_link(from);
                 Messages::new()
             }
         };
@@ -127,7 +128,7 @@
     fn send(&mut self, from: &Id, messages: Messages) {
         for (to, message) in messages {
             self.bodies += usize::from(matches!(message, Message::News(_)));
-            self.air.push((self.now + HOP, from.clone(), to, message));
+            self.in_transit.push((self.now + HOP_MS, from.clone(), to, message));
         }
     }
 }
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn the_tree_mends_itself_when_instances_are_lost() {
+fn the_tree_is_repaired_when_instances_are_lost() {
     // A tenth of the instances are lost inside the tree, before any link is
     // replaced. The names on the pruned links reveal the missing bodies, so the
     // next items still arrive everywhere exactly once.
@@ -164,23 +165,23 @@
 }
 
 #[test]
-fn a_body_that_nobody_can_give_is_given_up() {
+fn a_body_that_no_peer_can_send_is_abandoned() {
     // The peer that offered it is gone; its state must not be kept forever.
     let mut relay = Relay::default();
-    relay.linked(&id(1));
+    relay.add_link(&id(1));
     let name = crate::news::Name { origin: id(9), incarnation: Incarnation(1), sequence: 1 };
-    relay.have(&id(1), name.clone(), 0);
-    assert_eq!(relay.due(), Some(WAIT));
-    assert_eq!(relay.ask(WAIT), [(id(1), Message::Want(name))]);
-    assert_eq!(relay.ask(2 * WAIT), []);
-    assert_eq!(relay.due(), None);
+    relay.on_have(&id(1), name.clone(), 0);
+    assert_eq!(relay.next_due(), Some(BODY_TIMEOUT));
+    assert_eq!(relay.request_overdue(BODY_TIMEOUT), [(id(1), Message::Want(name))]);
+    assert_eq!(relay.request_overdue(2 * BODY_TIMEOUT), []);
+    assert_eq!(relay.next_due(), None);
 }
 
 #[test]
 fn a_flood_of_names_is_bounded() {
     let mut relay = Relay::default();
     for sequence in 1..10_000 {
-        relay.have(&id(1), crate::news::Name { origin: id(9), incarnation: Incarnation(1), sequence }, 0);
+        relay.on_have(&id(1), crate::news::Name { origin: id(9), incarnation: Incarnation(1), sequence }, 0);
     }
-    assert_eq!(relay.missing.len(), super::MISSING);
+    assert_eq!(relay.missing.len(), super::MAX_MISSING);
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -30,7 +30,7 @@
     settings::{Key, Settings},
     topic::Topic,
     traffic::Meter,
-    wire::{KEY, OVERHEAD},
+    wire::{KEY_METADATA, MAX_OVERHEAD},
 };
 
 /// Implementation of the peer service. Whatever needs the links is forwarded
@@ -48,25 +48,25 @@
 pub(crate) async fn serve(service: Service, listener: TcpListener, meter: Meter, cancel: CancellationToken) {
     let settings = service.settings.clone();
     let key = settings.key.clone();
-    let room = settings.limits.body + OVERHEAD;
-    let peer = PeerServer::new(service).max_decoding_message_size(room).max_encoding_message_size(room);
-    let checked = InterceptedService::new(peer, move |request| check(&key, request));
+    let max_size = settings.limits.body + MAX_OVERHEAD;
+    let peer = PeerServer::new(service).max_decoding_message_size(max_size).max_encoding_message_size(max_size);
+    let authenticated = InterceptedService::new(peer, move |request| check_key(&key, request));
     let incoming = TcpListenerStream::new(listener).map(move |stream| {
         let stream = stream?;
         // Nagle's algorithm would delay heartbeats.
         stream.set_nodelay(true)?;
         Ok::<_, std::io::Error>(meter.count(stream))
     });
-    let mut builder = Server::builder().http2_keepalive_interval(Some(settings.timing.heartbeat() * 10));
-    let server = builder.add_service(checked).serve_with_incoming_shutdown(incoming, cancel.cancelled_owned());
+    let mut builder = Server::builder().http2_keepalive_interval(Some(settings.timing.heartbeat_interval() * 10));
+    let server = builder.add_service(authenticated).serve_with_incoming_shutdown(incoming, cancel.cancelled_owned());
     if let Err(error) = server.await {
         tracing::error!(%error, "peer listener ended");
     }
 }
 
-fn check(key: &Key, request: Request<()>) -> Result<Request<()>, Status> {
-    let offered = request.metadata().get_bin(KEY).and_then(|value| value.to_bytes().ok());
-    if offered.is_some_and(|offered| key.is(&offered)) {
+fn check_key(key: &Key, request: Request<()>) -> Result<Request<()>, Status> {
+    let offered = request.metadata().get_bin(KEY_METADATA).and_then(|value| value.to_bytes().ok());
+    if offered.is_some_and(|offered| key.matches(&offered)) {
         return Ok(request);
     }
     metrics::counter!("peer_refused_total", "why" => "key").increment(1);
@@ -89,63 +89,63 @@
 
     async fn link(&self, request: Request<Streaming<Frame>>) -> Result<Response<Frames>, Status> {
         let mut incoming = request.into_inner();
-        let first = timeout(self.settings.timing.dial(), link::greeting_from(&mut incoming)).await;
+        let first = timeout(self.settings.timing.dial_timeout(), link::read_greeting(&mut incoming)).await;
         let greeting = first.ok().flatten();
         let greeting = greeting.ok_or_else(|| not_run(Code::FailedPrecondition, "no greeting of a known version"))?;
         let (reply, answer) = oneshot::channel();
-        self.tell(Event::Accept { greeting, incoming, reply }).await?;
+        self.send_event(Event::Accept { greeting, incoming, reply }).await?;
         match answer.await {
             Ok(Ok(frames)) => Ok(Response::new(ReceiverStream::new(frames).map(Ok as fn(_) -> _))),
             Ok(Err(refusal)) => Err(not_run(refusal.code(), refusal.message())),
-            Err(_) => Err(closing()),
+            Err(_) => Err(shutting_down()),
         }
     }
 
     async fn probe(&self, request: Request<ProbeRequest>) -> Result<Response<ProbeReply>, Status> {
-        let asked = request.into_inner().target.ok_or_else(|| not_run(Code::InvalidArgument, "no target"))?;
-        let target = Member::try_from(asked.clone()).map_err(|e| not_run(Code::InvalidArgument, e.0))?;
+        let target = request.into_inner().target.ok_or_else(|| not_run(Code::InvalidArgument, "no target"))?;
+        let target = Member::try_from(target.clone()).map_err(|e| not_run(Code::InvalidArgument, e.0))?;
         if target.instance.id == self.settings.me.id {
             let (reply, answer) = oneshot::channel();
-            self.tell(Event::Asked(target, reply)).await?;
-            let word = answer.await.map_err(|_| closing())?;
-            return Ok(Response::new(ProbeReply { member: Some((&word).into()) }));
+            self.send_event(Event::Asked(target, reply)).await?;
+            let entry = answer.await.map_err(|_| shutting_down())?;
+            return Ok(Response::new(ProbeReply { member: Some((&entry).into()) }));
         }
-        let member = timeout(self.settings.timing.dial(), probe(&self.pool, &target)).await.ok().flatten();
+        let member = timeout(self.settings.timing.dial_timeout(), probe(&self.pool, &target)).await.ok().flatten();
         Ok(Response::new(ProbeReply { member: member.as_ref().map(Into::into) }))
     }
 
     async fn call(&self, request: Request<CallRequest>) -> Result<Response<CallReply>, Status> {
         let call = request.into_inner();
-        let (from, topic) = self.admit(&call)?;
+        let (from, topic) = self.validate(&call)?;
         let (reply, answer) = oneshot::channel();
-        self.hand_over(Inbound::Call { from, topic, body: call.body, reply })?;
+        self.deliver(Inbound::Call { from, topic, body: call.body, reply })?;
         let body = answer.await.map_err(|_| Status::aborted("the owner gave no answer"))?;
-        Ok(Response::new(CallReply { body, stamp: self.pool.ticks().stamp() }))
+        Ok(Response::new(CallReply { body, stamp: self.pool.hybrid_clock().stamp() }))
     }
 
     async fn stream(&self, request: Request<CallRequest>) -> Result<Response<Self::StreamStream>, Status> {
         let call = request.into_inner();
-        let (from, topic) = self.admit(&call)?;
+        let (from, topic) = self.validate(&call)?;
         let (sink, chunks) = mpsc::channel(self.settings.limits.chunks);
-        let ticks = self.pool.ticks().clone();
-        self.hand_over(Inbound::Stream { from, topic, body: call.body, sink })?;
-        let chunks = ReceiverStream::new(chunks).map(move |body| Ok(Chunk { body, stamp: ticks.stamp() }));
+        let hybrid_clock = self.pool.hybrid_clock().clone();
+        self.deliver(Inbound::Stream { from, topic, body: call.body, sink })?;
+        let chunks = ReceiverStream::new(chunks).map(move |body| Ok(Chunk { body, stamp: hybrid_clock.stamp() }));
         Ok(Response::new(Box::pin(chunks)))
     }
 }
 
 impl Service {
-    async fn tell(&self, event: Event) -> Result<(), Status> {
-        self.events.send(event).await.map_err(|_| closing())
+    async fn send_event(&self, event: Event) -> Result<(), Status> {
+        self.events.send(event).await.map_err(|_| shutting_down())
     }
 
     /// Validates the caller, the intended run and the topic of a call.
-    fn admit(&self, call: &CallRequest) -> Result<(Id, Topic), Status> {
-        let (from, incarnation) = caller(call.caller.as_ref())?;
+    fn validate(&self, call: &CallRequest) -> Result<(Id, Topic), Status> {
+        let (from, incarnation) = parse_caller(call.caller.as_ref())?;
         let members = self.members.borrow();
         let me = &members.me;
         if me.state == State::Gone {
-            return Err(closing());
+            return Err(shutting_down());
         }
         if call.wanted != 0 && call.wanted != me.incarnation.0 {
             // The caller means an earlier run, whose in-memory state is lost.
@@ -157,46 +157,46 @@
         }
         let topic = Topic::try_from(call.topic);
         let topic = topic.map_err(|_| not_run(Code::Unimplemented, "this build does not know the topic"))?;
-        self.pool.ticks().observe(call.caller.as_ref().map_or(0, |caller| caller.stamp));
+        self.pool.hybrid_clock().observe(call.caller.as_ref().map_or(0, |caller| caller.stamp));
         Ok((from, topic))
     }
 
     /// Hands a message to the topic owners without waiting. Failing at once with
     /// a definite "not run" when the queue is full serves the caller better than
     /// an unknown outcome at its deadline.
-    fn hand_over(&self, message: Inbound) -> Result<(), Status> {
+    fn deliver(&self, message: Inbound) -> Result<(), Status> {
         self.inbound.try_send(message).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => not_run(Code::ResourceExhausted, "too many messages wait here"),
-            mpsc::error::TrySendError::Closed(_) => closing(),
+            mpsc::error::TrySendError::Closed(_) => shutting_down(),
         })
     }
 }
 
-fn caller(caller: Option<&Caller>) -> Result<(Id, u64), Status> {
+fn parse_caller(caller: Option<&Caller>) -> Result<(Id, u64), Status> {
     let caller = caller.ok_or_else(|| not_run(Code::InvalidArgument, "no caller"))?;
     let id = Id::parse(&caller.id).map_err(|_| not_run(Code::InvalidArgument, "the caller's name is no name"))?;
     Ok((id, caller.incarnation))
 }
 
-fn closing() -> Status {
+fn shutting_down() -> Status {
     not_run(Code::FailedPrecondition, "this instance is shutting down")
 }
 
 /// Asks a member for its own entry over a new connection.
 pub(crate) async fn probe(pool: &Pool, target: &Member) -> Option<Member> {
-    let client = pool.fresh(target.instance.peers).await.ok()?;
-    ask(client, pool, target).await
+    let client = pool.connect_new(target.instance.peers).await.ok()?;
+    request_entry(client, pool, target).await
 }
 
 /// Sends a peer a probe request for the entry of `target`, which may be the
 /// peer itself.
-pub(crate) async fn ask(
+pub(crate) async fn request_entry(
     mut client: crate::generated::peer_client::PeerClient<tonic::transport::Channel>,
     pool: &Pool,
     target: &Member,
 ) -> Option<Member> {
     let request = ProbeRequest { caller: Some(pool.caller()), target: Some(target.into()) };
     let reply = client.probe(pool.request(request)).await.ok()?;
-    let word = Member::try_from(reply.into_inner().member?).ok()?;
-    (word.instance.id == target.instance.id).then_some(word)
+    let entry = Member::try_from(reply.into_inner().member?).ok()?;
+    (entry.instance.id == target.instance.id).then_some(entry)
 }
--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -51,7 +51,7 @@
 
     /// Compares in constant time: otherwise an attacker could find the key
     /// byte by byte from the response times.
-    pub(crate) fn is(&self, offered: &[u8]) -> bool {
+    pub(crate) fn matches(&self, offered: &[u8]) -> bool {
         self.0.as_bytes().ct_eq(offered).into()
     }
 }
@@ -82,12 +82,12 @@
 }
 
 impl Timing {
-    pub(crate) fn heartbeat(&self) -> Duration {
+    pub(crate) fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(self.heartbeat)
     }
 
     /// Timeout for connecting and greeting; a peer that takes longer counts as silent.
-    pub(crate) fn dial(&self) -> Duration {
+    pub(crate) fn dial_timeout(&self) -> Duration {
         Duration::from_millis(self.silence / 2)
     }
 }
--- a/crates/peer/src/task.rs
+++ b/crates/peer/src/task.rs
@@ -30,26 +30,26 @@
     inbound::Inbound,
     member::Members,
     membership::Membership,
+    outbox::Digests,
     pool::Pool,
     relay::Relay,
     server::{self, Service},
     settings::Settings,
-    spread::Digests,
     traffic::Meter,
 };
 
 /// Length of the event queue. Small, because each reader waits for room: a
 /// flood delays other links' frames by no more than this many events.
-const EVENTS: usize = 64;
+const EVENT_QUEUE_LEN: usize = 64;
 /// Length of the command queue.
-const COMMANDS: usize = 256;
+const COMMAND_QUEUE_LEN: usize = 256;
 /// Maximum number of events handled before pending changes are sent.
-const ROUND: usize = 32;
+const MAX_EVENTS_PER_ROUND: usize = 32;
 /// Metric label of each state.
-const STATES: [(State, &str); 4] =
+const STATE_LABELS: [(State, &str); 4] =
     [(State::Live, "live"), (State::Suspect, "suspect"), (State::Leaving, "leaving"), (State::Gone, "gone")];
 /// Time to wait on shutdown until the links' queues are empty.
-const LAST_WORD: Duration = Duration::from_millis(200);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 pub(crate) struct Task {
     settings: Arc<Settings>,
@@ -57,16 +57,16 @@
     membership: Membership,
     members: watch::Sender<Arc<Members>>,
     links: BTreeMap<Id, links::Link>,
-    serial: u64,
+    last_serial: u64,
     digests: Digests,
     relay: Relay,
-    published: u64,
+    last_sequence: u64,
     dialling: dialling::Dialling,
     /// Membership revision that the links were last planned from; `None` forces
     /// a new plan.
-    planned: Option<u64>,
+    planned_revision: Option<u64>,
     /// Membership revision last published on `members`.
-    shown: u64,
+    shown_revision: u64,
     events: mpsc::Sender<Event>,
     inbound: mpsc::Sender<Inbound>,
     pool: Arc<Pool>,
@@ -77,8 +77,8 @@
     let address = settings.me.peers;
     let settings = Arc::new(settings);
     let pool = Arc::new(Pool::new(&settings));
-    let (events, event_queue) = mpsc::channel(EVENTS);
-    let (commands, command_queue) = mpsc::channel(COMMANDS);
+    let (events, event_queue) = mpsc::channel(EVENT_QUEUE_LEN);
+    let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE_LEN);
     let (inbound, inbound_queue) = mpsc::channel(settings.limits.inbound);
     let (members, members_seen) = watch::channel(Arc::new(Members::alone(settings.me.clone())));
     let (meter, stop, abort) = (Meter::default(), CancellationToken::new(), CancellationToken::new());
@@ -99,12 +99,12 @@
         clock,
         members,
         links: BTreeMap::new(),
-        serial: 0,
+        last_serial: 0,
         digests: Digests::default(),
         relay: Relay::default(),
-        published: 0,
-        planned: None,
-        shown: 0,
+        last_sequence: 0,
+        planned_revision: None,
+        shown_revision: 0,
         events,
         inbound,
         pool: pool.clone(),
@@ -123,68 +123,68 @@
 
 impl Task {
     async fn run(mut self, mut events: mpsc::Receiver<Event>, mut commands: mpsc::Receiver<Command>) {
-        let mut heartbeat = self.heartbeat();
+        let mut heartbeat = self.heartbeat_timer();
         self.dial_seeds();
         loop {
-            let late = self.relay.due().map(|due| self.clock.at(due));
+            let due = self.relay.next_due().map(|due| self.clock.at(due));
             tokio::select! {
-                () = sleep_until(late.unwrap_or_else(Instant::now)), if late.is_some() => self.ask_late(),
-                _ = heartbeat.tick() => self.beat(),
-                Some(event) = events.recv() => self.round(event, &mut events),
+                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => self.request_overdue_bodies(),
+                _ = heartbeat.tick() => self.on_heartbeat(),
+                Some(event) = events.recv() => self.handle_events(event, &mut events),
                 command = commands.recv() => match command {
                     // All handles are dropped, so the task could never be closed.
-                    None => return self.depart(None).await,
-                    Some(Command::Close(done)) => return self.depart(Some(done)).await,
-                    Some(command) => self.command(command),
+                    None => return self.shut_down(None).await,
+                    Some(Command::Close(done)) => return self.shut_down(Some(done)).await,
+                    Some(command) => self.handle_command(command),
                 },
             }
-            self.settle();
+            self.finish_round();
         }
     }
 
-    fn heartbeat(&self) -> Interval {
-        let mut heartbeat = interval(self.settings.timing.heartbeat());
+    fn heartbeat_timer(&self) -> Interval {
+        let mut heartbeat = interval(self.settings.timing.heartbeat_interval());
         // After a pause, one heartbeat carries everything that the missed
         // ones would have.
         heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
         heartbeat
     }
 
-    fn round(&mut self, first: Event, events: &mut mpsc::Receiver<Event>) {
-        self.event(first);
-        for _ in 1..ROUND {
+    fn handle_events(&mut self, first: Event, events: &mut mpsc::Receiver<Event>) {
+        self.handle_event(first);
+        for _ in 1..MAX_EVENTS_PER_ROUND {
             let Ok(event) = events.try_recv() else { return };
-            self.event(event);
+            self.handle_event(event);
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
-            Event::Accept { greeting, incoming, reply } => self.accept(greeting, incoming, reply),
-            Event::Dialled { address, wanted, outcome } => self.dialled(address, wanted, outcome),
-            Event::Received(source, received) => self.received(&source, received),
-            Event::Closed(source) => self.closed(&source),
+            Event::Accept { greeting, incoming, reply } => self.on_accept(greeting, incoming, reply),
+            Event::Dialled { address, wanted, outcome } => self.on_dialled(address, wanted, outcome),
+            Event::Received(source, received) => self.on_frame(&source, received),
+            Event::Closed(source) => self.on_closed(&source),
             Event::Asked(doubt, reply) => {
                 let from = self.settings.me.id.clone();
                 self.membership.merge(vec![doubt], &from, now);
                 // Fails if the peer no longer waits for the reply.
                 let _ = reply.send(self.membership.me().clone());
             }
-            Event::Probed { id, word: None } => self.membership.unvouched(&id, now),
-            Event::Probed { word: Some(word), .. } => self.membership.vouched(word, now),
+            Event::Probed { id, entry: None } => self.membership.record_probe_failure(&id, now),
+            Event::Probed { entry: Some(entry), .. } => self.membership.record_probe_success(entry, now),
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Publish(topic, body) => self.publish(topic, body),
             Command::Digest(topic, value) => self.set_digest(topic, value),
             Command::Listed(listed) => self.membership.set_listed(listed),
-            Command::Known(known) => self.dialling.know(self.membership.strangers(&known)),
+            Command::Known(known) => self.dialling.set_undiscovered(self.membership.undiscovered(&known)),
             Command::Leave(done) => {
                 self.membership.leave();
-                self.settle();
+                self.finish_round();
                 // Fails if the caller no longer waits.
                 let _ = done.send(());
             }
@@ -193,76 +193,76 @@
     }
 
     /// Runs once per heartbeat interval.
-    fn beat(&mut self) {
+    fn on_heartbeat(&mut self) {
         let now = self.clock.now();
         self.membership.tick(now);
-        self.relay.keep(|id| self.membership.get(id).is_some());
-        self.close_silent();
-        self.dial_stray();
-        self.beat_links();
+        self.relay.retain_origins(|id| self.membership.get(id).is_some());
+        self.close_silent_links();
+        self.dial_unlinked();
+        self.send_heartbeats();
         // Backoffs of peers may have ended.
-        self.planned = None;
-        self.report();
+        self.planned_revision = None;
+        self.report_metrics();
     }
 
-    fn report(&self) {
-        metrics::gauge!("peer_links").set(count(self.links.len()));
+    fn report_metrics(&self) {
+        metrics::gauge!("peer_links").set(to_f64(self.links.len()));
         let shown = self.members.borrow();
-        for (state, label) in STATES {
+        for (state, label) in STATE_LABELS {
             let members = shown.all().filter(|i| i.state == state).count();
-            metrics::gauge!("peer_members", "state" => label).set(count(members));
+            metrics::gauge!("peer_members", "state" => label).set(to_f64(members));
         }
     }
 
     /// Ends a round: performs the membership's actions, opens and closes links
     /// as planned, publishes the members and sends changes.
-    fn settle(&mut self) {
+    fn finish_round(&mut self) {
         for action in self.membership.take_actions() {
-            self.act(action);
+            self.perform(action);
         }
-        if self.planned != Some(self.membership.revision()) {
-            self.keep_links();
-            self.planned = Some(self.membership.revision());
+        if self.planned_revision != Some(self.membership.revision()) {
+            self.update_links();
+            self.planned_revision = Some(self.membership.revision());
         }
         let changes = self.membership.take_changes();
         if !changes.is_empty() {
-            self.note_changes(&changes);
+            self.queue_changes(&changes);
         }
-        self.show_members();
+        self.publish_members();
         self.flush_links();
     }
 
-    fn note_changes(&mut self, changes: &[crate::membership::Change]) {
-        let mut told: BTreeMap<Option<&Id>, BTreeSet<&Id>> = BTreeMap::new();
+    fn queue_changes(&mut self, changes: &[crate::membership::Change]) {
+        let mut changed_by_sender: BTreeMap<Option<&Id>, BTreeSet<&Id>> = BTreeMap::new();
         for change in changes {
-            told.entry(change.from.as_ref()).or_default().insert(&change.id);
+            changed_by_sender.entry(change.from.as_ref()).or_default().insert(&change.id);
         }
         for (id, link) in &mut self.links {
-            let news = told.iter().filter(|(from, _)| **from != Some(id)).flat_map(|(_, ids)| ids);
-            news.for_each(|changed| link.spread.add(changed));
+            let changed_ids = changed_by_sender.iter().filter(|(from, _)| **from != Some(id)).flat_map(|(_, ids)| ids);
+            changed_ids.for_each(|changed| link.outbox.add(changed));
         }
     }
 
-    fn show_members(&mut self) {
-        if self.shown != self.membership.revision() {
-            self.shown = self.membership.revision();
+    fn publish_members(&mut self) {
+        if self.shown_revision != self.membership.revision() {
+            self.shown_revision = self.membership.revision();
             self.members.send_replace(Arc::new(self.membership.members()));
         }
     }
 
     /// Announces that this run has ended and waits a moment for the links to
     /// send it.
-    async fn depart(mut self, done: Option<oneshot::Sender<()>>) {
-        self.membership.depart();
-        self.settle();
-        let empty = async {
-            while self.links.values().any(|link| !link.is_empty()) {
-                tokio::time::sleep(LAST_WORD / 20).await;
+    async fn shut_down(mut self, done: Option<oneshot::Sender<()>>) {
+        self.membership.end();
+        self.finish_round();
+        let drained = async {
+            while self.links.values().any(|link| !link.is_drained()) {
+                tokio::time::sleep(DRAIN_TIMEOUT / 20).await;
             }
         };
         // The peer of a link that does not drain is not reading; it will detect
         // the end by silence.
-        let _ = tokio::time::timeout(LAST_WORD, empty).await;
+        let _ = tokio::time::timeout(DRAIN_TIMEOUT, drained).await;
         if let Some(done) = done {
             // Fails if the caller no longer waits for the shutdown.
             let _ = done.send(());
@@ -274,6 +274,6 @@
     }
 }
 
-fn count(number: usize) -> f64 {
+fn to_f64(number: usize) -> f64 {
     f64::from(u32::try_from(number).unwrap_or(u32::MAX))
 }
--- a/crates/peer/src/task/dialling.rs
+++ b/crates/peer/src/task/dialling.rs
@@ -22,27 +22,27 @@
 };
 
 /// Number of seeds dialled at the start; others are tried one by one later.
-const FIRST_SEEDS: usize = 3;
+const INITIAL_SEEDS: usize = 3;
 /// Backoff, in heartbeats, for a peer that has no room for a link.
-const REST: Millis = 30;
+const NO_ROOM_BACKOFF_HEARTBEATS: Millis = 30;
 /// Maximum number of doublings of the backoff after failures.
-const DOUBLINGS: u32 = 4;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// Candidates for dialling and the backoff of each peer.
 #[derive(Debug)]
 pub(super) struct Dialling {
     heartbeat: Millis,
     seeds: Vec<SocketAddr>,
-    strangers: BTreeMap<Id, Instance>,
-    under_way: BTreeSet<SocketAddr>,
+    undiscovered: BTreeMap<Id, Instance>,
+    in_progress: BTreeSet<SocketAddr>,
     /// Addresses known to lead to this instance itself.
-    own: BTreeSet<SocketAddr>,
-    waits: BTreeMap<Id, Wait>,
+    own_addresses: BTreeSet<SocketAddr>,
+    backoffs: BTreeMap<Id, Backoff>,
     missing: BTreeMap<Id, Millis>,
 }
 
 #[derive(Debug, Default)]
-struct Wait {
+struct Backoff {
     until: Millis,
     failures: u32,
 }
@@ -52,41 +52,41 @@
         Self {
             heartbeat: settings.timing.heartbeat,
             seeds: settings.seeds.clone(),
-            strangers: BTreeMap::new(),
-            under_way: BTreeSet::new(),
-            own: BTreeSet::from([settings.me.peers]),
-            waits: BTreeMap::new(),
+            undiscovered: BTreeMap::new(),
+            in_progress: BTreeSet::new(),
+            own_addresses: BTreeSet::from([settings.me.peers]),
+            backoffs: BTreeMap::new(),
             missing: BTreeMap::new(),
         }
     }
 
     /// Replaces the instances that are named by the object API but not members.
-    pub(super) fn know(&mut self, strangers: Vec<Instance>) {
-        self.strangers = strangers.into_iter().map(|i| (i.id.clone(), i)).collect();
+    pub(super) fn set_undiscovered(&mut self, undiscovered: Vec<Instance>) {
+        self.undiscovered = undiscovered.into_iter().map(|i| (i.id.clone(), i)).collect();
     }
 
     pub(super) fn may_dial(&self, id: &Id, now: Millis) -> bool {
-        self.waits.get(id).is_none_or(|wait| wait.until <= now)
+        self.backoffs.get(id).is_none_or(|backoff| backoff.until <= now)
     }
 
     /// Starts the backoff of a peer that has no room for a link.
-    pub(super) fn rest(&mut self, id: &Id, now: Millis) {
-        self.waits.entry(id.clone()).or_default().until = now + REST * self.heartbeat;
+    pub(super) fn back_off(&mut self, id: &Id, now: Millis) {
+        self.backoffs.entry(id.clone()).or_default().until = now + NO_ROOM_BACKOFF_HEARTBEATS * self.heartbeat;
     }
 
-    pub(super) fn met(&mut self, id: &Id) {
-        self.strangers.remove(id);
-        self.waits.remove(id);
+    pub(super) fn record_linked(&mut self, id: &Id) {
+        self.undiscovered.remove(id);
+        self.backoffs.remove(id);
         self.missing.remove(id);
     }
 
-    fn failed(&mut self, id: &Id, now: Millis) {
-        let wait = self.waits.entry(id.clone()).or_default();
-        let span = self.heartbeat << wait.failures.min(DOUBLINGS);
+    fn record_failure(&mut self, id: &Id, now: Millis) {
+        let backoff = self.backoffs.entry(id.clone()).or_default();
+        let span = self.heartbeat << backoff.failures.min(MAX_BACKOFF_DOUBLINGS);
         // Jitter: otherwise all peers of a lost instance would redial it at the
         // same time.
-        wait.until = now + rand::rng().random_range(span / 2..=span);
-        wait.failures += 1;
+        backoff.until = now + rand::rng().random_range(span / 2..=span);
+        backoff.failures += 1;
     }
 
     /// Returns how long a planned link has been missing.
@@ -94,19 +94,19 @@
         now - *self.missing.entry(id.clone()).or_insert(now)
     }
 
-    pub(super) fn forget_missing(&mut self, wanted: impl Fn(&Id) -> bool) {
+    pub(super) fn retain_missing(&mut self, wanted: impl Fn(&Id) -> bool) {
         self.missing.retain(|id, _| wanted(id));
     }
 
     pub(super) fn is_idle(&self) -> bool {
-        self.under_way.is_empty()
+        self.in_progress.is_empty()
     }
 }
 
 impl Task {
     pub(super) fn dial_seeds(&mut self) {
         let seeds = self.dialling.seeds.clone();
-        for address in seeds.into_iter().choose_multiple(&mut rand::rng(), FIRST_SEEDS) {
+        for address in seeds.into_iter().choose_multiple(&mut rand::rng(), INITIAL_SEEDS) {
             self.dial(address, None);
         }
     }
@@ -114,28 +114,28 @@
     /// Dials one random address that belongs to no current member. One dial per
     /// heartbeat finds the other side of a healed partition within a few seconds
     /// and costs almost nothing otherwise.
-    pub(super) fn dial_stray(&mut self) {
+    pub(super) fn dial_unlinked(&mut self) {
         if self.is_ended() {
             return;
         }
-        let counted: BTreeSet<_> =
-            self.membership.others().filter(|m| m.is_counted()).map(|m| m.instance.peers).collect();
+        let present: BTreeSet<_> =
+            self.membership.others().filter(|m| m.is_present()).map(|m| m.instance.peers).collect();
         // Skip members that shut down deliberately: their next run will dial.
-        let lost = |m: &&Member| !m.is_counted() && m.instance.state != State::Gone;
-        let gone = self.membership.others().filter(lost).map(|m| m.instance.peers);
-        let strangers = self.dialling.strangers.values().map(|i| i.peers);
+        let is_lost = |m: &&Member| !m.is_present() && m.instance.state != State::Gone;
+        let gone = self.membership.others().filter(is_lost).map(|m| m.instance.peers);
+        let undiscovered = self.dialling.undiscovered.values().map(|i| i.peers);
         let seeds = self.dialling.seeds.iter().copied();
-        let strays = gone.chain(strangers).chain(seeds);
-        let alone = self.links.is_empty();
-        let stray = strays.filter(|a| alone || !counted.contains(a)).choose(&mut rand::rng());
-        if let Some(address) = stray {
+        let addresses = gone.chain(undiscovered).chain(seeds);
+        let no_links = self.links.is_empty();
+        let address = addresses.filter(|a| no_links || !present.contains(a)).choose(&mut rand::rng());
+        if let Some(address) = address {
             self.dial(address, None);
         }
     }
 
     /// Dials an address in a new task, with at most one dial per address at a time.
     pub(super) fn dial(&mut self, address: SocketAddr, wanted: Option<Id>) {
-        if self.dialling.own.contains(&address) || !self.dialling.under_way.insert(address) {
+        if self.dialling.own_addresses.contains(&address) || !self.dialling.in_progress.insert(address) {
             return;
         }
         let (pool, settings, events) = (self.pool.clone(), self.settings.clone(), self.events.clone());
@@ -147,12 +147,12 @@
         });
     }
 
-    pub(super) fn dialled(&mut self, address: SocketAddr, wanted: Option<Id>, outcome: Result<Opened, Failure>) {
-        self.dialling.under_way.remove(&address);
-        self.planned = None;
+    pub(super) fn on_dialled(&mut self, address: SocketAddr, wanted: Option<Id>, outcome: Result<Opened, Failure>) {
+        self.dialling.in_progress.remove(&address);
+        self.planned_revision = None;
         let now = self.clock.now();
         match outcome {
-            Ok(opened) => self.opened(address, wanted.as_ref(), opened),
+            Ok(opened) => self.on_opened(address, wanted.as_ref(), opened),
             Err(Failure::Superseded) => {
                 tracing::error!(%address, "a later run under this instance's name is known; this one ends its links");
                 self.membership.supersede();
@@ -160,10 +160,10 @@
             Err(failure) => {
                 tracing::debug!(%address, ?failure, "failed to link with peer");
                 let Some(id) = wanted else { return };
-                self.dialling.failed(&id, now);
+                self.dialling.record_failure(&id, now);
                 match failure {
-                    Failure::Unreachable => self.membership.unreachable(&id),
-                    Failure::NobodyThere => self.membership.nobody_there(&id),
+                    Failure::Unreachable => self.membership.record_unreachable(&id),
+                    Failure::NobodyThere => self.membership.record_connection_refused(&id),
                     Failure::Duplicate | Failure::Superseded | Failure::Refused => return,
                 }
                 self.membership.tick(now);
@@ -172,7 +172,7 @@
     }
 
     /// Records that an address leads to this instance itself.
-    pub(super) fn is_own(&mut self, address: SocketAddr) {
-        self.dialling.own.insert(address);
+    pub(super) fn record_own_address(&mut self, address: SocketAddr) {
+        self.dialling.own_addresses.insert(address);
     }
 }
--- a/crates/peer/src/task/links.rs
+++ b/crates/peer/src/task/links.rs
@@ -15,25 +15,25 @@
 use crate::{
     generated::Frame,
     link::{Opened, Source},
+    outbox::Outbox,
     reader,
-    spread::Spread,
     topic::Topic,
     topology,
     wire::{self, Greeting},
 };
 
 /// Heartbeats to wait for a peer that should dial before dialling it instead.
-const LATE: Millis = 3;
+const LATE_DIAL_HEARTBEATS: Millis = 3;
 
 /// An open link.
 #[derive(Debug)]
 pub(super) struct Link {
     pub(super) source: Source,
-    pub(super) spread: Spread,
+    pub(super) outbox: Outbox,
     /// Digests of the peer that are not yet handed to the topic owners.
     pub(super) digests: BTreeMap<Topic, Bytes>,
     /// Time of the last received frame.
-    pub(super) heard: Millis,
+    pub(super) last_received: Millis,
     sender: mpsc::Sender<Frame>,
     incarnation: Incarnation,
     /// Whether this instance dialled the link.
@@ -53,14 +53,14 @@
         sent
     }
 
-    pub(super) fn is_empty(&self) -> bool {
+    pub(super) fn is_drained(&self) -> bool {
         self.sender.capacity() == self.sender.max_capacity() || self.sender.is_closed()
     }
 }
 
 impl Task {
     /// Handles the greeting of a peer that dialled this instance.
-    pub(super) fn accept(
+    pub(super) fn on_accept(
         &mut self,
         greeting: Greeting,
         incoming: Streaming<Frame>,
@@ -68,7 +68,7 @@
     ) {
         let now = self.clock.now();
         let id = greeting.sender.instance.id.clone();
-        if let Err(refusal) = self.examine(&greeting, false) {
+        if let Err(refusal) = self.check_greeting(&greeting, false) {
             self.membership.merge(vec![greeting.sender], &id, now);
             // Fails if the peer no longer waits.
             let _ = reply.send(Err(refusal));
@@ -80,34 +80,34 @@
         // Cannot fail: the queue is empty.
         let _ = sender.try_send(wire::frame(answer));
         if reply.send(Ok(receiver)).is_ok() {
-            self.keep(greeting, sender, incoming, false);
+            self.add_link(greeting, sender, incoming, false);
         }
     }
 
     /// Handles the greeting of a peer that this instance dialled.
-    pub(super) fn opened(&mut self, address: SocketAddr, wanted: Option<&Id>, opened: Opened) {
+    pub(super) fn on_opened(&mut self, address: SocketAddr, wanted: Option<&Id>, opened: Opened) {
         let Opened { greeting, sender, incoming } = opened;
         let id = greeting.sender.instance.id.clone();
         if id == self.settings.me.id {
-            return self.is_own(address);
+            return self.record_own_address(address);
         }
         if let Some(wanted) = wanted.filter(|wanted| **wanted != id) {
             // Another instance now uses the address, so the wanted one is
             // not reachable there.
-            self.membership.unreachable(wanted);
+            self.membership.record_unreachable(wanted);
         }
-        if self.examine(&greeting, true).is_err() {
+        if self.check_greeting(&greeting, true).is_err() {
             return;
         }
         let full = greeting.full;
-        self.keep(greeting, sender, incoming, true);
+        self.add_link(greeting, sender, incoming, true);
         if full {
-            self.dialling.rest(&id, self.clock.now());
+            self.dialling.back_off(&id, self.clock.now());
         }
     }
 
     /// Checks whether a link with the greeting peer may be kept.
-    fn examine(&self, greeting: &Greeting, ours: bool) -> Result<(), Status> {
+    fn check_greeting(&self, greeting: &Greeting, ours: bool) -> Result<(), Status> {
         let sender = &greeting.sender.instance;
         let me = &self.membership.me().instance;
         if sender.id == me.id && sender.incarnation >= me.incarnation {
@@ -116,7 +116,7 @@
         if self.is_ended() {
             return Err(Status::unavailable("this instance is shutting down"));
         }
-        if !self.membership.admits(&greeting.sender) {
+        if !self.membership.accepts(&greeting.sender) {
             return Err(Status::aborted("a later run under this name is known"));
         }
         let Some(link) = self.links.get(&sender.id) else { return Ok(()) };
@@ -130,43 +130,51 @@
         Ok(())
     }
 
-    fn keep(&mut self, greeting: Greeting, sender: mpsc::Sender<Frame>, incoming: Streaming<Frame>, ours: bool) {
+    fn add_link(&mut self, greeting: Greeting, sender: mpsc::Sender<Frame>, incoming: Streaming<Frame>, ours: bool) {
         let now = self.clock.now();
         let incarnation = greeting.sender.instance.incarnation;
         let id = greeting.sender.instance.id.clone();
-        self.serial += 1;
-        let source = Source { id: id.clone(), serial: self.serial };
+        self.last_serial += 1;
+        let source = Source { id: id.clone(), serial: self.last_serial };
         let rate = self.settings.limits.news;
-        let reader = reader::read(incoming, source.clone(), self.events.clone(), self.clock, rate);
+        let reader = reader::spawn_reader(incoming, source.clone(), self.events.clone(), self.clock, rate);
         self.membership.merge(vec![greeting.sender], &id, now);
-        self.membership.heard(&id, now);
-        self.dialling.met(&id);
-        let spread = Spread::new(&self.membership, &self.digests);
-        let link =
-            Link { source, spread, digests: BTreeMap::new(), heard: now, sender, incarnation, ours, _reader: reader };
+        self.membership.record_frame(&id, now);
+        self.dialling.record_linked(&id);
+        let outbox = Outbox::new(&self.membership, &self.digests);
+        let link = Link {
+            source,
+            outbox,
+            digests: BTreeMap::new(),
+            last_received: now,
+            sender,
+            incarnation,
+            ours,
+            _reader: reader,
+        };
         tracing::debug!(peer = %id, link.ours, "linked");
-        self.relay.linked(&id);
+        self.relay.add_link(&id);
         self.links.insert(id, link);
-        self.planned = None;
+        self.planned_revision = None;
         // Send pending changes before the plan may close the link again, so
         // that a new instance learns the members even from a peer that has no
         // room for its link.
         self.flush_links();
     }
 
-    pub(super) fn closed(&mut self, source: &Source) {
+    pub(super) fn on_closed(&mut self, source: &Source) {
         if self.links.get(&source.id).is_some_and(|link| link.source == *source) {
             tracing::debug!(peer = %source.id, "link ended");
-            self.unlink(&source.id);
+            self.remove_link(&source.id);
             let now = self.clock.now();
-            if self.is_near(&source.id) {
+            if self.is_neighbour(&source.id) {
                 // Redial regardless of which side should: a crashed peer refuses
                 // the connection and is detected at once instead of by silence.
                 self.dial_member(&source.id, now);
             } else {
                 // The peer may have closed the link because it has no room, and
                 // would do so again and again.
-                self.dialling.rest(&source.id, now);
+                self.dialling.back_off(&source.id, now);
             }
         }
     }
@@ -174,47 +182,47 @@
     /// Closes links on which no frames arrive. The peer may have lost its side
     /// and dial again, and would be refused as a duplicate until TCP gives up
     /// the old connection.
-    pub(super) fn close_silent(&mut self) {
+    pub(super) fn close_silent_links(&mut self) {
         let now = self.clock.now();
-        let silent = |link: &&Link| now.saturating_sub(link.heard) > self.settings.timing.silence;
+        let silent = |link: &&Link| now.saturating_sub(link.last_received) > self.settings.timing.silence;
         let silent: Vec<_> = self.links.values().filter(silent).map(|link| link.source.id.clone()).collect();
         for id in silent {
             tracing::info!(peer = %id, "link closed: silent");
-            self.unlink(&id);
+            self.remove_link(&id);
         }
     }
 
-    fn unlink(&mut self, id: &Id) {
+    fn remove_link(&mut self, id: &Id) {
         self.links.remove(id);
-        self.relay.unlinked(id);
-        self.membership.unlinked(id, self.clock.now());
-        self.planned = None;
+        self.relay.remove_link(id);
+        self.membership.record_link_closed(id, self.clock.now());
+        self.planned_revision = None;
     }
 
     /// Dials and closes links as planned by the topology.
-    pub(super) fn keep_links(&mut self) {
+    pub(super) fn update_links(&mut self) {
         if self.is_ended() {
             // Peers could take frames of this run for frames of the later run.
-            let all = if self.membership.is_superseded() { self.linked() } else { Vec::new() };
-            return all.iter().for_each(|id| self.unlink(id));
+            let all = if self.membership.is_superseded() { self.linked_ids() } else { Vec::new() };
+            return all.iter().for_each(|id| self.remove_link(id));
         }
         let now = self.clock.now();
-        let linked = self.linked();
+        let linked = self.linked_ids();
         let plan = {
-            let counted = self.counted();
-            topology::plan(&self.settings.me, &counted, &linked, self.settings.limits.links)
+            let others = self.present_peers();
+            topology::plan(&self.settings.me, &others, &linked, self.settings.limits.links)
         };
         for id in &plan.close {
             tracing::debug!(peer = %id, "link closed: over the link limit");
-            self.unlink(id);
-            self.dialling.rest(id, now);
+            self.remove_link(id);
+            self.dialling.back_off(id, now);
         }
-        self.dialling.forget_missing(|id| plan.late.contains(id));
+        self.dialling.retain_missing(|id| plan.dial_later.contains(id));
         for id in &plan.dial {
             self.dial_member(id, now);
         }
-        for id in &plan.late {
-            if self.dialling.missing_for(id, now) >= LATE * self.settings.timing.heartbeat {
+        for id in &plan.dial_later {
+            if self.dialling.missing_for(id, now) >= LATE_DIAL_HEARTBEATS * self.settings.timing.heartbeat {
                 self.dial_member(id, now);
             }
         }
@@ -222,36 +230,36 @@
         if let Some(id) = chord.filter(|_| self.dialling.is_idle()) {
             self.dial_member(id, now);
         }
-        self.membership.watch(plan.watch, now);
+        self.membership.set_watched(plan.watch, now);
     }
 
     fn dial_member(&mut self, id: &Id, now: Millis) {
         if !self.dialling.may_dial(id, now) {
             return;
         }
-        let member = self.membership.get(id).filter(|m| m.is_counted());
+        let member = self.membership.get(id).filter(|m| m.is_present());
         if let Some(address) = member.map(|m| m.instance.peers) {
             self.dial(address, Some(id.clone()));
         }
     }
 
     /// Returns the names of the linked peers, oldest link first.
-    fn linked(&self) -> Vec<Id> {
+    fn linked_ids(&self) -> Vec<Id> {
         let mut links: Vec<_> = self.links.values().collect();
         links.sort_by_key(|link| link.source.serial);
         links.into_iter().map(|link| link.source.id.clone()).collect()
     }
 
-    fn counted(&self) -> Vec<&Instance> {
-        self.membership.others().filter(|m| m.is_counted()).map(|m| &m.instance).collect()
+    fn present_peers(&self) -> Vec<&Instance> {
+        self.membership.others().filter(|m| m.is_present()).map(|m| &m.instance).collect()
     }
 
-    fn is_near(&self, id: &Id) -> bool {
-        topology::is_near(&self.settings.me, &self.counted(), id, self.settings.limits.links)
+    fn is_neighbour(&self, id: &Id) -> bool {
+        topology::is_neighbour(&self.settings.me, &self.present_peers(), id, self.settings.limits.links)
     }
 
     fn is_full_for(&self, other: &Instance) -> bool {
-        let (counted, linked) = (self.counted(), self.linked());
-        !topology::has_room(&self.settings.me, &counted, &linked, other, self.settings.limits.links)
+        let (others, linked) = (self.present_peers(), self.linked_ids());
+        !topology::has_room(&self.settings.me, &others, &linked, other, self.settings.limits.links)
     }
 }
--- a/crates/peer/src/task/messages.rs
+++ b/crates/peer/src/task/messages.rs
@@ -15,39 +15,39 @@
     member::Member,
     membership::Action,
     news::{Name, News},
+    outbox::Heartbeat,
     pool::Pool,
     relay::{Message, Messages},
     server,
-    spread::Heartbeat,
     topic::Topic,
     wire,
 };
 
 /// Maximum number of peers asked to probe a silent member.
-const PROBERS: usize = 3;
+const MAX_PROBERS: usize = 3;
 
 impl Task {
-    pub(super) fn received(&mut self, source: &Source, received: Received) {
+    pub(super) fn on_frame(&mut self, source: &Source, received: Received) {
         // Ignore frames of a link that has since been replaced.
         let Some(link) = self.links.get_mut(&source.id).filter(|link| link.source == *source) else { return };
         let now = self.clock.now();
-        link.heard = now;
-        self.membership.heard(&source.id, now);
+        link.last_received = now;
+        self.membership.record_frame(&source.id, now);
         match received {
-            Received::Heartbeat(heartbeat) => self.heartbeat_from(&source.id, heartbeat),
-            Received::Message(message) => self.message_from(&source.id, message),
+            Received::Heartbeat(heartbeat) => self.on_peer_heartbeat(&source.id, heartbeat),
+            Received::Message(message) => self.on_message(&source.id, message),
             Received::Other => {}
         }
     }
 
-    fn heartbeat_from(&mut self, id: &Id, heartbeat: Heartbeat) {
+    fn on_peer_heartbeat(&mut self, id: &Id, heartbeat: Heartbeat) {
         let now = self.clock.now();
         self.membership.merge(heartbeat.members, id, now);
         let mine = self.membership.view();
         let Some(link) = self.links.get_mut(id) else { return };
-        link.spread.compare(heartbeat.view, mine);
+        link.outbox.compare_view(heartbeat.view, mine);
         if heartbeat.want_all {
-            link.spread.add_all(&self.membership);
+            link.outbox.add_all(&self.membership);
         }
         // A topic known only to a later build has no owner here.
         let known = heartbeat.digests.into_iter().filter_map(|(topic, value)| Some((topic.try_into().ok()?, value)));
@@ -66,31 +66,31 @@
         });
     }
 
-    fn message_from(&mut self, from: &Id, message: Message) {
+    fn on_message(&mut self, from: &Id, message: Message) {
         match message {
-            Message::News(news) => self.news_from(from, &news),
-            Message::Have(name) if self.is_of_now(&name) => self.relay.have(from, name, self.clock.now()),
+            Message::News(news) => self.on_news(from, &news),
+            Message::Have(name) if self.is_current(&name) => self.relay.on_have(from, name, self.clock.now()),
             Message::Have(_) => {}
             Message::Want(name) => {
-                let messages = self.relay.want(from, &name);
+                let messages = self.relay.on_want(from, &name);
                 self.send_all(messages);
             }
-            Message::Prune => self.relay.prune(from),
+            Message::Prune => self.relay.prune_link(from),
         }
     }
 
     /// Returns whether news is neither from this instance nor from a superseded run.
-    fn is_of_now(&self, name: &Name) -> bool {
+    fn is_current(&self, name: &Name) -> bool {
         let known = self.membership.get(&name.origin);
         let replaced = known.is_some_and(|m| m.instance.incarnation > name.incarnation);
         name.origin != self.settings.me.id && !replaced
     }
 
-    fn news_from(&mut self, from: &Id, news: &News) {
-        if !self.is_of_now(&news.name()) {
+    fn on_news(&mut self, from: &Id, news: &News) {
+        if !self.is_current(&news.name()) {
             return;
         }
-        let (is_new, messages) = self.relay.news(from, news);
+        let (is_new, messages) = self.relay.on_news(from, news);
         if is_new {
             self.deliver(from, news);
         }
@@ -98,8 +98,8 @@
     }
 
     /// Requests overdue news bodies. A link or instance in the tree is probably lost.
-    pub(super) fn ask_late(&mut self) {
-        let messages = self.relay.ask(self.clock.now());
+    pub(super) fn request_overdue_bodies(&mut self) {
+        let messages = self.relay.request_overdue(self.clock.now());
         self.send_all(messages);
     }
 
@@ -107,7 +107,7 @@
         // News of a topic known only to a later build is relayed but has no
         // owner here.
         let Ok(topic) = Topic::try_from(news.topic) else { return };
-        self.pool.ticks().observe(news.stamp);
+        self.pool.hybrid_clock().observe(news.stamp);
         let (origin, body) = (news.origin.clone(), news.body.clone());
         if self.inbound.try_send(Inbound::News { from: from.clone(), origin, topic, body }).is_err() {
             metrics::counter!("peer_news_dropped_total", "where" => "inbound").increment(1);
@@ -115,18 +115,18 @@
     }
 
     pub(super) fn publish(&mut self, topic: Topic, body: Bytes) {
-        self.published += 1;
+        self.last_sequence += 1;
         let me = &self.membership.me().instance;
-        let counted = self.membership.others().filter(|m| m.is_counted()).count();
+        let present = self.membership.others().filter(|m| m.is_present()).count();
         let news = News {
             origin: me.id.clone(),
             incarnation: me.incarnation,
-            sequence: self.published,
+            sequence: self.last_sequence,
             topic: topic.number(),
             body,
             hops: 0,
-            relay: self.links.len() < counted,
-            stamp: self.pool.ticks().stamp(),
+            relay: self.links.len() < present,
+            stamp: self.pool.hybrid_clock().stamp(),
         };
         let messages = self.relay.publish(&news);
         self.send_all(messages);
@@ -142,53 +142,53 @@
 
     pub(super) fn set_digest(&mut self, topic: Topic, value: Bytes) {
         if self.digests.set(topic, value) {
-            self.links.values_mut().for_each(|link| link.spread.add_digest(topic));
+            self.links.values_mut().for_each(|link| link.outbox.add_digest(topic));
         }
     }
 
     /// Sends one heartbeat on every link.
-    pub(super) fn beat_links(&mut self) {
+    pub(super) fn send_heartbeats(&mut self) {
         let ids: Vec<_> = self.links.keys().cloned().collect();
         for id in ids {
             self.hand_over_digests(&id);
-            self.beat_link(&id);
+            self.send_heartbeat(&id);
         }
     }
 
     /// Sends the pending changes of each link immediately.
     pub(super) fn flush_links(&mut self) {
-        let due: Vec<_> = self.links.iter().filter(|(_, l)| l.spread.is_due()).map(|(id, _)| id.clone()).collect();
+        let due: Vec<_> = self.links.iter().filter(|(_, l)| l.outbox.has_pending()).map(|(id, _)| id.clone()).collect();
         for id in due {
-            while self.links.get(&id).is_some_and(|link| link.spread.is_due()) && self.beat_link(&id) {}
+            while self.links.get(&id).is_some_and(|link| link.outbox.has_pending()) && self.send_heartbeat(&id) {}
         }
     }
 
-    fn beat_link(&mut self, id: &Id) -> bool {
+    fn send_heartbeat(&mut self, id: &Id) -> bool {
         let Some(link) = self.links.get_mut(id) else { return false };
-        let heartbeat = link.spread.next(&self.membership, &self.digests);
+        let heartbeat = link.outbox.next_heartbeat(&self.membership, &self.digests);
         let sent = link.send(wire::frame(heartbeat));
         if sent {
-            link.spread.sent();
+            link.outbox.mark_sent();
         }
         sent
     }
 
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn perform(&mut self, action: Action) {
         match action {
             Action::Probe(member) => self.probe(&member),
-            Action::Tell(member) => self.tell(member),
+            Action::Notify(member) => self.notify(member),
         }
     }
 
     /// Notifies a member that its entry is doubted, on its link or else on a new
     /// connection, on which it responds with its new entry.
-    fn tell(&self, member: Member) {
+    fn notify(&self, member: Member) {
         if let Some(link) = self.links.get(&member.instance.id) {
             let view = self.membership.view();
             link.send(wire::frame(Heartbeat { members: vec![member], view, ..Heartbeat::default() }));
             return;
         }
-        self.ask(member, Vec::new());
+        self.spawn_probe(member, Vec::new());
     }
 
     /// Probes a member on a new connection and through peers in different failure
@@ -196,36 +196,36 @@
     fn probe(&self, member: &Member) {
         let mut domains = BTreeSet::new();
         let linked = self.links.keys().filter(|id| **id != member.instance.id);
-        let peers = linked.filter_map(|id| self.membership.get(id)).filter(|m| m.is_counted());
-        let apart = peers.filter(|m| domains.insert(m.instance.domain.clone()));
-        let probers = apart.take(PROBERS).map(|m| m.instance.clone()).collect();
-        self.ask(member.clone(), probers);
+        let peers = linked.filter_map(|id| self.membership.get(id)).filter(|m| m.is_present());
+        let distinct = peers.filter(|m| domains.insert(m.instance.domain.clone()));
+        let probers = distinct.take(MAX_PROBERS).map(|m| m.instance.clone()).collect();
+        self.spawn_probe(member.clone(), probers);
     }
 
-    fn ask(&self, member: Member, probers: Vec<Instance>) {
+    fn spawn_probe(&self, member: Member, probers: Vec<Instance>) {
         let (pool, events) = (self.pool.clone(), self.events.clone());
-        let within = self.settings.timing.dial() * 2;
+        let max_wait = self.settings.timing.dial_timeout() * 2;
         tokio::spawn(async move {
-            let word = timeout(within, first_word(&pool, &member, &probers)).await.ok().flatten();
+            let entry = timeout(max_wait, first_entry(&pool, &member, &probers)).await.ok().flatten();
             let id = member.instance.id.clone();
             // Sending fails only if the task has ended, which needs no event.
-            let _ = events.send(Event::Probed { id, word }).await;
+            let _ = events.send(Event::Probed { id, entry }).await;
         });
     }
 }
 
 /// Returns the member's own entry from the first probe that obtains it.
-async fn first_word(pool: &Pool, member: &Member, probers: &[Instance]) -> Option<Member> {
-    let answers: FuturesUnordered<BoxFuture<'_, Option<Member>>> = FuturesUnordered::new();
-    answers.push(Box::pin(server::probe(pool, member)));
+async fn first_entry(pool: &Pool, member: &Member, probers: &[Instance]) -> Option<Member> {
+    let replies: FuturesUnordered<BoxFuture<'_, Option<Member>>> = FuturesUnordered::new();
+    replies.push(Box::pin(server::probe(pool, member)));
     for peer in probers {
-        answers.push(Box::pin(probe_through(pool, peer, member)));
+        replies.push(Box::pin(probe_through(pool, peer, member)));
     }
-    let mut words = answers.filter_map(std::future::ready);
-    words.next().await
+    let mut entries = replies.filter_map(std::future::ready);
+    entries.next().await
 }
 
 async fn probe_through(pool: &Pool, peer: &Instance, member: &Member) -> Option<Member> {
     let client = pool.client(peer).await.ok()?;
-    server::ask(client, pool, member).await
+    server::request_entry(client, pool, member).await
 }
--- a/crates/peer/src/task/tests.rs
+++ b/crates/peer/src/task/tests.rs
@@ -19,9 +19,9 @@
     pool::Pool,
 };
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Number of a topic that only a later build knows.
-const LATER: u32 = 4_000;
+const LATER_TOPIC: u32 = 4_000;
 
 fn settings(name: &str, seed: Option<&Handle>) -> Settings {
     let local = "127.0.0.1:0".parse().unwrap();
@@ -40,13 +40,13 @@
 }
 
 /// A scripted peer that is linked with a real instance.
-struct Raw {
+struct ScriptedPeer {
     pool: Arc<Pool>,
     sender: mpsc::Sender<Frame>,
     incoming: Streaming<Frame>,
 }
 
-impl Raw {
+impl ScriptedPeer {
     async fn link(name: &str, to: &Handle) -> Self {
         let settings = settings(name, None);
         let pool = Arc::new(Pool::new(&settings));
@@ -55,7 +55,7 @@
         // A later build that still understands this one.
         let greeting = pb::Greeting { version: 9, oldest: 1, sender: Some(member), full: false };
         sender.send(Frame { kind: Some(Kind::Greeting(greeting)) }).await.unwrap();
-        let mut client = pool.fresh(to.address()).await.unwrap();
+        let mut client = pool.connect_new(to.address()).await.unwrap();
         let incoming = client.link(pool.request(ReceiverStream::new(receiver))).await.unwrap().into_inner();
         Self { pool, sender, incoming }
     }
@@ -80,7 +80,7 @@
 
 async fn until_live(handle: &Handle, count: usize) {
     let mut members = handle.members();
-    let waited = timeout(PATIENCE, members.wait_for(|m| m.live().count() == count)).await;
+    let waited = timeout(TIMEOUT, members.wait_for(|m| m.live().count() == count)).await;
     assert!(matches!(waited, Ok(Ok(_))), "{:?}", handle.members().borrow());
 }
 
@@ -93,28 +93,29 @@
             }
         }
     };
-    timeout(PATIENCE, wanted).await.expect("the news arrives")
+    timeout(TIMEOUT, wanted).await.expect("the news arrives")
 }
 
 #[tokio::test]
-async fn what_a_later_build_adds_is_kept_out_of_the_way() {
+async fn unknown_additions_of_a_later_build_do_no_harm() {
     // During a rollout, two builds run side by side. The earlier build receives
     // frames, topics and digests that only the later one knows. It handles the
     // rest, keeps the link, relays the news and refuses the calls as not run.
     let (node, mut inbound) = crate::spawn(settings("a", None)).await.unwrap();
-    let raw = Raw::link("z", &node).await;
-    let mut other = Raw::link("y", &node).await;
+    let raw = ScriptedPeer::link("z", &node).await;
+    let mut other = ScriptedPeer::link("y", &node).await;
     until_live(&node, 3).await;
 
     raw.send(None).await;
-    let digests = vec![pb::Digest { topic: LATER, value: "x".into() }, pb::Digest { topic: 1, value: "17".into() }];
+    let digests =
+        vec![pb::Digest { topic: LATER_TOPIC, value: "x".into() }, pb::Digest { topic: 1, value: "17".into() }];
     raw.send(Some(Kind::Heartbeat(pb::Heartbeat { digests, ..pb::Heartbeat::default() }))).await;
-    raw.send(Some(raw.news(1, LATER, true))).await;
+    raw.send(Some(raw.news(1, LATER_TOPIC, true))).await;
     raw.send(Some(raw.news(2, Topic::Stop.number(), false))).await;
 
-    let first = timeout(PATIENCE, inbound.recv()).await.unwrap().unwrap();
+    let first = timeout(TIMEOUT, inbound.recv()).await.unwrap().unwrap();
     assert!(matches!(&first, Inbound::Digest { topic: Topic::Config, value, .. } if value == "17"), "{first:?}");
-    let second = timeout(PATIENCE, inbound.recv()).await.unwrap().unwrap();
+    let second = timeout(TIMEOUT, inbound.recv()).await.unwrap().unwrap();
     assert!(matches!(&second, Inbound::News { topic: Topic::Stop, .. }), "{second:?}");
 
     let relayed = async {
@@ -125,23 +126,23 @@
             }
         }
     };
-    assert_eq!(timeout(PATIENCE, relayed).await.unwrap(), (LATER, 1));
+    assert_eq!(timeout(TIMEOUT, relayed).await.unwrap(), (LATER_TOPIC, 1));
 
-    let call = CallRequest { caller: Some(raw.pool.caller()), topic: LATER, body: Bytes::new(), wanted: 0 };
-    let mut client = raw.pool.fresh(node.address()).await.unwrap();
+    let call = CallRequest { caller: Some(raw.pool.caller()), topic: LATER_TOPIC, body: Bytes::new(), wanted: 0 };
+    let mut client = raw.pool.connect_new(node.address()).await.unwrap();
     let status = client.call(raw.pool.request(call)).await.unwrap_err();
     assert_eq!(status.code(), Code::Unimplemented);
     assert!(!Error::from_status(&Id::parse("a").unwrap(), &status).may_have_arrived());
 }
 
 #[tokio::test]
-async fn a_flood_from_one_peer_does_not_hold_up_others() {
+async fn a_flood_from_one_peer_does_not_delay_others() {
     // One peer sends far more news than any topic owner can handle. Without a
     // rate limit all of it would be relayed and delay heartbeats of others.
     let (node, mut inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let (other, _other_inbound) = crate::spawn(settings("b", Some(&node))).await.unwrap();
     until_live(&node, 2).await;
-    let raw = Raw::link("z", &node).await;
+    let raw = ScriptedPeer::link("z", &node).await;
     let flood = tokio::spawn(async move {
         for sequence in 1.. {
             raw.send(Some(raw.news(sequence, Topic::Config.number(), true))).await;
@@ -157,13 +158,13 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_never_reads_costs_its_own_link_only() {
+async fn a_peer_that_never_reads_affects_only_its_own_link() {
     // Its queue and the connection's buffers fill up. Further frames are dropped
     // for this peer only, and the publisher never waits.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let (other, mut inbound) = crate::spawn(settings("b", Some(&node))).await.unwrap();
     until_live(&node, 2).await;
-    let _deaf = Raw::link("z", &node).await;
+    let _unreading = ScriptedPeer::link("z", &node).await;
     until_live(&node, 3).await;
     let body = Bytes::from(vec![b'x'; 64 << 10]);
     for _ in 0..100 {
@@ -179,15 +180,15 @@
     // its side. If the link were kept, the peer's next dial would be refused as
     // a duplicate.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
-    let mut raw = Raw::link("z", &node).await;
+    let mut raw = ScriptedPeer::link("z", &node).await;
     until_live(&node, 2).await;
     let ended = async { while let Ok(Some(_)) = raw.incoming.message().await {} };
-    timeout(PATIENCE, ended).await.expect("the link is closed");
+    timeout(TIMEOUT, ended).await.expect("the link is closed");
     until_live(&node, 1).await;
 }
 
 #[tokio::test]
-async fn a_connection_that_says_nothing_is_harmless() {
+async fn a_connection_without_a_greeting_is_harmless() {
     // Opened by mistake, or by a peer that hangs before it sends its greeting.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let _silent = TcpStream::connect(node.address()).await.unwrap();
--- a/crates/peer/src/topology/tests.rs
+++ b/crates/peer/src/topology/tests.rs
@@ -44,7 +44,7 @@
         for other in &plan.close {
             self.unlink(&me.id, other);
         }
-        for other in plan.dial.iter().chain(&plan.late) {
+        for other in plan.dial.iter().chain(&plan.dial_later) {
             self.link(&me.id, other);
         }
         // One chord at a time, as the task does: each changes which domain is preferred.
@@ -150,16 +150,16 @@
 }
 
 fleets! {
-    seven_are_all_linked: 7, 3, 12, 1;
-    thirteen_are_all_linked: 13, 4, 12, 1;
-    fourteen_are_just_too_many: 14, 4, 12, 2;
+    seven_form_a_full_mesh: 7, 3, 12, 1;
+    thirteen_form_a_full_mesh: 13, 4, 12, 1;
+    fourteen_exceed_a_full_mesh: 14, 4, 12, 2;
     ten_with_three_links: 10, 3, 3, 4;
     thirty_one: 31, 8, 12, 3;
     two_hundred: 200, 8, 12, 4;
 }
 
 #[test]
-fn links_stand_in_many_domains() {
+fn links_are_spread_over_domains() {
     // If one domain held most of an instance's links, its loss would cost them
     // all at once. An even share is one eighth, and twice that is allowed. The
     // limit must not leave many links unused.
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -12,8 +12,8 @@
     generated as pb,
     member::{Doubt, Member},
     news::{Name, News},
+    outbox::Heartbeat,
     relay::Message,
-    spread::Heartbeat,
 };
 
 #[cfg(test)]
@@ -22,11 +22,11 @@
 /// Protocol version of this build.
 pub const VERSION: u32 = 1;
 /// Oldest protocol version that this build understands.
-pub const OLDEST: u32 = 1;
+pub const OLDEST_VERSION: u32 = 1;
 /// Metadata key of the shared secret.
-pub(crate) const KEY: &str = "arbutuslug-key-bin";
+pub(crate) const KEY_METADATA: &str = "arbutuslug-key-bin";
 /// Maximum size of a message without its body, in bytes.
-pub(crate) const OVERHEAD: usize = 64 << 10;
+pub(crate) const MAX_OVERHEAD: usize = 64 << 10;
 
 /// An invalid message; the text names the invalid field.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,7 +39,7 @@
             id: instance.id.to_string(),
             incarnation: instance.incarnation.0,
             refutation: member.refutation,
-            state: word(instance.state).into(),
+            state: wire_state(instance.state).into(),
             domain: instance.domain.to_string(),
             callers: instance.callers.to_string(),
             peers: instance.peers.to_string(),
@@ -49,7 +49,7 @@
     }
 }
 
-fn word(state: State) -> pb::State {
+fn wire_state(state: State) -> pb::State {
     match state {
         State::Live | State::Suspect => pb::State::Live,
         State::Leaving => pb::State::Leaving,
@@ -87,16 +87,16 @@
             id: Id::parse(&wire.id).map_err(|_| Invalid("id"))?,
             incarnation: Incarnation(wire.incarnation),
             domain: wire.domain.parse().map_err(|_| Invalid("domain"))?,
-            callers: address(&wire.callers).ok_or(Invalid("callers"))?,
-            peers: address(&wire.peers).ok_or(Invalid("peers"))?,
-            operators: address(&wire.operators).ok_or(Invalid("operators"))?,
+            callers: parse_address(&wire.callers).ok_or(Invalid("callers"))?,
+            peers: parse_address(&wire.peers).ok_or(Invalid("peers"))?,
+            operators: parse_address(&wire.operators).ok_or(Invalid("operators"))?,
             state,
         };
         Ok(Self { instance, refutation: wire.refutation, doubt })
     }
 }
 
-fn address(text: &str) -> Option<SocketAddr> {
+fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
@@ -180,7 +180,7 @@
 
 impl From<Greeting> for pb::Greeting {
     fn from(greeting: Greeting) -> Self {
-        Self { version: VERSION, oldest: OLDEST, sender: Some((&greeting.sender).into()), full: greeting.full }
+        Self { version: VERSION, oldest: OLDEST_VERSION, sender: Some((&greeting.sender).into()), full: greeting.full }
     }
 }
 
@@ -188,7 +188,7 @@
     type Error = Invalid;
 
     fn try_from(wire: pb::Greeting) -> Result<Self, Invalid> {
-        if wire.version < OLDEST || wire.oldest > VERSION {
+        if wire.version < OLDEST_VERSION || wire.oldest > VERSION {
             return Err(Invalid("version"));
         }
         let sender = wire.sender.ok_or(Invalid("sender"))?.try_into()?;
--- a/crates/peer/src/wire/tests.rs
+++ b/crates/peer/src/wire/tests.rs
@@ -7,7 +7,7 @@
 use crate::{
     generated as pb,
     member::{Doubt, Member},
-    spread::Heartbeat,
+    outbox::Heartbeat,
 };
 
 /// A member as written by the first build, without refutation and doubt.
@@ -60,13 +60,13 @@
 }
 
 members! {
-    of_an_earlier_build: member() => Ok(State::Live);
-    with_a_field_of_a_later_build: OldMember { colour: Some("blue".into()), ..member() } => Ok(State::Live);
+    member_of_an_earlier_build: member() => Ok(State::Live);
+    member_with_a_field_of_a_later_build: OldMember { colour: Some("blue".into()), ..member() } => Ok(State::Live);
     // A member with an unknown state may not accept work, so it gets none.
-    with_a_state_of_a_later_build: OldMember { state: 77, ..member() } => Ok(State::Leaving);
-    without_a_state: OldMember { state: 0, ..member() } => Ok(State::Leaving);
-    without_a_name: OldMember { id: String::new(), ..member() } => Err(Invalid("id"));
-    with_a_host_name: OldMember { peers: "host:1".into(), ..member() } => Err(Invalid("peers"));
+    member_with_a_state_of_a_later_build: OldMember { state: 77, ..member() } => Ok(State::Leaving);
+    member_without_a_state: OldMember { state: 0, ..member() } => Ok(State::Leaving);
+    member_without_a_name: OldMember { id: String::new(), ..member() } => Err(Invalid("id"));
+    member_with_a_host_name: OldMember { peers: "host:1".into(), ..member() } => Err(Invalid("peers"));
 }
 
 /// Checks whether a greeting of these versions is accepted.
@@ -83,14 +83,14 @@
 }
 
 versions! {
-    this_version: 1, 1 => true;
-    a_later_one_that_understands_us: 9, 1 => true;
-    a_later_one_that_does_not: 9, 2 => false;
-    one_that_does_not_say: 0, 0 => false;
+    greeting_of_this_version: 1, 1 => true;
+    greeting_of_a_later_compatible_version: 9, 1 => true;
+    greeting_of_a_later_incompatible_version: 9, 2 => false;
+    greeting_without_a_version: 0, 0 => false;
 }
 
 #[test]
-fn a_broken_entry_is_left_out_alone() {
+fn only_the_invalid_entry_is_skipped() {
     let good = pb::Member::decode(member().encode_to_vec().as_slice()).unwrap();
     let broken = pb::Member { domain: "no domain".into(), ..good.clone() };
     let heartbeat = Heartbeat::from(pb::Heartbeat { members: vec![broken, good], ..pb::Heartbeat::default() });
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_again() {
+fn a_heartbeat_survives_a_round_trip() {
     let read = pb::Member::decode(member().encode_to_vec().as_slice()).unwrap();
     let member = Member { refutation: 4, doubt: Doubt::Gone, ..Member::try_from(read).unwrap() };
     let heartbeat = Heartbeat { members: vec![member], digests: vec![(1, "17".into())], view: 5, want_all: true };
--- a/crates/peer/tests/aggregation.rs
+++ b/crates/peer/tests/aggregation.rs
@@ -4,7 +4,7 @@
 
 use peer::{
     Members,
-    aggregation::{FAN_IN, Place, place},
+    aggregation::{FAN_IN, Position, position},
 };
 use world::instance::{Id, Incarnation, Instance, State};
 
@@ -25,21 +25,21 @@
     let all: Vec<_> = (0..size).map(|number| instance(number, domains)).collect();
     let seen_by = |me: &Instance| {
         let others = all.iter().filter(|i| i.id != me.id).map(|i| (i.id.clone(), i.clone())).collect();
-        place(&Members { me: me.clone(), others, unmet: vec![] })
+        position(&Members { me: me.clone(), others, unmet: vec![] })
     };
-    let places: BTreeMap<Id, Place> = all.iter().map(|i| (i.id.clone(), seen_by(i))).collect();
-    let roots: Vec<_> = places.iter().filter(|(_, p)| p.parent.is_none()).map(|(id, _)| id).collect();
+    let positions: BTreeMap<Id, Position> = all.iter().map(|i| (i.id.clone(), seen_by(i))).collect();
+    let roots: Vec<_> = positions.iter().filter(|(_, p)| p.parent.is_none()).map(|(id, _)| id).collect();
     assert_eq!(roots.len(), domains.min(size));
-    for (id, place) in &places {
-        assert!(place.children.len() <= FAN_IN);
-        assert!(place.children.iter().all(|child| places[child].parent.as_ref() == Some(id)));
-        if place.parent.is_none() {
-            assert_eq!(place.roots.len(), roots.len() - 1);
+    for (id, position) in &positions {
+        assert!(position.children.len() <= FAN_IN);
+        assert!(position.children.iter().all(|child| positions[child].parent.as_ref() == Some(id)));
+        if position.parent.is_none() {
+            assert_eq!(position.roots.len(), roots.len() - 1);
         }
     }
     // Each instance except the roots is the child of exactly one, so every sum
     // arrives once.
-    let children: usize = places.values().map(|p| p.children.len()).sum();
+    let children: usize = positions.values().map(|p| p.children.len()).sum();
     assert_eq!(children + roots.len(), size);
 }
 
--- a/crates/peer/tests/links.rs
+++ b/crates/peer/tests/links.rs
@@ -2,27 +2,27 @@
 
 #[path = "support/fleet.rs"]
 mod fleet;
-#[path = "support/wire.rs"]
-mod wire;
+#[path = "support/proxy.rs"]
+mod proxy;
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use fleet::{fleet, id, next, settings, spawn, until};
+use fleet::{fleet, id, next, settings, spawn, wait_until};
 use futures::StreamExt;
 use peer::{Error, Inbound, Key, Limits, Settings, Topic};
+use proxy::Proxy;
 use timeline::{Capacity, Clock, Recorder, Source};
 use tokio::net::TcpListener;
-use wire::Wire;
 use world::instance::{Incarnation, State};
 
-const WITHIN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::test]
 async fn a_call_is_answered_by_its_owner() {
     let mut nodes = fleet(2, Limits::default()).await;
     let caller = nodes[1].handle.clone();
-    let calling = tokio::spawn(async move { caller.call(&id(0), Topic::Journal, "claim".into(), WITHIN).await });
+    let calling = tokio::spawn(async move { caller.call(&id(0), Topic::Journal, "claim".into(), TIMEOUT).await });
     let (from, topic, body, reply) = next(&mut nodes[0].inbound, |message| match message {
         Inbound::Call { from, topic, body, reply } => Some((from, topic, body, reply)),
         _ => None,
@@ -44,23 +44,23 @@
     let call = |within| handle.call(&owner, Topic::Journal, Bytes::new(), within);
 
     let large = Bytes::from(vec![0; limits.body + 1]);
-    let too_large = handle.call(&owner, Topic::Journal, large, WITHIN).await.unwrap_err();
+    let too_large = handle.call(&owner, Topic::Journal, large, TIMEOUT).await.unwrap_err();
     assert!(matches!(too_large, Error::TooLarge { .. }) && !too_large.may_have_arrived(), "{too_large}");
 
-    let stranger = handle.call(&id(9), Topic::Journal, Bytes::new(), WITHIN).await;
+    let stranger = handle.call(&id(9), Topic::Journal, Bytes::new(), TIMEOUT).await;
     assert_eq!(stranger, Err(Error::Unknown(id(9))));
 
     // This call times out while it waits in the owner's queue.
     let waiting = tokio::spawn({
         let handle = handle.clone();
-        async move { handle.call(&id(0), Topic::Journal, Bytes::new(), WITHIN / 4).await }
+        async move { handle.call(&id(0), Topic::Journal, Bytes::new(), TIMEOUT / 4).await }
     });
     while nodes[0].inbound.is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 
     // The first call fills the queue.
-    let full = call(WITHIN).await.unwrap_err();
+    let full = call(TIMEOUT).await.unwrap_err();
     assert!(matches!(full, Error::Refused(..)) && !full.may_have_arrived(), "{full}");
     let unanswered = waiting.await.unwrap().unwrap_err();
     assert!(matches!(unanswered, Error::Lost(..)) && unanswered.may_have_arrived(), "{unanswered}");
@@ -69,7 +69,7 @@
     nodes[0].inbound.recv().await.unwrap();
     let calling = tokio::spawn({
         let handle = handle.clone();
-        async move { handle.call(&id(0), Topic::Journal, Bytes::new(), WITHIN).await }
+        async move { handle.call(&id(0), Topic::Journal, Bytes::new(), TIMEOUT).await }
     });
     drop(nodes[0].inbound.recv().await.unwrap());
     assert!(calling.await.unwrap().unwrap_err().may_have_arrived());
@@ -89,7 +89,7 @@
     })
     .await;
     let mut taken = 0;
-    while let Ok(Ok(())) = tokio::time::timeout(WITHIN / 20, sink.send(Bytes::from(vec![0; CHUNK]))).await {
+    while let Ok(Ok(())) = tokio::time::timeout(TIMEOUT / 20, sink.send(Bytes::from(vec![0; CHUNK]))).await {
         taken += 1;
         assert!(taken < CHUNKS, "the sender never had to wait");
     }
@@ -143,30 +143,31 @@
     let seeds = vec![node.handle.address()];
     let wrong = Settings { key: Key::new("guess"), ..settings(1, 1, seeds.clone()) };
     let stranger = spawn(wrong).await;
-    let friend = spawn(settings(2, 1, seeds)).await;
-    until(&friend.handle, |members| members.live().count() == 2).await;
+    let accepted = spawn(settings(2, 1, seeds)).await;
+    wait_until(&accepted.handle, |members| members.live().count() == 2).await;
     assert_eq!(stranger.handle.members().borrow().others.len(), 0);
     assert!(node.handle.members().borrow().get(&id(1)).is_none());
 }
 
 #[tokio::test]
-async fn a_crash_is_noticed_and_a_restart_taken_back() {
+async fn a_crash_is_detected_and_a_restart_readmitted() {
     // An instance crashes and is restarted under its name on another port. The
     // others remove it and then admit the new run.
     let nodes = fleet(4, Limits::default()).await;
     nodes[3].handle.abort();
     for node in &nodes[..3] {
-        until(&node.handle, |m| m.others[&id(3)].state == State::Gone).await;
+        wait_until(&node.handle, |m| m.others[&id(3)].state == State::Gone).await;
     }
     let again = spawn(settings(3, 2, vec![nodes[0].handle.address()])).await;
     for node in &nodes[..3] {
-        until(&node.handle, |m| m.others[&id(3)].incarnation.0 == 2 && m.others[&id(3)].state == State::Live).await;
+        wait_until(&node.handle, |m| m.others[&id(3)].incarnation.0 == 2 && m.others[&id(3)].state == State::Live)
+            .await;
     }
-    until(&again.handle, |m| m.live().count() == 4).await;
+    wait_until(&again.handle, |m| m.live().count() == 4).await;
 }
 
 #[tokio::test]
-async fn one_that_nobody_can_dial_dials_itself() {
+async fn an_instance_that_cannot_be_dialled_dials_others() {
     // The last instance's port is cut off: no data passes on connections that
     // others opened to it, nor on new ones, though it can dial out. Its links
     // fall silent and are closed; it dials the others and stays a member.
@@ -175,9 +176,9 @@
     let mut last = settings(3, 1, vec![nodes[0].handle.address()]);
     last.me.peers = outside.local_addr().unwrap();
     let inside = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let wire = Wire::open(outside, inside.local_addr().unwrap());
+    let proxy = Proxy::open(outside, inside.local_addr().unwrap());
     let (handle, mut inbound) = peer::spawn_on(inside, last).unwrap();
-    until(&handle, |m| m.live().count() == 4).await;
+    wait_until(&handle, |m| m.live().count() == 4).await;
 
     let (number, latest) = tokio::sync::watch::channel(0_u64);
     let publisher = nodes[1].handle.clone();
@@ -199,27 +200,27 @@
         }
     };
     next(&mut inbound, after(0)).await;
-    wire.freeze(true);
+    proxy.set_frozen(true);
     // From here on, news can arrive only over a new link.
     let frozen_at = *latest.borrow();
     next(&mut inbound, after(frozen_at)).await;
     publishing.abort();
     for node in &nodes {
-        until(&node.handle, |m| m.others[&id(3)].state == State::Live).await;
+        wait_until(&node.handle, |m| m.others[&id(3)].state == State::Live).await;
     }
 }
 
 #[tokio::test]
-async fn leaving_and_closing_are_told_at_once() {
+async fn leaving_and_closing_are_announced_at_once() {
     let mut nodes = fleet(3, Limits::default()).await;
     let leaving = nodes.pop().unwrap();
     leaving.handle.leave().await.unwrap();
     for node in &nodes {
-        until(&node.handle, |m| m.others[&id(2)].state == State::Leaving).await;
+        wait_until(&node.handle, |m| m.others[&id(2)].state == State::Leaving).await;
     }
     leaving.handle.close().await.unwrap();
     for node in &nodes {
-        until(&node.handle, |m| m.others[&id(2)].state == State::Gone).await;
+        wait_until(&node.handle, |m| m.others[&id(2)].state == State::Gone).await;
     }
     assert_eq!(leaving.handle.publish(Topic::Config, Bytes::new()).await, Err(Error::Closed));
 }
@@ -232,16 +233,16 @@
     let node = spawn(settings(0, 1, vec![])).await;
     let seeds = vec![node.handle.address()];
     let earlier = spawn(settings(1, 1, seeds.clone())).await;
-    until(&earlier.handle, |m| m.live().count() == 2).await;
+    wait_until(&earlier.handle, |m| m.live().count() == 2).await;
     let later = spawn(settings(1, 2, seeds)).await;
-    until(&later.handle, |m| m.live().count() == 2).await;
-    until(&earlier.handle, |m| m.me.state == State::Gone).await;
-    let refused = earlier.handle.call(&id(0), Topic::Journal, Bytes::new(), WITHIN).await.unwrap_err();
+    wait_until(&later.handle, |m| m.live().count() == 2).await;
+    wait_until(&earlier.handle, |m| m.me.state == State::Gone).await;
+    let refused = earlier.handle.call(&id(0), Topic::Journal, Bytes::new(), TIMEOUT).await.unwrap_err();
     assert!(!refused.may_have_arrived(), "{refused}");
 }
 
 #[tokio::test]
-async fn a_digest_reaches_neighbours_on_change_and_newcomers() {
+async fn a_digest_reaches_linked_peers_on_change_and_new_peers() {
     let mut node = spawn(settings(0, 1, vec![])).await;
     node.handle.set_digest(Topic::Config, "17".into()).await.unwrap();
     let mut newcomer = spawn(settings(1, 1, vec![node.handle.address()])).await;
@@ -257,7 +258,7 @@
 }
 
 /// Returns a wall clock time three seconds ahead of the other instances.
-fn ahead() -> uhlc::NTP64 {
+fn wall_clock_ahead() -> uhlc::NTP64 {
     uhlc::system_time_clock() + uhlc::NTP64::from(Duration::from_secs(3))
 }
 
@@ -271,11 +272,11 @@
 /// timeline, or an operator would see the effect before its cause.
 #[tokio::test]
 async fn effects_are_stamped_after_their_causes() {
-    let (first, second) = (recorder(0, Clock::over(ahead)), recorder(1, Clock::default()));
+    let (first, second) = (recorder(0, Clock::over(wall_clock_ahead)), recorder(1, Clock::default()));
     let mut fast = spawn(Settings { recorder: Some(first.clone()), ..settings(0, 1, Vec::new()) }).await;
     let seeds = vec![fast.handle.address()];
     let mut slow = spawn(Settings { recorder: Some(second.clone()), ..settings(1, 1, seeds) }).await;
-    until(&fast.handle, |members| members.live().count() == 2).await;
+    wait_until(&fast.handle, |members| members.live().count() == 2).await;
 
     let cause = first.clock();
     fast.handle.publish(Topic::Config, "news".into()).await.unwrap();
@@ -285,8 +286,8 @@
     // A new clock, so that only the reply can have advanced it.
     let caller = recorder(2, Clock::default());
     let third = spawn(Settings { recorder: Some(caller.clone()), ..settings(2, 1, vec![fast.handle.address()]) }).await;
-    until(&third.handle, |members| members.live().count() == 3).await;
-    let calling = tokio::spawn(async move { third.handle.call(&id(0), Topic::Journal, "q".into(), WITHIN).await });
+    wait_until(&third.handle, |members| members.live().count() == 3).await;
+    let calling = tokio::spawn(async move { third.handle.call(&id(0), Topic::Journal, "q".into(), TIMEOUT).await });
     let reply = next(&mut fast.inbound, |message| match message {
         Inbound::Call { reply, .. } => Some(reply),
         _ => None,
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -11,7 +11,7 @@
 
 /// Timeout of each wait, long enough for any of these tests. No test asserts a
 /// duration.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const DOMAINS: usize = 3;
 
 /// Short timeouts, to keep tests fast, but far above scheduling noise.
@@ -56,16 +56,16 @@
         nodes.push(spawn(Settings { limits, ..settings(place, 1, seeds) }).await);
     }
     for node in &nodes {
-        until(&node.handle, |members| members.live().count() == size).await;
+        wait_until(&node.handle, |members| members.live().count() == size).await;
     }
     nodes
 }
 
 /// Waits until an instance's view of the members satisfies a condition.
-pub async fn until(handle: &Handle, wanted: impl Fn(&Members) -> bool) -> Arc<Members> {
+pub async fn wait_until(handle: &Handle, wanted: impl Fn(&Members) -> bool) -> Arc<Members> {
     let mut members = handle.members();
-    let seen = tokio::time::timeout(PATIENCE, members.wait_for(|m| wanted(m))).await;
-    match seen {
+    let result = tokio::time::timeout(TIMEOUT, members.wait_for(|m| wanted(m))).await;
+    match result {
         Ok(Ok(members)) => members.clone(),
         _ => panic!("{:?}", handle.members().borrow()),
     }
@@ -81,5 +81,5 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, wanted).await.expect("the message arrives")
+    tokio::time::timeout(TIMEOUT, wanted).await.expect("the message arrives")
 }
--- a/crates/peer/tests/support/wire.rs
+++ b/crates/peer/tests/support/proxy.rs
@@ -9,11 +9,11 @@
     sync::watch,
 };
 
-pub struct Wire {
+pub struct Proxy {
     frozen: watch::Sender<bool>,
 }
 
-impl Wire {
+impl Proxy {
     /// Forwards every connection accepted by `listener` to `to`.
     pub fn open(listener: TcpListener, to: SocketAddr) -> Self {
         let (frozen, state) = watch::channel(false);
@@ -22,19 +22,19 @@
                 let Ok(far) = TcpStream::connect(to).await else { continue };
                 let (near_in, near_out) = tokio::io::split(near);
                 let (far_in, far_out) = tokio::io::split(far);
-                tokio::spawn(carry(near_in, far_out, state.clone()));
-                tokio::spawn(carry(far_in, near_out, state.clone()));
+                tokio::spawn(forward(near_in, far_out, state.clone()));
+                tokio::spawn(forward(far_in, near_out, state.clone()));
             }
         });
         Self { frozen }
     }
 
-    pub fn freeze(&self, frozen: bool) {
+    pub fn set_frozen(&self, frozen: bool) {
         self.frozen.send_replace(frozen);
     }
 }
 
-async fn carry(mut from: ReadHalf<TcpStream>, mut to: WriteHalf<TcpStream>, mut frozen: watch::Receiver<bool>) {
+async fn forward(mut from: ReadHalf<TcpStream>, mut to: WriteHalf<TcpStream>, mut frozen: watch::Receiver<bool>) {
     let mut buffer = [0; 8 << 10];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
         if frozen.wait_for(|frozen| !frozen).await.is_err() || to.write_all(&buffer[..read]).await.is_err() {
