--- a/crates/arbutuslugd/src/list.rs
+++ b/crates/arbutuslugd/src/list.rs
@@ -133,8 +133,8 @@
     let entries = members.iter().filter(|m| m.role == Role::Entry);
     let listed = entries.filter_map(|member| {
         let state = match member.standing {
-            Standing::Live => peer::Standing::Live,
-            Standing::Leaving => peer::Standing::Leaving,
+            Standing::Live => peer::ListedState::Live,
+            Standing::Leaving => peer::ListedState::Leaving,
         };
         Some(peer::Listed { name: member.name.parse().ok()?, state })
     });
--- a/crates/arbutuslugd/src/registry.rs
+++ b/crates/arbutuslugd/src/registry.rs
@@ -64,7 +64,7 @@
             entered = write_same(&platform, &me).await;
         }
         if let Ok(known) = read(&platform).await {
-            drop(peers.set_known(known).await);
+            drop(peers.set_named_instances(known).await);
         }
         let count = peers.members().borrow().all().count();
         let span =
--- a/crates/peer/src/handle.rs
+++ b/crates/peer/src/handle.rs
@@ -151,7 +151,7 @@
     /// # Errors
     ///
     /// [`Error::Closed`].
-    pub async fn set_known(&self, known: Vec<Instance>) -> Result<(), Error> {
+    pub async fn set_named_instances(&self, known: Vec<Instance>) -> Result<(), Error> {
         self.command(Command::Known(known)).await
     }
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -40,7 +40,7 @@
 pub use handle::Handle;
 pub use inbound::Inbound;
 pub use member::Members;
-pub use membership::{Listed, Standing};
+pub use membership::{Listed, ListedState};
 pub use settings::{Key, Limits, Settings, Timing};
 pub use topic::Topic;
 pub use traffic::Traffic;
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -30,7 +30,7 @@
     instance::{Id, Instance, State},
 };
 
-pub use list::{Listed, Standing};
+pub use list::{Listed, ListedState};
 
 use crate::{
     member::{Doubt, Member, Members},
--- a/crates/peer/src/membership/list.rs
+++ b/crates/peer/src/membership/list.rs
@@ -24,12 +24,12 @@
     /// The instance's name.
     pub name: Id,
     /// State of the instance according to the platform.
-    pub state: Standing,
+    pub state: ListedState,
 }
 
 /// State of an instance according to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ListedState {
     /// The instance is meant to run.
     Live,
     /// The instance will be shut down.
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub(super) struct List {
     /// `None` until the first list arrives.
-    entries: Option<BTreeMap<Id, Standing>>,
+    entries: Option<BTreeMap<Id, ListedState>>,
 }
 
 impl Membership {
@@ -47,7 +47,7 @@
     pub fn set_listed(&mut self, listed: Vec<Listed>) {
         let entries: BTreeMap<_, _> = listed.into_iter().map(|l| (l.name, l.state)).collect();
         let own_id = &self.me.instance.id;
-        let own_state = |entries: &BTreeMap<Id, Standing>| entries.get(own_id).copied();
+        let own_state = |entries: &BTreeMap<Id, ListedState>| entries.get(own_id).copied();
         let before = self.list.entries.as_ref().and_then(own_state);
         let after = own_state(&entries);
         self.list.entries = Some(entries);
@@ -55,7 +55,7 @@
         // Only a transition observed in this run counts: an outdated list may
         // still show the end of the previous run, and a newly started instance
         // would leave immediately.
-        if before == Some(Standing::Live) && after == Some(Standing::Leaving) {
+        if before == Some(ListedState::Live) && after == Some(ListedState::Leaving) {
             self.leave();
         }
     }
@@ -75,14 +75,14 @@
     /// Returns the names in the list that are not known as members.
     pub(super) fn unmet(&self) -> Vec<Id> {
         let entries = self.list.entries.iter().flatten();
-        let live = entries.filter(|(_, standing)| **standing == Standing::Live);
+        let live = entries.filter(|(_, state)| **state == ListedState::Live);
         live.map(|(id, _)| id).filter(|id| self.get(id).is_none()).cloned().collect()
     }
 
     /// Returns how long a suspected member has before it is removed: half the
     /// suspicion timeout if another signal than its silence confirms the failure.
     pub(super) fn removal_delay(&self, id: &Id) -> Millis {
-        let unlisted = self.list.entries.as_ref().is_some_and(|entries| entries.get(id) != Some(&Standing::Live));
+        let unlisted = self.list.entries.as_ref().is_some_and(|entries| entries.get(id) != Some(&ListedState::Live));
         let refused = self.others.get(id).is_some_and(|entry| entry.reachability == Reachability::ConnectionRefused);
         if unlisted || refused { self.timing.suspicion / CONFIRMED_DIVISOR } else { self.timing.suspicion }
     }
--- a/crates/peer/src/membership/tests.rs
+++ b/crates/peer/src/membership/tests.rs
@@ -9,7 +9,7 @@
 };
 
 use self::sim::{Sim, TIMING, id, instance};
-use super::{Listed, Membership, Standing};
+use super::{Listed, ListedState, Membership};
 use crate::member::{Doubt, Member};
 
 /// Heartbeats within which any of these faults is detected and known to all.
@@ -163,7 +163,7 @@
     membership
 }
 
-fn list(lines: &[(usize, Standing)]) -> Vec<Listed> {
+fn list(lines: &[(usize, ListedState)]) -> Vec<Listed> {
     lines.iter().map(|(place, state)| Listed { name: id(*place), state: *state }).collect()
 }
 
@@ -181,7 +181,7 @@
 fn an_outdated_list_does_not_remove_a_responding_member() {
     // The platform's list may be outdated and show a healthy run as leaving or
     // not at all. Treating it as authoritative would empty the fleet.
-    for lines in [vec![(0, Standing::Live), (1, Standing::Leaving)], vec![]] {
+    for lines in [vec![(0, ListedState::Live), (1, ListedState::Leaving)], vec![]] {
         let mut membership = pair();
         membership.set_listed(list(&lines));
         for beat in 1..100 {
@@ -195,9 +195,9 @@
 #[test]
 fn the_list_only_hastens_the_removal_of_silent_members() {
     let mut agreeing = pair();
-    agreeing.set_listed(list(&[(0, Standing::Live), (1, Standing::Leaving)]));
+    agreeing.set_listed(list(&[(0, ListedState::Live), (1, ListedState::Leaving)]));
     let mut disagreeing = pair();
-    disagreeing.set_listed(list(&[(0, Standing::Live), (1, Standing::Live)]));
+    disagreeing.set_listed(list(&[(0, ListedState::Live), (1, ListedState::Live)]));
     let alone = removal_time(pair());
     assert!(removal_time(agreeing) < alone);
     assert_eq!(removal_time(disagreeing), alone);
@@ -227,11 +227,11 @@
 fn only_a_transition_seen_in_this_run_makes_it_leave() {
     // An outdated list may still show the end of the previous run.
     let mut membership = pair();
-    membership.set_listed(list(&[(0, Standing::Leaving)]));
+    membership.set_listed(list(&[(0, ListedState::Leaving)]));
     assert_eq!(membership.me().state(), State::Live);
-    membership.set_listed(list(&[(0, Standing::Live), (9, Standing::Live)]));
+    membership.set_listed(list(&[(0, ListedState::Live), (9, ListedState::Live)]));
     assert_eq!(membership.members().unmet, [id(9)]);
-    membership.set_listed(list(&[(0, Standing::Leaving)]));
+    membership.set_listed(list(&[(0, ListedState::Leaving)]));
     assert_eq!(membership.me().state(), State::Leaving);
 }
 
