--- a/crates/peer/src/event.rs
+++ b/crates/peer/src/event.rs
@@ -24,14 +24,15 @@
         incoming: Streaming<Frame>,
         reply: oneshot::Sender<Result<mpsc::Receiver<Frame>, Status>>,
     },
-    /// An outgoing dial succeeded or failed.
+    /// An outgoing dial succeeded or failed. `wanted` is the member expected at
+    /// the address; `None` if any instance may answer there.
     Dialled { address: SocketAddr, wanted: Option<Id>, outcome: Result<Opened, Failure> },
     /// A frame arrived on a link.
     Received(Source, Received),
     /// The incoming stream of a link ended.
     Closed(Source),
-    /// A peer asked for this instance's own entry. It sent the entry as it
-    /// has it, which may carry a doubt to refute.
+    /// A peer requested this instance's own entry. It sent its copy of that
+    /// entry, which may carry a doubt for this instance to refute.
     Asked(Member, oneshot::Sender<Member>),
     /// A probe ended, with the member's own entry if it was reached.
     Probed { id: Id, entry: Option<Member> },
@@ -66,6 +67,7 @@
         Self(Instant::now())
     }
 
+    /// Converts a time of this clock to an [`Instant`].
     pub(crate) fn at(self, time: Millis) -> Instant {
         self.0 + Duration::from_millis(time)
     }
--- a/crates/peer/src/handle.rs
+++ b/crates/peer/src/handle.rs
@@ -135,7 +135,7 @@
         self.command(Command::Digest(topic, value)).await
     }
 
-    /// Updates the platform's list of instances, one of several inputs to
+    /// Sets the platform's current list of instances, one of several inputs to
     /// membership.
     ///
     /// # Errors
@@ -145,8 +145,8 @@
         self.command(Command::Listed(listed)).await
     }
 
-    /// Updates the instances named by the object API; those that are not yet
-    /// members are dialled.
+    /// Sets the instances that have entries in the platform's object API; those
+    /// that are not yet members are dialled.
     ///
     /// # Errors
     ///
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -52,8 +52,8 @@
 /// Binds the peer listener and starts connecting to other instances.
 ///
 /// Messages from peers arrive on the returned receiver. The caller has to keep
-/// reading it: when its queue is full, calls are refused as not run and news
-/// is dropped.
+/// reading it: when its queue is full, news is dropped and calls are refused
+/// with an error that says that they were not run.
 ///
 /// # Errors
 ///
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -47,7 +47,7 @@
         (self.instance.incarnation, self.refutation)
     }
 
-    /// Returns the state that results from the own entry and the doubt.
+    /// Returns the state that results from the instance's own state and the doubt.
     #[must_use]
     pub fn state(&self) -> State {
         match (self.instance.state, self.doubt) {
@@ -87,7 +87,7 @@
     pub me: Instance,
     /// The other instances, including those recently gone.
     pub others: BTreeMap<Id, Instance>,
-    /// Names in the platform's list that are not yet known as members.
+    /// Names listed as live by the platform that are not yet known as members.
     pub unmet: Vec<Id>,
 }
 
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -3,16 +3,16 @@
 //! Time is an argument, in milliseconds of the caller's own monotonic clock,
 //! so clocks of different instances are never compared. The task reports
 //! received frames and entries ([`record_frame`](Membership::record_frame),
-//! [`merge`](Membership::merge)) and calls [`tick`](Membership::tick) on every
-//! heartbeat; the results are [`Action`]s and [`Change`]s.
+//! [`merge`](Membership::merge)) and calls [`tick`](Membership::tick) at least
+//! once per heartbeat interval; the results are [`Action`]s and [`Change`]s.
 //!
 //! A watched member that falls silent is suspected, and the suspicion is
 //! gossiped. The member refutes it with a new version of its entry (a higher
-//! refutation). `Suspect` turns into `Gone` only after each receiver has waited
-//! itself: a removal reported by another instance counts as a suspicion only.
-//! Otherwise, after a partition heals, each side would remove the other's
-//! members because of stale reports, and keys' home instances would move
-//! without need.
+//! refutation). Each instance waits for the refutation itself before it turns
+//! `Suspect` into `Gone`: a removal reported by another instance counts as a
+//! suspicion only. Otherwise, after a partition heals, stale reports would make
+//! each side remove the other's members, and journal shards would move to other
+//! home instances without need.
 
 mod list;
 mod silence;
@@ -77,9 +77,10 @@
 #[derive(Debug)]
 struct Entry {
     member: Member,
-    /// Time of the last sign of life, direct or confirmed by another instance.
+    /// Time from which silence is measured: the last frame, newer entry or
+    /// successful probe, or the start of monitoring.
     last_heard: Millis,
-    /// Time of the last frame on a direct link; `None` without a working one.
+    /// Time of the last frame on a direct link; `None` if there is no working link.
     last_direct: Option<Millis>,
     /// Time of a doubt from others that was deferred because the member had
     /// just been heard directly.
@@ -90,7 +91,7 @@
     probe_state: ProbeState,
 }
 
-/// Result of connection attempts since the last sign of life.
+/// Result of the last connection attempt; `Reachable` again once the member is heard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reachability {
     Reachable,
@@ -100,7 +101,7 @@
     ConnectionRefused,
 }
 
-/// State of indirect probing of a silent member.
+/// State of probing a silent member, directly and through other peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ProbeState {
     Idle,
@@ -234,8 +235,8 @@
         self.renew_own();
     }
 
-    /// Publishes a new version of the own entry, which clears every doubt
-    /// about the previous one.
+    /// Publishes a new version of this instance's own entry, which clears every
+    /// doubt about the previous one.
     fn renew_own(&mut self) {
         self.me.refutation += 1;
         let id = self.me.instance.id.clone();
@@ -250,8 +251,7 @@
         let Some(entry) = self.others.get_mut(&id) else {
             return self.insert(received, from, now);
         };
-        // An outdated entry, such as one of an earlier run, which must not be
-        // restored.
+        // Ignore an outdated entry, such as one of an earlier run.
         if received.version() < entry.member.version() {
             return;
         }
@@ -268,8 +268,8 @@
     /// Merges another instance's entry about this instance, refuting a doubt.
     fn merge_own(&mut self, received: &Member) {
         if received.instance.incarnation > self.me.instance.incarnation {
-            // Two runs under one name would both act as home of its keys; the
-            // later run is the one that the operator intended.
+            // Two runs under one name would both act as the home instance of the
+            // same journal shards. The later run is the intended one.
             return self.supersede();
         }
         let same_run = received.instance.incarnation == self.me.instance.incarnation;
--- a/crates/peer/src/membership/list.rs
+++ b/crates/peer/src/membership/list.rs
@@ -2,8 +2,9 @@
 //! never authoritative.
 //!
 //! It is used for three things: to find names of instances that are not yet
-//! members, to notice that this instance has to leave, and to confirm that a
-//! silent member is gone. For a member that responds, only its own entry counts.
+//! members, to detect that this instance has to leave, and to shorten the wait
+//! before a silent member is removed. For a member that responds, only its own
+//! entry counts.
 
 use std::collections::BTreeMap;
 
@@ -43,7 +44,7 @@
 }
 
 impl Membership {
-    /// Updates the platform's list.
+    /// Sets the platform's current list.
     pub fn set_listed(&mut self, listed: Vec<Listed>) {
         let entries: BTreeMap<_, _> = listed.into_iter().map(|l| (l.name, l.state)).collect();
         let own_id = &self.me.instance.id;
@@ -60,9 +61,9 @@
         }
     }
 
-    /// Returns those of the instances named by the object API that are not
-    /// known, or only in an earlier run. The task dials them; they become
-    /// members once they or a peer send their entry.
+    /// Returns those of `named`, the instances that have entries in the platform's
+    /// object API, that are unknown here or known only in an earlier run. The
+    /// task dials them; they become members once they or a peer send their entry.
     #[must_use]
     pub fn undiscovered(&self, known: &[Instance]) -> Vec<Instance> {
         let is_unknown = |i: &&Instance| match self.get(&i.id) {
@@ -72,7 +73,7 @@
         known.iter().filter(|i| i.state != State::Gone).filter(is_unknown).cloned().collect()
     }
 
-    /// Returns the names in the list that are not known as members.
+    /// Returns the names listed as live that are not known as members.
     pub(super) fn unmet(&self) -> Vec<Id> {
         let entries = self.list.entries.iter().flatten();
         let live = entries.filter(|(_, state)| **state == ListedState::Live);
@@ -87,8 +88,8 @@
         if unlisted || refused { self.timing.suspicion / CONFIRMED_DIVISOR } else { self.timing.suspicion }
     }
 
-    /// Returns whether a greeting may be accepted: not if it is from an earlier
-    /// run than the known one.
+    /// Returns whether a greeting may be accepted. One from an earlier run than
+    /// the known one is not.
     #[must_use]
     pub fn accepts(&self, member: &Member) -> bool {
         let known = self.get(&member.instance.id);
--- a/crates/peer/src/membership/silence.rs
+++ b/crates/peer/src/membership/silence.rs
@@ -5,8 +5,8 @@
 use super::{Action, Membership, ProbeState, Reachability};
 use crate::member::{Doubt, Member};
 
-/// Heartbeats between two ticks above which this instance assumes that it was
-/// paused itself.
+/// If two ticks are more than this many heartbeat intervals apart, this instance
+/// assumes that it was paused itself.
 const OWN_PAUSE_HEARTBEATS: Millis = 3;
 
 impl Membership {
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Records that neither this instance nor the probed peers reached the member.
+    /// Records that neither this instance nor the peers that it asked to probe the
+    /// member reached it.
     pub fn record_probe_failure(&mut self, id: &Id, now: Millis) {
         let Some(entry) = self.others.get_mut(id) else { return };
         let unsuspected = entry.probe_state == ProbeState::ProbingUnsuspected;
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Advances the time; called once per heartbeat interval.
+    /// Advances the time. Called at least once per heartbeat interval, and after a
+    /// failed dial.
     pub fn tick(&mut self, now: Millis) {
         self.compensate_own_pause(now);
         let ids: Vec<_> = self.others.keys().cloned().collect();
@@ -114,8 +116,8 @@
         for entry in self.others.values_mut() {
             entry.last_heard = now;
             entry.reachability = Reachability::Reachable;
-            // A doubt received after the pause but before this tick must not
-            // get a time in the future.
+            // If the entry changed after the pause but before this tick, the
+            // sum would be in the future.
             entry.changed_at = (entry.changed_at + pause).min(now);
         }
     }
@@ -149,7 +151,8 @@
         match entry.probe_state {
             ProbeState::Idle | ProbeState::ProbingSuspect => self.suspect(id, now),
             // Only the direct path is broken: other peers reach the member.
-            // Suspecting it at each silence would make it refute forever.
+            // Suspecting it whenever it falls silent again would make it refute
+            // forever.
             ProbeState::Reached => {
                 entry.probe_state = ProbeState::ProbingUnsuspected;
                 self.actions.push(Action::Probe(entry.member.clone()));
--- a/crates/peer/src/membership/tests.rs
+++ b/crates/peer/src/membership/tests.rs
@@ -132,7 +132,8 @@
     }
 
     /// A whole domain is lost, so that a crashed instance's linked peers may
-    /// have crashed as well. The next ones in the ring detect it one by one.
+    /// have crashed as well. The next instances in the ring then detect the
+    /// crashes one by one.
     lost_domain(sim, 9) {
         for place in [1, 4, 7] {
             sim.kill(place);
@@ -249,10 +250,10 @@
 
 #[test]
 fn a_deferred_doubt_is_applied_when_its_member_stays_silent() {
-    // The doubt is sent only once, just after the member was heard; then its
-    // link closes or it falls silent. If the doubt were dropped, it would be
-    // missing until the views are compared: a crash took 8 s to be known
-    // everywhere.
+    // The doubt arrives once, just after the member was heard. Then the link to
+    // the member closes, or the member falls silent. If the doubt had been
+    // dropped, it would be missing until the views are compared: a crash then
+    // took 8 s to become known everywhere.
     let doubted = Member { doubt: Doubt::Suspect, ..Member::new(instance(1, 1)) };
     let mut ended = pair();
     ended.merge(vec![doubted.clone()], &id(2), 500);
--- a/crates/peer/src/membership/tests/sim.rs
+++ b/crates/peer/src/membership/tests/sim.rs
@@ -232,8 +232,8 @@
         self.nodes[one].membership.set_watched(plan.watch, self.now);
     }
 
-    /// Dials one random seed (the first two instances), removed member or
-    /// instance named by the object API.
+    /// Dials one random instance among the removed members, the seeds (the first
+    /// two instances) and the instances with entries in the object API.
     fn dial_unlinked(&mut self, one: usize) {
         let named: Vec<_> = self.nodes.iter().map(|n| n.membership.me().instance.clone()).collect();
         let node = &self.nodes[one];
--- a/crates/peer/src/outbox.rs
+++ b/crates/peer/src/outbox.rs
@@ -48,7 +48,9 @@
 pub struct Outbox {
     members: BTreeSet<Id>,
     digests: BTreeSet<Topic>,
+    /// Consecutive heartbeats of the peer with a different view hash.
     mismatches: u32,
+    /// Heartbeats until the full view may be requested again.
     cooldown: u32,
     want_all: bool,
 }
@@ -67,7 +69,7 @@
         self.members.insert(id.clone());
     }
 
-    /// Adds all entries, as the peer requested.
+    /// Adds all entries.
     pub fn add_all(&mut self, membership: &Membership) {
         let ids = membership.others().chain([membership.me()]).map(|m| m.instance.id.clone());
         self.members.extend(ids);
@@ -104,7 +106,7 @@
         self.want_all = false;
     }
 
-    /// Compares the peer's view hash with the own one and requests all entries
+    /// Compares the peer's view hash with this instance's and requests all entries
     /// if they keep differing.
     pub fn compare_view(&mut self, theirs: u64, mine: u64) {
         self.cooldown = self.cooldown.saturating_sub(1);
--- a/crates/peer/src/pool.rs
+++ b/crates/peer/src/pool.rs
@@ -30,8 +30,8 @@
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Opens and caches connections. Uses a lock instead of a task: the lock is
-/// held for a look-up only, while messages to a task and back would add a
-/// second round trip to each call.
+/// held for a look-up only, while a request to a task and its reply would delay
+/// each call.
 pub(crate) struct Pool {
     me: Instance,
     key: Key,
--- a/crates/peer/src/reader.rs
+++ b/crates/peer/src/reader.rs
@@ -14,8 +14,8 @@
 };
 
 /// Spawns a task that reads a link until it ends. Each reader waits until the
-/// event queue has room for its next event, so that a flooding peer gets no
-/// more than its turn among the others.
+/// event queue has room for its next event, so that a flooding peer cannot crowd
+/// out the others.
 pub(crate) fn spawn_reader(
     mut incoming: Streaming<Frame>,
     source: Source,
@@ -31,7 +31,7 @@
                 return;
             }
         }
-        // Sending fails only if the task has ended, which needs no event.
+        // Fails only if the task has ended, and all links with it.
         let _ = events.send(Event::Closed(source)).await;
     }))
 }
--- a/crates/peer/src/relay.rs
+++ b/crates/peer/src/relay.rs
@@ -1,12 +1,12 @@
 //! Broadcast of news in a fleet without a full mesh of links. Does no I/O.
 //!
-//! Bodies are pushed along a tree that emerges from the traffic: a link that
-//! delivers a duplicate body is pruned and carries only names from then on. If
-//! a body does not arrive in time after its name, it is requested from a link
-//! that offered the name, and that link joins the tree. This repairs the tree
-//! when an instance or link is lost. Flooding would send a body once per link;
-//! the tree sends it about once per instance (docs/design/membership.md has
-//! the figures).
+//! Bodies are pushed along a tree that emerges from the traffic, as in Plumtree:
+//! a link that delivers a duplicate body is pruned and from then on carries only
+//! the items' identifiers ([`Name`]). If a body does not arrive in time after
+//! its name, it is requested from a link that offered the name, and that link
+//! joins the tree. This repairs the tree when an instance or link is lost.
+//! Flooding would send a body once per link; the tree sends it about once per
+//! instance (docs/design/membership.md has the figures).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -54,14 +54,18 @@
     eager: BTreeSet<Id>,
     /// Linked peers outside the tree, to which only names are sent.
     lazy: BTreeSet<Id>,
+    /// Recent items, oldest first, to serve requests for their bodies.
     kept: VecDeque<News>,
     kept_bytes: usize,
+    /// Items whose names were offered and whose bodies are awaited.
     missing: BTreeMap<Name, Missing>,
 }
 
 #[derive(Debug)]
 struct Missing {
+    /// Time at which the body is requested from the next peer.
     due: Millis,
+    /// Peers that offered the item and were not yet asked for it.
     offers: VecDeque<Id>,
 }
 
@@ -150,7 +154,8 @@
     /// Requests overdue bodies, each from the next peer that offered it.
     pub fn request_overdue(&mut self, now: Millis) -> Messages {
         let is_overdue = |missing: &Missing| missing.due <= now;
-        // No peer is left to ask; the topic owner detects the loss by the digests.
+        // Give up on a body when no peer is left to request it from; the topic
+        // owner detects the loss by the digests.
         self.missing.retain(|_, missing| !is_overdue(missing) || !missing.offers.is_empty());
         let mut messages = Messages::new();
         for (name, missing) in self.missing.iter_mut().filter(|(_, missing)| is_overdue(missing)) {
--- a/crates/peer/src/relay/tests.rs
+++ b/crates/peer/src/relay/tests.rs
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_body_that_no_peer_can_send_is_abandoned() {
-    // The peer that offered it is gone; its state must not be kept forever.
+    // The peer that offered it is gone; the awaited item must not be kept forever.
     let mut relay = Relay::default();
     relay.add_link(&id(1));
     let name = crate::news::Name { origin: id(9), incarnation: Incarnation(1), sequence: 1 };
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -139,7 +139,8 @@
         self.events.send(event).await.map_err(|_| shutting_down())
     }
 
-    /// Validates the caller, the intended run and the topic of a call.
+    /// Validates the caller, the intended run and the topic of a call, and advances
+    /// the hybrid logical clock past the caller's stamp.
     fn validate(&self, call: &CallRequest) -> Result<(Id, Topic), Status> {
         let (from, incarnation) = parse_caller(call.caller.as_ref())?;
         let members = self.members.borrow();
@@ -152,7 +153,7 @@
             return Err(not_run(Code::FailedPrecondition, "this instance was started anew since"));
         }
         if members.get(&from).is_some_and(|known| known.incarnation.0 > incarnation) {
-            // A superseded run must not act under its name.
+            // The caller is a superseded run, which must make no more calls.
             return Err(not_run(Code::FailedPrecondition, "the caller was started anew since"));
         }
         let topic = Topic::try_from(call.topic);
--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -39,7 +39,8 @@
 pub struct Key(String);
 
 impl Key {
-    /// Creates a key from the unmodified text; an empty one is meant only for trials.
+    /// Creates a key from the text, which is not trimmed. An empty key gives no
+    /// protection and is meant only for trials.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(text.into())
@@ -49,8 +50,8 @@
         &self.0
     }
 
-    /// Compares in constant time: otherwise an attacker could find the key
-    /// byte by byte from the response times.
+    /// Compares in constant time; otherwise an attacker could find the key byte
+    /// by byte from the response times.
     pub(crate) fn matches(&self, offered: &[u8]) -> bool {
         self.0.as_bytes().ct_eq(offered).into()
     }
@@ -101,7 +102,7 @@
     /// Queue length in frames of each link; further frames for it are dropped.
     pub frames: usize,
     /// Queue length in messages for the topic owners; further calls are
-    /// refused as not run.
+    /// refused with an error that says that they were not run.
     pub inbound: usize,
     /// Number of chunks of one stream that the sending instance buffers.
     pub chunks: usize,
--- a/crates/peer/src/task/dialling.rs
+++ b/crates/peer/src/task/dialling.rs
@@ -1,5 +1,6 @@
-//! Dialling of peers: planned links, seeds, instances named by the object API,
-//! and removed members, which may be on the other side of a partition.
+//! Dialling of peers: planned links, seeds, instances with entries in the
+//! platform's object API, and removed members, which may be on the other side of
+//! a partition.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Replaces the instances that are named by the object API but not members.
+    /// Replaces the instances that have entries in the object API but are not members.
     pub(super) fn set_undiscovered(&mut self, undiscovered: Vec<Instance>) {
         self.undiscovered = undiscovered.into_iter().map(|i| (i.id.clone(), i)).collect();
     }
@@ -89,7 +90,7 @@
         backoff.failures += 1;
     }
 
-    /// Returns how long a planned link has been missing.
+    /// Returns how long a link that the peer should dial has been missing.
     pub(super) fn missing_for(&mut self, id: &Id, now: Millis) -> Millis {
         now - *self.missing.entry(id.clone()).or_insert(now)
     }
--- a/crates/peer/src/task/links.rs
+++ b/crates/peer/src/task/links.rs
@@ -168,7 +168,7 @@
             self.remove_link(&source.id);
             let now = self.clock.now();
             if self.is_neighbour(&source.id) {
-                // Redial regardless of which side should: a crashed peer refuses
+                // Redial, whichever side is meant to dial: a crashed peer refuses
                 // the connection and is detected at once instead of by silence.
                 self.dial_member(&source.id, now);
             } else {
@@ -202,7 +202,8 @@
     /// Dials and closes links as planned by the topology.
     pub(super) fn update_links(&mut self) {
         if self.is_ended() {
-            // Peers could take frames of this run for frames of the later run.
+            // After a later run has taken over, peers could attribute frames of
+            // this run to it.
             let all = if self.membership.is_superseded() { self.linked_ids() } else { Vec::new() };
             return all.iter().for_each(|id| self.remove_link(id));
         }
--- a/crates/peer/src/task/messages.rs
+++ b/crates/peer/src/task/messages.rs
@@ -208,7 +208,7 @@
         tokio::spawn(async move {
             let entry = timeout(max_wait, first_entry(&pool, &member, &probers)).await.ok().flatten();
             let id = member.instance.id.clone();
-            // Sending fails only if the task has ended, which needs no event.
+            // Fails only if the task has ended; nothing needs the result then.
             let _ = events.send(Event::Probed { id, entry }).await;
         });
     }
--- a/crates/peer/src/task/tests.rs
+++ b/crates/peer/src/task/tests.rs
@@ -52,7 +52,7 @@
         let pool = Arc::new(Pool::new(&settings));
         let (sender, receiver) = mpsc::channel(1_024);
         let member = pb::Member::from(&Member::new(settings.me));
-        // A later build that still understands this one.
+        // This is the greeting of a later build that still understands this one.
         let greeting = pb::Greeting { version: 9, oldest: 1, sender: Some(member), full: false };
         sender.send(Frame { kind: Some(Kind::Greeting(greeting)) }).await.unwrap();
         let mut client = pool.connect_new(to.address()).await.unwrap();
@@ -189,7 +189,8 @@
 
 #[tokio::test]
 async fn a_connection_without_a_greeting_is_harmless() {
-    // Opened by mistake, or by a peer that hangs before it sends its greeting.
+    // Such a connection is opened by mistake, or by a peer that hangs before it
+    // sends its greeting.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let _silent = TcpStream::connect(node.address()).await.unwrap();
     sleep(Duration::from_millis(10)).await;
--- a/crates/peer/src/topic.rs
+++ b/crates/peer/src/topic.rs
@@ -5,13 +5,14 @@
 pub enum Topic {
     /// Configuration changes and generations.
     Config,
-    /// Claims, bills and grants: calls to a key's home instance.
+    /// Calls to the home instance of a journal shard: claims, bills and grants.
     Journal,
-    /// Requests in flight under a key, and their responses.
+    /// Requests in flight under an idempotency key, and their responses.
     Request,
     /// Sums aggregated over instances.
     Statistics,
-    /// Model versions stopped by the guard.
+    /// Model versions stopped by the guard of rollouts, because they did worse than
+    /// their predecessors.
     Stop,
     /// Timeline events for operators.
     Timeline,
--- a/crates/peer/src/wire/tests.rs
+++ b/crates/peer/src/wire/tests.rs
@@ -10,7 +10,8 @@
     outbox::Heartbeat,
 };
 
-/// A member as written by the first build, without refutation and doubt.
+/// A member as written by other builds: without `refutation` and `doubt`, as by
+/// the first build, and optionally with a field added by a later one.
 #[derive(Clone, PartialEq, Message)]
 struct OldMember {
     #[prost(string, tag = "1")]
