--- a/crates/peer/src/event.rs
+++ b/crates/peer/src/event.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     generated::Frame,
-    link::{Failure, Opened, Received, Source},
+    link::{Failure, LinkId, Opened, Received},
     member::Member,
     wire::Greeting,
 };
@@ -28,9 +28,9 @@
     /// the address; `None` if any instance may answer there.
     Dialled { address: SocketAddr, wanted: Option<Id>, outcome: Result<Opened, Failure> },
     /// A frame arrived on a link.
-    Received(Source, Received),
+    Received(LinkId, Received),
     /// The incoming stream of a link ended.
-    Closed(Source),
+    Closed(LinkId),
     /// A peer requested this instance's own entry. It sent its copy of that
     /// entry, which may carry a doubt for this instance to refute.
     Asked(Member, oneshot::Sender<Member>),
--- a/crates/peer/src/handle.rs
+++ b/crates/peer/src/handle.rs
@@ -27,7 +27,7 @@
     Publish(Topic, Bytes),
     Digest(Topic, Bytes),
     Listed(Vec<Listed>),
-    Known(Vec<Instance>),
+    NamedInstances(Vec<Instance>),
     Leave(oneshot::Sender<()>),
     Close(oneshot::Sender<()>),
 }
@@ -151,8 +151,8 @@
     /// # Errors
     ///
     /// [`Error::Closed`].
-    pub async fn set_named_instances(&self, known: Vec<Instance>) -> Result<(), Error> {
-        self.command(Command::Known(known)).await
+    pub async fn set_named_instances(&self, named: Vec<Instance>) -> Result<(), Error> {
+        self.command(Command::NamedInstances(named)).await
     }
 
     /// Announces immediately that this instance takes no new work. Links,
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -100,10 +100,10 @@
     }
 }
 
-/// Identifies the link on which a reader received a frame.
+/// Identifier of a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Source {
-    pub(crate) id: Id,
+pub(crate) struct LinkId {
+    pub(crate) peer: Id,
     /// Distinguishes this link from earlier ones with the same peer.
     pub(crate) serial: u64,
 }
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -232,12 +232,12 @@
             return;
         }
         self.me.instance.state = state;
-        self.renew_own();
+        self.renew_own_entry();
     }
 
     /// Publishes a new version of this instance's own entry, which clears every
     /// doubt about the previous one.
-    fn renew_own(&mut self) {
+    fn renew_own_entry(&mut self) {
         self.me.refutation += 1;
         let id = self.me.instance.id.clone();
         self.record_change(&id, None);
@@ -245,7 +245,7 @@
 
     fn merge_entry(&mut self, received: Member, from: Option<&Id>, now: Millis) {
         if received.instance.id == self.me.instance.id {
-            return self.merge_own(&received);
+            return self.merge_own_entry(&received);
         }
         let id = received.instance.id.clone();
         let Some(entry) = self.others.get_mut(&id) else {
@@ -266,7 +266,7 @@
     }
 
     /// Merges another instance's entry about this instance, refuting a doubt.
-    fn merge_own(&mut self, received: &Member) {
+    fn merge_own_entry(&mut self, received: &Member) {
         if received.instance.incarnation > self.me.instance.incarnation {
             // Two runs under one name would both act as the home instance of the
             // same journal shards. The later run is the intended one.
@@ -276,7 +276,7 @@
         let doubted = received.doubt != Doubt::None && received.refutation >= self.me.refutation;
         if same_run && (doubted || received.refutation > self.me.refutation) {
             self.me.refutation = received.refutation;
-            self.renew_own();
+            self.renew_own_entry();
         }
     }
 
@@ -304,7 +304,7 @@
             entry.deferred_doubt = Some(now);
             return self.notify(id);
         }
-        entry.doubt(now);
+        entry.mark_suspect(now);
         self.record_change(id, from);
     }
 
@@ -349,7 +349,7 @@
         }
     }
 
-    fn doubt(&mut self, now: Millis) {
+    fn mark_suspect(&mut self, now: Millis) {
         self.member.doubt = Doubt::Suspect;
         self.deferred_doubt = None;
         self.changed_at = now;
--- a/crates/peer/src/membership/list.rs
+++ b/crates/peer/src/membership/list.rs
@@ -65,12 +65,12 @@
     /// object API, that are unknown here or known only in an earlier run. The
     /// task dials them; they become members once they or a peer send their entry.
     #[must_use]
-    pub fn undiscovered(&self, known: &[Instance]) -> Vec<Instance> {
+    pub fn undiscovered(&self, named: &[Instance]) -> Vec<Instance> {
         let is_unknown = |i: &&Instance| match self.get(&i.id) {
             None => true,
             Some(member) => i.incarnation > member.instance.incarnation,
         };
-        known.iter().filter(|i| i.state != State::Gone).filter(is_unknown).cloned().collect()
+        named.iter().filter(|i| i.state != State::Gone).filter(is_unknown).cloned().collect()
     }
 
     /// Returns the names listed as live that are not known as members.
--- a/crates/peer/src/membership/silence.rs
+++ b/crates/peer/src/membership/silence.rs
@@ -49,24 +49,24 @@
         let Some(entry) = self.others.get_mut(id) else { return };
         let Some(doubted_at) = entry.deferred_doubt else { return };
         if entry.last_direct.is_none() || now.saturating_sub(doubted_at) > validity {
-            entry.doubt(now);
+            entry.mark_suspect(now);
             self.record_change(id, None);
         }
     }
 
     /// Records that connecting to the member failed; it now counts as silent.
     pub fn record_unreachable(&mut self, id: &Id) {
-        self.set_unreachable(id, Reachability::Unreachable);
+        self.set_reachability(id, Reachability::Unreachable);
     }
 
     /// Records that no process listens at the member's address. Its process has
     /// most likely ended rather than paused, so the wait for a refutation is
     /// shorter.
     pub fn record_connection_refused(&mut self, id: &Id) {
-        self.set_unreachable(id, Reachability::ConnectionRefused);
+        self.set_reachability(id, Reachability::ConnectionRefused);
     }
 
-    fn set_unreachable(&mut self, id: &Id, reachability: Reachability) {
+    fn set_reachability(&mut self, id: &Id, reachability: Reachability) {
         if let Some(entry) = self.others.get_mut(id) {
             entry.last_direct = None;
             entry.reachability = reachability;
@@ -101,7 +101,7 @@
         self.compensate_own_pause(now);
         let ids: Vec<_> = self.others.keys().cloned().collect();
         for id in ids {
-            self.tick_one(&id, now);
+            self.check_member(&id, now);
         }
     }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    fn tick_one(&mut self, id: &Id, now: Millis) {
+    fn check_member(&mut self, id: &Id, now: Millis) {
         self.apply_deferred_doubt(id, now);
         let Some(entry) = self.others.get(id) else { return };
         let age = now.saturating_sub(entry.changed_at);
@@ -166,7 +166,7 @@
         if entry.member.doubt != Doubt::None || entry.member.instance.state == State::Gone {
             return;
         }
-        entry.doubt(now);
+        entry.mark_suspect(now);
         entry.probe_state = ProbeState::ProbingSuspect;
         self.actions.push(Action::Probe(entry.member.clone()));
         self.record_change(id, None);
--- a/crates/peer/src/membership/tests.rs
+++ b/crates/peer/src/membership/tests.rs
@@ -135,8 +135,8 @@
     /// have crashed as well. The next instances in the ring then detect the
     /// crashes one by one.
     lost_domain(sim, 9) {
-        for place in [1, 4, 7] {
-            sim.kill(place);
+        for index in [1, 4, 7] {
+            sim.kill(index);
         }
         sim.run(3 * DETECTION_HEARTBEATS);
         assert_eq!(sim.disagreement(), None);
@@ -165,7 +165,7 @@
 }
 
 fn list(lines: &[(usize, ListedState)]) -> Vec<Listed> {
-    lines.iter().map(|(place, state)| Listed { name: id(*place), state: *state }).collect()
+    lines.iter().map(|(index, state)| Listed { name: id(*index), state: *state }).collect()
 }
 
 /// Returns the time at which the silent `i1` is removed.
@@ -244,8 +244,8 @@
     let doubted = Member { doubt: Doubt::Gone, ..Member::new(instance(1, 1)) };
     membership.merge(vec![doubted.clone()], &id(2), 500);
     assert_eq!(membership.get(&id(1)).unwrap().state(), State::Live);
-    let told = Member { doubt: Doubt::Suspect, ..doubted };
-    assert_eq!(membership.take_actions(), [super::Action::Notify(told)]);
+    let notified = Member { doubt: Doubt::Suspect, ..doubted };
+    assert_eq!(membership.take_actions(), [super::Action::Notify(notified)]);
 }
 
 #[test]
--- a/crates/peer/src/membership/tests/schedule.rs
+++ b/crates/peer/src/membership/tests/schedule.rs
@@ -41,26 +41,26 @@
             sim.cuts.insert((one, other));
         }
         Fault::Partition(first) => {
-            let (ones, others): (Vec<_>, Vec<_>) = (0..SIZE).partition(|place| *place < first);
+            let (ones, others): (Vec<_>, Vec<_>) = (0..SIZE).partition(|index| *index < first);
             sim.partition_groups(&ones, &others);
         }
         Fault::Heal => sim.cuts.clear(),
-        Fault::Kill(place) => sim.kill(place),
-        Fault::Restart(place) => sim.restart(place),
-        Fault::Pause(place) => sim.nodes[place].paused = true,
-        Fault::Resume(place) => sim.nodes[place].paused = false,
-        Fault::Leave(place) if sim.nodes[place].is_running() => sim.nodes[place].membership.leave(),
+        Fault::Kill(index) => sim.kill(index),
+        Fault::Restart(index) => sim.restart(index),
+        Fault::Pause(index) => sim.nodes[index].paused = true,
+        Fault::Resume(index) => sim.nodes[index].paused = false,
+        Fault::Leave(index) if sim.nodes[index].is_running() => sim.nodes[index].membership.leave(),
         Fault::Leave(_) => {}
     }
 }
 
 /// Runs 64 fixed cases by default, or `PROPTEST_CASES` random ones if set.
 fn config() -> ProptestConfig {
-    let asked = ProptestConfig { failure_persistence: None, ..ProptestConfig::default() };
+    let base = ProptestConfig { failure_persistence: None, ..ProptestConfig::default() };
     if std::env::var_os("PROPTEST_CASES").is_some() {
-        return asked;
+        return base;
     }
-    ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(7), ..asked }
+    ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(7), ..base }
 }
 
 proptest! {
@@ -81,6 +81,6 @@
         sim.nodes.iter_mut().for_each(|node| node.paused = false);
         sim.run(2 * CONVERGENCE_HEARTBEATS);
         prop_assert_eq!(sim.disagreement(), None);
-        prop_assert!((0..SIZE).all(|place| sim.links(place) <= limit.max(SIZE - 1)));
+        prop_assert!((0..SIZE).all(|index| sim.links(index) <= limit.max(SIZE - 1)));
     }
 }
--- a/crates/peer/src/membership/tests/sim.rs
+++ b/crates/peer/src/membership/tests/sim.rs
@@ -47,20 +47,20 @@
     backoffs: BTreeMap<usize, Millis>,
 }
 
-pub fn id(place: usize) -> Id {
-    Id::parse(&format!("i{place}")).unwrap()
+pub fn id(index: usize) -> Id {
+    Id::parse(&format!("i{index}")).unwrap()
 }
 
-pub fn place(id: &Id) -> usize {
+pub fn index(id: &Id) -> usize {
     id.as_str()[1..].parse().unwrap()
 }
 
-pub fn instance(place: usize, incarnation: u64) -> Instance {
-    let address = format!("127.0.0.1:{}", 1_000 + place).parse().unwrap();
+pub fn instance(index: usize, incarnation: u64) -> Instance {
+    let address = format!("127.0.0.1:{}", 1_000 + index).parse().unwrap();
     Instance {
-        id: id(place),
+        id: id(index),
         incarnation: Incarnation(incarnation),
-        domain: format!("d{}", place % DOMAINS).parse().unwrap(),
+        domain: format!("d{}", index % DOMAINS).parse().unwrap(),
         callers: address,
         peers: address,
         operators: address,
@@ -69,8 +69,8 @@
 }
 
 impl Node {
-    fn new(place: usize, incarnation: u64, now: Millis) -> Self {
-        let membership = Membership::new(instance(place, incarnation), TIMING, now);
+    fn new(index: usize, incarnation: u64, now: Millis) -> Self {
+        let membership = Membership::new(instance(index, incarnation), TIMING, now);
         Self { membership, up: true, paused: false, outboxes: BTreeMap::new(), backoffs: BTreeMap::new() }
     }
 
@@ -86,7 +86,7 @@
 impl Sim {
     /// Creates a fleet and runs it until the links are stable.
     pub fn new(size: usize, limit: usize, seed: u64) -> Self {
-        let nodes = (0..size).map(|place| Node::new(place, 1, 0)).collect();
+        let nodes = (0..size).map(|index| Node::new(index, 1, 0)).collect();
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let mut sim = Self { now: 0, nodes, cuts: BTreeSet::new(), cut_steps: BTreeMap::new(), limit, rng };
         sim.run(20);
@@ -106,15 +106,15 @@
         }
     }
 
-    pub fn kill(&mut self, place: usize) {
-        self.nodes[place].up = false;
-        self.unlink_all(place);
+    pub fn kill(&mut self, index: usize) {
+        self.nodes[index].up = false;
+        self.unlink_all(index);
     }
 
-    pub fn restart(&mut self, place: usize) {
-        let incarnation = self.nodes[place].membership.me().instance.incarnation.0 + 1;
-        self.unlink_all(place);
-        self.nodes[place] = Node::new(place, incarnation, self.now);
+    pub fn restart(&mut self, index: usize) {
+        let incarnation = self.nodes[index].membership.me().instance.incarnation.0 + 1;
+        self.unlink_all(index);
+        self.nodes[index] = Node::new(index, incarnation, self.now);
     }
 
     /// Returns a description of the first instance, neither down nor paused,
@@ -124,7 +124,7 @@
         for node in self.nodes.iter().filter(|n| n.is_running()) {
             let members = node.membership.members();
             let present = members.all().filter(|i| i.state != State::Gone);
-            let seen: BTreeMap<_, _> = present.map(|i| (place(&i.id), (i.incarnation, i.state))).collect();
+            let seen: BTreeMap<_, _> = present.map(|i| (index(&i.id), (i.incarnation, i.state))).collect();
             let expected: BTreeMap<_, _> = up.iter().map(|p| (*p, self.own_entry(*p))).collect();
             if seen != expected {
                 return Some(format!("{}: {seen:?} and not {expected:?}", members.me.id));
@@ -133,25 +133,25 @@
         None
     }
 
-    pub fn links(&self, place: usize) -> usize {
-        self.nodes[place].outboxes.len()
+    pub fn links(&self, index: usize) -> usize {
+        self.nodes[index].outboxes.len()
     }
 
-    fn own_entry(&self, place: usize) -> (Incarnation, State) {
-        let me = &self.nodes[place].membership.me().instance;
+    fn own_entry(&self, index: usize) -> (Incarnation, State) {
+        let me = &self.nodes[index].membership.me().instance;
         (me.incarnation, me.state)
     }
 
     fn step(&mut self) {
         self.now += TIMING.heartbeat;
         self.break_links();
-        for place in 0..self.nodes.len() {
-            if self.nodes[place].is_running() {
-                self.nodes[place].membership.tick(self.now);
-                self.perform_actions(place);
-                self.update_links(place);
-                self.dial_unlinked(place);
-                self.send_heartbeats(place);
+        for index in 0..self.nodes.len() {
+            if self.nodes[index].is_running() {
+                self.nodes[index].membership.tick(self.now);
+                self.perform_actions(index);
+                self.update_links(index);
+                self.dial_unlinked(index);
+                self.send_heartbeats(index);
             }
         }
     }
@@ -203,9 +203,9 @@
         self.cut_steps.remove(&(other, one));
     }
 
-    fn unlink_all(&mut self, place: usize) {
+    fn unlink_all(&mut self, index: usize) {
         for other in 0..self.nodes.len() {
-            self.unlink(place, other);
+            self.unlink(index, other);
         }
     }
 
@@ -215,17 +215,17 @@
         let present: Vec<&Instance> =
             node.membership.others().filter(|m| m.is_present()).map(|m| &m.instance).collect();
         let plan = topology::plan(&node.membership.me().instance, &present, &linked, self.limit);
-        for other in plan.close.iter().map(place) {
+        for other in plan.close.iter().map(index) {
             self.unlink(one, other);
             self.nodes[one].backoffs.insert(other, self.now + BACKOFF);
         }
         for other in plan.dial.iter().chain(&plan.dial_later) {
-            if !self.link(one, place(other)) {
+            if !self.link(one, index(other)) {
                 self.nodes[one].membership.record_unreachable(other);
             }
         }
-        let may_dial = |id: &&Id| self.nodes[one].backoffs.get(&place(id)).is_none_or(|until| *until <= self.now);
-        if let Some(other) = plan.chords.iter().find(may_dial).map(place) {
+        let may_dial = |id: &&Id| self.nodes[one].backoffs.get(&index(id)).is_none_or(|until| *until <= self.now);
+        if let Some(other) = plan.chords.iter().find(may_dial).map(index) {
             self.link(one, other);
             self.nodes[one].backoffs.insert(other, self.now + BACKOFF);
         }
@@ -237,9 +237,9 @@
     fn dial_unlinked(&mut self, one: usize) {
         let named: Vec<_> = self.nodes.iter().map(|n| n.membership.me().instance.clone()).collect();
         let node = &self.nodes[one];
-        let gone = node.membership.others().filter(|m| !m.is_present()).map(|m| place(&m.instance.id));
+        let gone = node.membership.others().filter(|m| !m.is_present()).map(|m| index(&m.instance.id));
         let seeds = (0..2).filter(|p| node.outboxes.is_empty() || node.state_of(*p) == State::Gone);
-        let undiscovered = node.membership.undiscovered(&named).into_iter().map(|i| place(&i.id));
+        let undiscovered = node.membership.undiscovered(&named).into_iter().map(|i| index(&i.id));
         if let Some(other) = gone.chain(seeds).chain(undiscovered).choose(&mut self.rng) {
             self.link(one, other);
         }
@@ -247,8 +247,8 @@
 
     fn perform_actions(&mut self, one: usize) {
         for action in self.nodes[one].membership.take_actions() {
-            let (Action::Probe(doubt) | Action::Notify(doubt)) = &action;
-            let target = place(&doubt.instance.id);
+            let (Action::Probe(doubted) | Action::Notify(doubted)) = &action;
+            let target = index(&doubted.instance.id);
             let through = self.nodes[one].outboxes.keys().copied().take(MAX_PROBERS);
             let probers: Vec<usize> = std::iter::once(one).chain(through).collect();
             let reached = probers.into_iter().any(|via| {
@@ -257,11 +257,11 @@
             });
             if reached {
                 let subject = &mut self.nodes[target].membership;
-                subject.merge(vec![doubt.clone()], &id(one), self.now);
+                subject.merge(vec![doubted.clone()], &id(one), self.now);
                 let entry = subject.me().clone();
                 self.nodes[one].membership.record_probe_success(entry, self.now);
             } else {
-                self.nodes[one].membership.record_probe_failure(&doubt.instance.id, self.now);
+                self.nodes[one].membership.record_probe_failure(&doubted.instance.id, self.now);
             }
         }
     }
@@ -269,7 +269,7 @@
     /// Sends all pending changes on every link, at least one heartbeat each.
     fn send_heartbeats(&mut self, one: usize) {
         for change in self.nodes[one].membership.take_changes() {
-            let from = change.from.as_ref().map(place);
+            let from = change.from.as_ref().map(index);
             let others = self.nodes[one].outboxes.iter_mut().filter(|(other, _)| Some(**other) != from);
             others.for_each(|(_, outbox)| outbox.add(&change.id));
         }
--- a/crates/peer/src/reader.rs
+++ b/crates/peer/src/reader.rs
@@ -8,7 +8,7 @@
 use crate::{
     event::{Clock, Event},
     generated::{Frame, frame::Kind},
-    link::{Received, Source},
+    link::{LinkId, Received},
     news::RateLimit,
     relay::Message,
 };
@@ -18,7 +18,7 @@
 /// out the others.
 pub(crate) fn spawn_reader(
     mut incoming: Streaming<Frame>,
-    source: Source,
+    link: LinkId,
     events: mpsc::Sender<Event>,
     clock: Clock,
     rate: u32,
@@ -27,12 +27,12 @@
         let mut rate_limit = RateLimit::new(rate, clock.now());
         while let Ok(Some(frame)) = incoming.message().await {
             let received = decode(frame, &mut rate_limit, clock.now());
-            if events.send(Event::Received(source.clone(), received)).await.is_err() {
+            if events.send(Event::Received(link.clone(), received)).await.is_err() {
                 return;
             }
         }
         // Fails only if the task has ended, and all links with it.
-        let _ = events.send(Event::Closed(source)).await;
+        let _ = events.send(Event::Closed(link)).await;
     }))
 }
 
--- a/crates/peer/src/relay/tests.rs
+++ b/crates/peer/src/relay/tests.rs
@@ -27,21 +27,21 @@
     published: u64,
 }
 
-fn id(place: usize) -> Id {
-    Id::parse(&format!("i{place}")).unwrap()
+fn id(index: usize) -> Id {
+    Id::parse(&format!("i{index}")).unwrap()
 }
 
 impl Graph {
     /// Creates a ring with chords, as the topology plans it.
     fn new(size: usize, chords: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
-        let nodes = (0..size).map(|place| (id(place), Relay::default())).collect();
+        let nodes = (0..size).map(|index| (id(index), Relay::default())).collect();
         let mut graph =
             Self { now: 0, nodes, in_transit: Vec::new(), received: BTreeMap::new(), bodies: 0, published: 0 };
-        for place in 0..size {
-            graph.link(place, (place + 1) % size);
+        for index in 0..size {
+            graph.link(index, (index + 1) % size);
             for _ in 0..chords / 2 {
-                graph.link(place, rng.random_range(0..size));
+                graph.link(index, rng.random_range(0..size));
             }
         }
         graph
@@ -54,17 +54,17 @@
         }
     }
 
-    fn lose(&mut self, place: usize) {
-        self.nodes.remove(&id(place));
-        self.nodes.values_mut().for_each(|relay| relay.remove_link(&id(place)));
+    fn remove(&mut self, index: usize) {
+        self.nodes.remove(&id(index));
+        self.nodes.values_mut().for_each(|relay| relay.remove_link(&id(index)));
     }
 
     /// Publishes an item, asserts that every other node receives it exactly
     /// once, and returns the number of bodies sent.
-    fn publish(&mut self, place: usize) -> usize {
+    fn publish(&mut self, index: usize) -> usize {
         self.published += 1;
         let news = News {
-            origin: id(place),
+            origin: id(index),
             incarnation: Incarnation(1),
             sequence: self.published,
             topic: 1,
@@ -74,13 +74,13 @@
             stamp: 0,
         };
         (self.received, self.bodies) = (BTreeMap::new(), 0);
-        let messages = self.nodes.get_mut(&id(place)).unwrap().publish(&news);
-        self.send(&id(place), messages);
+        let messages = self.nodes.get_mut(&id(index)).unwrap().publish(&news);
+        self.send(&id(index), messages);
         let end = self.now + SETTLE_TIME;
         while self.now < end {
             self.step();
         }
-        let others: BTreeSet<_> = self.nodes.keys().filter(|node| **node != id(place)).collect();
+        let others: BTreeSet<_> = self.nodes.keys().filter(|node| **node != id(index)).collect();
         let have: BTreeSet<_> = self.received.keys().collect();
         assert_eq!(have, others, "not received everywhere");
         assert!(self.received.values().all(|times| *times == 1), "received more than once");
@@ -154,8 +154,8 @@
     for origin in 0..10 {
         graph.publish(origin);
     }
-    for place in (3..100).step_by(10) {
-        graph.lose(place);
+    for index in (3..100).step_by(10) {
+        graph.remove(index);
     }
     for origin in [0, 50, 99, 0, 50, 99] {
         graph.publish(origin);
--- a/crates/peer/src/task.rs
+++ b/crates/peer/src/task.rs
@@ -66,7 +66,7 @@
     /// a new plan.
     planned_revision: Option<u64>,
     /// Membership revision last published on `members`.
-    shown_revision: u64,
+    published_revision: u64,
     events: mpsc::Sender<Event>,
     inbound: mpsc::Sender<Inbound>,
     pool: Arc<Pool>,
@@ -80,14 +80,14 @@
     let (events, event_queue) = mpsc::channel(EVENT_QUEUE_LEN);
     let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE_LEN);
     let (inbound, inbound_queue) = mpsc::channel(settings.limits.inbound);
-    let (members, members_seen) = watch::channel(Arc::new(Members::alone(settings.me.clone())));
+    let (members, members_receiver) = watch::channel(Arc::new(Members::alone(settings.me.clone())));
     let (meter, stop, abort) = (Meter::default(), CancellationToken::new(), CancellationToken::new());
 
     let service = Service {
         settings: settings.clone(),
         events: events.clone(),
         inbound: inbound.clone(),
-        members: members_seen.clone(),
+        members: members_receiver.clone(),
         pool: pool.clone(),
     };
     let server = AbortOnDropHandle::new(tokio::spawn(server::serve(service, listener, meter.clone(), stop.clone())));
@@ -104,12 +104,12 @@
         relay: Relay::default(),
         last_sequence: 0,
         planned_revision: None,
-        shown_revision: 0,
+        published_revision: 0,
         events,
         inbound,
         pool: pool.clone(),
     };
-    let handle = Handle { commands, members: members_seen, pool, address, meter, abort: abort.clone() };
+    let handle = Handle { commands, members: members_receiver, pool, address, meter, abort: abort.clone() };
     tokio::spawn(async move {
         tokio::select! {
             () = abort.cancelled() => {}
@@ -163,11 +163,11 @@
         match event {
             Event::Accept { greeting, incoming, reply } => self.on_accept(greeting, incoming, reply),
             Event::Dialled { address, wanted, outcome } => self.on_dialled(address, wanted, outcome),
-            Event::Received(source, received) => self.on_frame(&source, received),
-            Event::Closed(source) => self.on_closed(&source),
-            Event::Asked(doubt, reply) => {
+            Event::Received(link, received) => self.on_frame(&link, received),
+            Event::Closed(link) => self.on_closed(&link),
+            Event::Asked(own_entry, reply) => {
                 let from = self.settings.me.id.clone();
-                self.membership.merge(vec![doubt], &from, now);
+                self.membership.merge(vec![own_entry], &from, now);
                 // Fails if the peer no longer waits for the reply.
                 let _ = reply.send(self.membership.me().clone());
             }
@@ -181,7 +181,7 @@
             Command::Publish(topic, body) => self.publish(topic, body),
             Command::Digest(topic, value) => self.set_digest(topic, value),
             Command::Listed(listed) => self.membership.set_listed(listed),
-            Command::Known(known) => self.dialling.set_undiscovered(self.membership.undiscovered(&known)),
+            Command::NamedInstances(named) => self.dialling.set_undiscovered(self.membership.undiscovered(&named)),
             Command::Leave(done) => {
                 self.membership.leave();
                 self.finish_round();
@@ -244,8 +244,8 @@
     }
 
     fn publish_members(&mut self) {
-        if self.shown_revision != self.membership.revision() {
-            self.shown_revision = self.membership.revision();
+        if self.published_revision != self.membership.revision() {
+            self.published_revision = self.membership.revision();
             self.members.send_replace(Arc::new(self.membership.members()));
         }
     }
--- a/crates/peer/src/task/dialling.rs
+++ b/crates/peer/src/task/dialling.rs
@@ -39,7 +39,8 @@
     /// Addresses known to lead to this instance itself.
     own_addresses: BTreeSet<SocketAddr>,
     backoffs: BTreeMap<Id, Backoff>,
-    missing: BTreeMap<Id, Millis>,
+    /// Time since which each link that the peer should dial has been missing.
+    missing_since: BTreeMap<Id, Millis>,
 }
 
 #[derive(Debug, Default)]
@@ -57,7 +58,7 @@
             in_progress: BTreeSet::new(),
             own_addresses: BTreeSet::from([settings.me.peers]),
             backoffs: BTreeMap::new(),
-            missing: BTreeMap::new(),
+            missing_since: BTreeMap::new(),
         }
     }
 
@@ -78,7 +79,7 @@
     pub(super) fn record_linked(&mut self, id: &Id) {
         self.undiscovered.remove(id);
         self.backoffs.remove(id);
-        self.missing.remove(id);
+        self.missing_since.remove(id);
     }
 
     fn record_failure(&mut self, id: &Id, now: Millis) {
@@ -92,11 +93,11 @@
 
     /// Returns how long a link that the peer should dial has been missing.
     pub(super) fn missing_for(&mut self, id: &Id, now: Millis) -> Millis {
-        now - *self.missing.entry(id.clone()).or_insert(now)
+        now - *self.missing_since.entry(id.clone()).or_insert(now)
     }
 
     pub(super) fn retain_missing(&mut self, wanted: impl Fn(&Id) -> bool) {
-        self.missing.retain(|id, _| wanted(id));
+        self.missing_since.retain(|id, _| wanted(id));
     }
 
     pub(super) fn is_idle(&self) -> bool {
--- a/crates/peer/src/task/links.rs
+++ b/crates/peer/src/task/links.rs
@@ -14,7 +14,7 @@
 use super::Task;
 use crate::{
     generated::Frame,
-    link::{Opened, Source},
+    link::{LinkId, Opened},
     outbox::Outbox,
     reader,
     topic::Topic,
@@ -28,10 +28,10 @@
 /// An open link.
 #[derive(Debug)]
 pub(super) struct Link {
-    pub(super) source: Source,
+    pub(super) id: LinkId,
     pub(super) outbox: Outbox,
     /// Digests of the peer that are not yet handed to the topic owners.
-    pub(super) digests: BTreeMap<Topic, Bytes>,
+    pub(super) pending_digests: BTreeMap<Topic, Bytes>,
     /// Time of the last received frame.
     pub(super) last_received: Millis,
     sender: mpsc::Sender<Frame>,
@@ -135,17 +135,17 @@
         let incarnation = greeting.sender.instance.incarnation;
         let id = greeting.sender.instance.id.clone();
         self.last_serial += 1;
-        let source = Source { id: id.clone(), serial: self.last_serial };
+        let link_id = LinkId { peer: id.clone(), serial: self.last_serial };
         let rate = self.settings.limits.news;
-        let reader = reader::spawn_reader(incoming, source.clone(), self.events.clone(), self.clock, rate);
+        let reader = reader::spawn_reader(incoming, link_id.clone(), self.events.clone(), self.clock, rate);
         self.membership.merge(vec![greeting.sender], &id, now);
         self.membership.record_frame(&id, now);
         self.dialling.record_linked(&id);
         let outbox = Outbox::new(&self.membership, &self.digests);
         let link = Link {
-            source,
+            id: link_id,
             outbox,
-            digests: BTreeMap::new(),
+            pending_digests: BTreeMap::new(),
             last_received: now,
             sender,
             incarnation,
@@ -162,19 +162,19 @@
         self.flush_links();
     }
 
-    pub(super) fn on_closed(&mut self, source: &Source) {
-        if self.links.get(&source.id).is_some_and(|link| link.source == *source) {
-            tracing::debug!(peer = %source.id, "link ended");
-            self.remove_link(&source.id);
+    pub(super) fn on_closed(&mut self, closed: &LinkId) {
+        if self.links.get(&closed.peer).is_some_and(|link| link.id == *closed) {
+            tracing::debug!(peer = %closed.peer, "link ended");
+            self.remove_link(&closed.peer);
             let now = self.clock.now();
-            if self.is_neighbour(&source.id) {
+            if self.is_neighbour(&closed.peer) {
                 // Redial, whichever side is meant to dial: a crashed peer refuses
                 // the connection and is detected at once instead of by silence.
-                self.dial_member(&source.id, now);
+                self.dial_member(&closed.peer, now);
             } else {
                 // The peer may have closed the link because it has no room, and
                 // would do so again and again.
-                self.dialling.back_off(&source.id, now);
+                self.dialling.back_off(&closed.peer, now);
             }
         }
     }
@@ -185,7 +185,7 @@
     pub(super) fn close_silent_links(&mut self) {
         let now = self.clock.now();
         let silent = |link: &&Link| now.saturating_sub(link.last_received) > self.settings.timing.silence;
-        let silent: Vec<_> = self.links.values().filter(silent).map(|link| link.source.id.clone()).collect();
+        let silent: Vec<_> = self.links.values().filter(silent).map(|link| link.id.peer.clone()).collect();
         for id in silent {
             tracing::info!(peer = %id, "link closed: silent");
             self.remove_link(&id);
@@ -247,8 +247,8 @@
     /// Returns the names of the linked peers, oldest link first.
     fn linked_ids(&self) -> Vec<Id> {
         let mut links: Vec<_> = self.links.values().collect();
-        links.sort_by_key(|link| link.source.serial);
-        links.into_iter().map(|link| link.source.id.clone()).collect()
+        links.sort_by_key(|link| link.id.serial);
+        links.into_iter().map(|link| link.id.peer.clone()).collect()
     }
 
     fn present_peers(&self) -> Vec<&Instance> {
--- a/crates/peer/src/task/messages.rs
+++ b/crates/peer/src/task/messages.rs
@@ -11,7 +11,7 @@
 use crate::{
     event::Event,
     inbound::Inbound,
-    link::{Received, Source},
+    link::{LinkId, Received},
     member::Member,
     membership::Action,
     news::{Name, News},
@@ -27,15 +27,15 @@
 const MAX_PROBERS: usize = 3;
 
 impl Task {
-    pub(super) fn on_frame(&mut self, source: &Source, received: Received) {
+    pub(super) fn on_frame(&mut self, link_id: &LinkId, received: Received) {
         // Ignore frames of a link that has since been replaced.
-        let Some(link) = self.links.get_mut(&source.id).filter(|link| link.source == *source) else { return };
+        let Some(link) = self.links.get_mut(&link_id.peer).filter(|link| link.id == *link_id) else { return };
         let now = self.clock.now();
         link.last_received = now;
-        self.membership.record_frame(&source.id, now);
+        self.membership.record_frame(&link_id.peer, now);
         match received {
-            Received::Heartbeat(heartbeat) => self.on_peer_heartbeat(&source.id, heartbeat),
-            Received::Message(message) => self.on_message(&source.id, message),
+            Received::Heartbeat(heartbeat) => self.on_peer_heartbeat(&link_id.peer, heartbeat),
+            Received::Message(message) => self.on_message(&link_id.peer, message),
             Received::Other => {}
         }
     }
@@ -51,16 +51,16 @@
         }
         // A topic known only to a later build has no owner here.
         let known = heartbeat.digests.into_iter().filter_map(|(topic, value)| Some((topic.try_into().ok()?, value)));
-        link.digests.extend(known);
-        self.hand_over_digests(id);
+        link.pending_digests.extend(known);
+        self.deliver_digests(id);
     }
 
     /// Hands a peer's pending digests to the topic owners; those that do not fit
     /// into the queue are retried on the next heartbeat.
-    fn hand_over_digests(&mut self, id: &Id) {
+    fn deliver_digests(&mut self, id: &Id) {
         let inbound = &self.inbound;
         let Some(link) = self.links.get_mut(id) else { return };
-        link.digests.retain(|topic, value| {
+        link.pending_digests.retain(|topic, value| {
             let digest = Inbound::Digest { from: id.clone(), topic: *topic, value: value.clone() };
             inbound.try_send(digest).is_err()
         });
@@ -150,7 +150,7 @@
     pub(super) fn send_heartbeats(&mut self) {
         let ids: Vec<_> = self.links.keys().cloned().collect();
         for id in ids {
-            self.hand_over_digests(&id);
+            self.deliver_digests(&id);
             self.send_heartbeat(&id);
         }
     }
--- a/crates/peer/src/topology/tests.rs
+++ b/crates/peer/src/topology/tests.rs
@@ -18,7 +18,7 @@
 
 impl Fleet {
     fn new(size: usize, domains: usize, limit: usize) -> Self {
-        let instances = (0..size).map(|place| instance(place, domains)).collect();
+        let instances = (0..size).map(|index| instance(index, domains)).collect();
         let mut fleet = Self { instances, links: BTreeMap::new(), limit };
         fleet.settle();
         fleet
@@ -27,8 +27,8 @@
     fn settle(&mut self) {
         for _ in 0..ROUNDS {
             let before = self.links.clone();
-            for place in 0..self.instances.len() {
-                self.plan(place);
+            for index in 0..self.instances.len() {
+                self.plan(index);
             }
             if self.links == before {
                 return;
@@ -36,8 +36,8 @@
         }
     }
 
-    fn plan(&mut self, place: usize) {
-        let me = self.instances[place].clone();
+    fn plan(&mut self, index: usize) {
+        let me = self.instances[index].clone();
         let others: Vec<_> = self.instances.iter().filter(|i| i.id != me.id).collect();
         let linked = self.links.get(&me.id).cloned().unwrap_or_default();
         let plan = plan(&me, &others, &linked, self.limit);
@@ -74,7 +74,7 @@
         }
     }
 
-    fn lose(&mut self, domain: usize) {
+    fn remove(&mut self, domain: usize) {
         let lost = instance(domain, self.domains()).domain;
         self.instances.retain(|i| i.domain != lost);
         let left: BTreeSet<_> = self.instances.iter().map(|i| i.id.clone()).collect();
@@ -112,12 +112,12 @@
     }
 }
 
-fn instance(place: usize, domains: usize) -> Instance {
+fn instance(index: usize, domains: usize) -> Instance {
     let address = "127.0.0.1:1".parse().unwrap();
     Instance {
-        id: Id::parse(&format!("i{place}")).unwrap(),
+        id: Id::parse(&format!("i{index}")).unwrap(),
         incarnation: Incarnation(1),
-        domain: format!("d{}", place % domains).parse().unwrap(),
+        domain: format!("d{}", index % domains).parse().unwrap(),
         callers: address,
         peers: address,
         operators: address,
@@ -134,7 +134,7 @@
     assert!(diameter <= hops, "{diameter} hops");
     assert!(fleet.most_links() <= limit, "{} links", fleet.most_links());
 
-    fleet.lose(0);
+    fleet.remove(0);
     if limit > 3 {
         assert!(fleet.diameter().is_some(), "disconnected until the links are replaced");
     }
--- a/crates/peer/src/traffic.rs
+++ b/crates/peer/src/traffic.rs
@@ -41,19 +41,19 @@
         Traffic { received: self.received.load(Ordering::Relaxed), sent: self.sent.load(Ordering::Relaxed) }
     }
 
-    pub(crate) fn count(&self, stream: TcpStream) -> Counted {
-        Counted { stream, meter: self.clone() }
+    pub(crate) fn count(&self, stream: TcpStream) -> CountedStream {
+        CountedStream { stream, meter: self.clone() }
     }
 }
 
 /// An accepted connection whose bytes are counted.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct CountedStream {
     stream: TcpStream,
     meter: Meter,
 }
 
-impl Connected for Counted {
+impl Connected for CountedStream {
     type ConnectInfo = TcpConnectInfo;
 
     fn connect_info(&self) -> TcpConnectInfo {
@@ -61,7 +61,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
@@ -71,7 +71,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(written)) = &polled {
--- a/crates/peer/src/wire/tests.rs
+++ b/crates/peer/src/wire/tests.rs
@@ -13,7 +13,7 @@
 /// A member as written by other builds: without `refutation` and `doubt`, as by
 /// the first build, and optionally with a field added by a later one.
 #[derive(Clone, PartialEq, Message)]
-struct OldMember {
+struct OtherBuildMember {
     #[prost(string, tag = "1")]
     id: String,
     #[prost(uint64, tag = "2")]
@@ -33,8 +33,8 @@
     colour: Option<String>,
 }
 
-fn member() -> OldMember {
-    OldMember {
+fn member() -> OtherBuildMember {
+    OtherBuildMember {
         id: "i1".into(),
         incarnation: 3,
         state: pb::State::Live.into(),
@@ -47,7 +47,7 @@
 }
 
 /// Decodes a member and compares its state or error.
-fn check(wire: &OldMember, expected: &Result<State, Invalid>) {
+fn check(wire: &OtherBuildMember, expected: &Result<State, Invalid>) {
     let read = pb::Member::decode(wire.encode_to_vec().as_slice()).unwrap();
     let member = Member::try_from(read);
     assert_eq!(&member.as_ref().map(Member::state).map_err(Clone::clone), expected);
@@ -62,12 +62,12 @@
 
 members! {
     member_of_an_earlier_build: member() => Ok(State::Live);
-    member_with_a_field_of_a_later_build: OldMember { colour: Some("blue".into()), ..member() } => Ok(State::Live);
+    member_with_a_field_of_a_later_build: OtherBuildMember { colour: Some("blue".into()), ..member() } => Ok(State::Live);
     // A member with an unknown state may not accept work, so it gets none.
-    member_with_a_state_of_a_later_build: OldMember { state: 77, ..member() } => Ok(State::Leaving);
-    member_without_a_state: OldMember { state: 0, ..member() } => Ok(State::Leaving);
-    member_without_a_name: OldMember { id: String::new(), ..member() } => Err(Invalid("id"));
-    member_with_a_host_name: OldMember { peers: "host:1".into(), ..member() } => Err(Invalid("peers"));
+    member_with_a_state_of_a_later_build: OtherBuildMember { state: 77, ..member() } => Ok(State::Leaving);
+    member_without_a_state: OtherBuildMember { state: 0, ..member() } => Ok(State::Leaving);
+    member_without_a_name: OtherBuildMember { id: String::new(), ..member() } => Err(Invalid("id"));
+    member_with_a_host_name: OtherBuildMember { peers: "host:1".into(), ..member() } => Err(Invalid("peers"));
 }
 
 /// Checks whether a greeting of these versions is accepted.
--- a/crates/peer/tests/links.rs
+++ b/crates/peer/tests/links.rs
@@ -47,8 +47,8 @@
     let too_large = handle.call(&owner, Topic::Journal, large, TIMEOUT).await.unwrap_err();
     assert!(matches!(too_large, Error::TooLarge { .. }) && !too_large.may_have_arrived(), "{too_large}");
 
-    let stranger = handle.call(&id(9), Topic::Journal, Bytes::new(), TIMEOUT).await;
-    assert_eq!(stranger, Err(Error::Unknown(id(9))));
+    let unknown = handle.call(&id(9), Topic::Journal, Bytes::new(), TIMEOUT).await;
+    assert_eq!(unknown, Err(Error::Unknown(id(9))));
 
     // This call times out while it waits in the owner's queue.
     let waiting = tokio::spawn({
@@ -113,8 +113,8 @@
     let mut nodes = fleet(size, Limits { links, ..Limits::default() }).await;
     for origin in 0..size {
         nodes[origin].handle.publish(Topic::Config, Bytes::from(origin.to_string())).await.unwrap();
-        for place in (0..size).filter(|place| *place != origin) {
-            let (by, body) = next(&mut nodes[place].inbound, |message| match message {
+        for index in (0..size).filter(|index| *index != origin) {
+            let (by, body) = next(&mut nodes[index].inbound, |message| match message {
                 Inbound::News { origin, topic: Topic::Config, body, .. } => Some((origin, body)),
                 _ => None,
             })
@@ -142,10 +142,10 @@
     let node = spawn(settings(0, 1, vec![])).await;
     let seeds = vec![node.handle.address()];
     let wrong = Settings { key: Key::new("guess"), ..settings(1, 1, seeds.clone()) };
-    let stranger = spawn(wrong).await;
+    let unauthorized = spawn(wrong).await;
     let accepted = spawn(settings(2, 1, seeds)).await;
     wait_until(&accepted.handle, |members| members.live().count() == 2).await;
-    assert_eq!(stranger.handle.members().borrow().others.len(), 0);
+    assert_eq!(unauthorized.handle.members().borrow().others.len(), 0);
     assert!(node.handle.members().borrow().get(&id(1)).is_none());
 }
 
@@ -158,12 +158,12 @@
     for node in &nodes[..3] {
         wait_until(&node.handle, |m| m.others[&id(3)].state == State::Gone).await;
     }
-    let again = spawn(settings(3, 2, vec![nodes[0].handle.address()])).await;
+    let restarted = spawn(settings(3, 2, vec![nodes[0].handle.address()])).await;
     for node in &nodes[..3] {
         wait_until(&node.handle, |m| m.others[&id(3)].incarnation.0 == 2 && m.others[&id(3)].state == State::Live)
             .await;
     }
-    wait_until(&again.handle, |m| m.live().count() == 4).await;
+    wait_until(&restarted.handle, |m| m.live().count() == 4).await;
 }
 
 #[tokio::test]
@@ -262,8 +262,8 @@
     uhlc::system_time_clock() + uhlc::NTP64::from(Duration::from_secs(3))
 }
 
-fn recorder(place: usize, clock: Clock) -> Recorder {
-    let source = Source { instance: id(place), incarnation: Incarnation(1) };
+fn recorder(index: usize, clock: Clock) -> Recorder {
+    let source = Source { instance: id(index), incarnation: Incarnation(1) };
     Recorder::over(source, Capacity::default(), clock)
 }
 
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -22,16 +22,16 @@
     pub inbound: mpsc::Receiver<Inbound>,
 }
 
-pub fn id(place: usize) -> Id {
-    Id::parse(&format!("i{place:02}")).unwrap()
+pub fn id(index: usize) -> Id {
+    Id::parse(&format!("i{index:02}")).unwrap()
 }
 
-pub fn settings(place: usize, incarnation: u64, seeds: Vec<SocketAddr>) -> Settings {
+pub fn settings(index: usize, incarnation: u64, seeds: Vec<SocketAddr>) -> Settings {
     let local: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let me = Instance {
-        id: id(place),
+        id: id(index),
         incarnation: Incarnation(incarnation),
-        domain: Domain::parse(&format!("d{}", place % DOMAINS)).unwrap(),
+        domain: Domain::parse(&format!("d{}", index % DOMAINS)).unwrap(),
         callers: local,
         peers: local,
         operators: local,
@@ -51,9 +51,9 @@
 /// each other.
 pub async fn fleet(size: usize, limits: Limits) -> Vec<Node> {
     let mut nodes: Vec<Node> = Vec::new();
-    for place in 0..size {
+    for index in 0..size {
         let seeds = nodes.first().map(|n| n.handle.address()).into_iter().collect();
-        nodes.push(spawn(Settings { limits, ..settings(place, 1, seeds) }).await);
+        nodes.push(spawn(Settings { limits, ..settings(index, 1, seeds) }).await);
     }
     for node in &nodes {
         wait_until(&node.handle, |members| members.live().count() == size).await;
