--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Identifier of a link.
+/// Identifier of a link, unique in this run of the instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct LinkId {
     pub(crate) peer: Id,
--- a/crates/peer/src/task/dialling.rs
+++ b/crates/peer/src/task/dialling.rs
@@ -113,9 +113,10 @@
         }
     }
 
-    /// Dials one random address that belongs to no current member. One dial per
-    /// heartbeat finds the other side of a healed partition within a few seconds
-    /// and costs almost nothing otherwise.
+    /// Dials one random address of a removed member, an undiscovered instance or a
+    /// seed. Addresses of current members are skipped unless this instance has no
+    /// links. One dial per heartbeat finds the other side of a healed partition
+    /// within a few seconds and costs almost nothing otherwise.
     pub(super) fn dial_unlinked(&mut self) {
         if self.is_ended() {
             return;
