--- a/crates/peer/src/event.rs
+++ b/crates/peer/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the task that owns the links, and when by its clock.
+//! Events handled by the task that owns the links, and its monotonic clock.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -11,29 +11,31 @@
 
 use crate::{
     generated::Frame,
-    link::{Failure, Opened, Received, Source},
+    link::{Failure, LinkId, Opened, Received},
     member::Member,
     wire::Greeting,
 };
 
-/// What happens.
+/// An input to the task from the server, a link reader or a spawned operation.
 pub(crate) enum Event {
-    /// A peer dialled us.
+    /// A peer dialled this instance and sent its greeting.
     Accept {
         greeting: Greeting,
         incoming: Streaming<Frame>,
         reply: oneshot::Sender<Result<mpsc::Receiver<Frame>, Status>>,
     },
-    /// Dialling ended.
+    /// An outgoing dial succeeded or failed. `wanted` is the member expected at
+    /// the address; `None` if any instance may answer there.
     Dialled { address: SocketAddr, wanted: Option<Id>, outcome: Result<Opened, Failure> },
-    /// A frame came.
-    Received(Source, Received),
-    /// A link's incoming side ended.
-    Closed(Source),
-    /// A peer asks us for our word, and may tell a doubt.
+    /// A frame arrived on a link.
+    Received(LinkId, Received),
+    /// The incoming stream of a link ended.
+    Closed(LinkId),
+    /// A peer requested this instance's own entry. It sent its copy of that
+    /// entry, which may carry a doubt for this instance to refute.
     Asked(Member, oneshot::Sender<Member>),
-    /// A probe ended.
-    Probed { id: Id, word: Option<Member> },
+    /// A probe ended, with the member's own entry if it was reached.
+    Probed { id: Id, entry: Option<Member> },
 }
 
 impl Event {
@@ -55,16 +57,17 @@
     }
 }
 
-/// Milliseconds since the start, monotonic and our own.
+/// Monotonic clock that counts milliseconds since it was started.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at 0 now.
     pub(crate) fn start() -> Self {
         Self(Instant::now())
     }
 
+    /// Converts a time of this clock to an [`Instant`].
     pub(crate) fn at(self, time: Millis) -> Instant {
         self.0 + Duration::from_millis(time)
     }
--- a/crates/peer/src/handle.rs
+++ b/crates/peer/src/handle.rs
@@ -1,4 +1,4 @@
-//! What the rest of the process holds.
+//! The handle through which the rest of the process uses the peer links.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,18 +21,18 @@
     traffic::{Meter, Traffic},
 };
 
-/// What handles ask of the task.
+/// A command from a handle to the task that owns the links.
 #[derive(Debug)]
 pub(crate) enum Command {
     Publish(Topic, Bytes),
     Digest(Topic, Bytes),
     Listed(Vec<Listed>),
-    Known(Vec<Instance>),
+    NamedInstances(Vec<Instance>),
     Leave(oneshot::Sender<()>),
     Close(oneshot::Sender<()>),
 }
 
-/// A running part in the fleet; cheap to clone.
+/// Handle to this instance's running peer links; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     pub(crate) commands: mpsc::Sender<Command>,
@@ -44,40 +44,40 @@
 }
 
 impl Handle {
-    /// Who is there; a new value with each change.
+    /// Returns a watch on the members, updated on each change.
     #[must_use]
     pub fn members(&self) -> watch::Receiver<Arc<Members>> {
         self.members.clone()
     }
 
-    /// Where peers connect.
+    /// Returns the address on which peers connect to this instance.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes on the connections that peers opened to us.
+    /// Returns the bytes transferred on connections opened by peers.
     #[must_use]
     pub fn traffic(&self) -> Traffic {
         self.meter.read()
     }
 
-    /// Asks a peer and waits for its answer, `within` at most.
+    /// Sends a request to a peer and waits for its response, at most `within`.
     ///
     /// # Errors
     ///
-    /// [`Error`], which says whether the peer may have seen the call.
+    /// [`Error`], which says whether the peer may have received the call.
     pub async fn call(&self, to: &Id, topic: Topic, body: Bytes, within: Duration) -> Result<Bytes, Error> {
         let deadline = Instant::now() + within;
-        self.pool.check(&body)?;
-        let peer = self.target(to)?;
+        self.pool.check_body(&body)?;
+        let peer = self.peer(to)?;
         let client = timeout_at(deadline, self.pool.client(&peer)).await;
         let mut client = client.unwrap_or_else(|_| Err(Error::Unreachable(to.clone())))?;
-        let request = self.pool.request(self.question(&peer, topic, body));
+        let request = self.pool.request(self.call_request(&peer, topic, body));
         match timeout_at(deadline, client.call(request)).await {
             Ok(Ok(reply)) => {
                 let reply = reply.into_inner();
-                self.pool.ticks().observe(reply.stamp);
+                self.pool.hybrid_clock().observe(reply.stamp);
                 Ok(reply.body)
             }
             Ok(Err(status)) => Err(Error::from_status(to, &status)),
@@ -85,46 +85,48 @@
         }
     }
 
-    /// Asks a peer for many answers. A peer sends no faster than the stream is
-    /// read. The stream ends with an error when the link breaks; an owner that
-    /// has to tell an end from a stop marks its last answer.
+    /// Sends a request to a peer and returns its stream of responses. The peer
+    /// sends no faster than the stream is read. The stream ends with an error
+    /// when the connection breaks; a topic owner that must distinguish a
+    /// complete stream from a truncated one has to mark its last response.
     ///
     /// # Errors
     ///
-    /// [`Error`], which says whether the peer may have seen the question.
+    /// [`Error`], which says whether the peer may have received the request.
     pub async fn stream(
         &self,
         to: &Id,
         topic: Topic,
         body: Bytes,
     ) -> Result<impl Stream<Item = Result<Bytes, Error>> + Send + Unpin + use<>, Error> {
-        self.pool.check(&body)?;
-        let peer = self.target(to)?;
+        self.pool.check_body(&body)?;
+        let peer = self.peer(to)?;
         let mut client = self.pool.client(&peer).await?;
-        let request = self.pool.request(self.question(&peer, topic, body));
+        let request = self.pool.request(self.call_request(&peer, topic, body));
         let reply = client.stream(request).await.map_err(|status| Error::from_status(to, &status))?;
         let to = to.clone();
-        let ticks = self.pool.ticks().clone();
-        let answer = move |chunk: Result<crate::generated::Chunk, tonic::Status>| {
-            let chunk = chunk.inspect(|chunk| ticks.observe(chunk.stamp));
+        let hybrid_clock = self.pool.hybrid_clock().clone();
+        let decode = move |chunk: Result<crate::generated::Chunk, tonic::Status>| {
+            let chunk = chunk.inspect(|chunk| hybrid_clock.observe(chunk.stamp));
             chunk.map(|c| c.body).map_err(|status| Error::Lost(to.clone(), status.message().into()))
         };
-        Ok(reply.into_inner().map(answer))
+        Ok(reply.into_inner().map(decode))
     }
 
-    /// Tells news to every live instance, once each. An instance that is slow
-    /// or just joining may miss it: have a digest as well.
+    /// Broadcasts news to every live instance, delivered at most once each. An
+    /// instance that is slow or just joining may miss it, so the topic should
+    /// set a digest as well.
     ///
     /// # Errors
     ///
     /// [`Error::Closed`], [`Error::TooLarge`].
     pub async fn publish(&self, topic: Topic, body: Bytes) -> Result<(), Error> {
-        self.pool.check(&body)?;
+        self.pool.check_body(&body)?;
         self.command(Command::Publish(topic, body)).await
     }
 
-    /// Sets the small value that tells neighbours how far this instance is
-    /// with a topic; theirs arrive as `Inbound::Digest`.
+    /// Sets the digest of a topic: a small value that shows linked peers which
+    /// data this instance holds. Their digests arrive as `Inbound::Digest`.
     ///
     /// # Errors
     ///
@@ -133,7 +135,8 @@
         self.command(Command::Digest(topic, value)).await
     }
 
-    /// Takes the platform's latest list of instances, as one input of many.
+    /// Sets the platform's current list of instances, one of several inputs to
+    /// membership.
     ///
     /// # Errors
     ///
@@ -142,18 +145,18 @@
         self.command(Command::Listed(listed)).await
     }
 
-    /// Takes the instances that the object API names; those that nobody has
-    /// met are dialled.
+    /// Sets the instances that have entries in the platform's object API; those
+    /// that are not yet members are dialled.
     ///
     /// # Errors
     ///
     /// [`Error::Closed`].
-    pub async fn set_known(&self, known: Vec<Instance>) -> Result<(), Error> {
-        self.command(Command::Known(known)).await
+    pub async fn set_named_instances(&self, named: Vec<Instance>) -> Result<(), Error> {
+        self.command(Command::NamedInstances(named)).await
     }
 
-    /// Tells all at once that this instance takes no new work. Links, calls
-    /// and streams go on.
+    /// Announces immediately that this instance takes no new work. Links,
+    /// calls and streams continue.
     ///
     /// # Errors
     ///
@@ -162,27 +165,27 @@
         self.command_and_wait(Command::Leave).await
     }
 
-    /// Tells all that this run has ended, and ends.
+    /// Announces that this run has ended, then closes the links.
     ///
     /// # Errors
     ///
-    /// [`Error::Closed`] when it has ended already.
+    /// [`Error::Closed`] if the links are already closed.
     pub async fn close(&self) -> Result<(), Error> {
         self.command_and_wait(Command::Close).await
     }
 
-    /// Ends at once without a word, as a crash would.
+    /// Stops immediately without notifying peers, as a crash would.
     pub fn abort(&self) {
         self.abort.cancel();
     }
 
-    fn target(&self, to: &Id) -> Result<Instance, Error> {
+    fn peer(&self, to: &Id) -> Result<Instance, Error> {
         let members = self.members.borrow();
         let peer = members.others.get(to).filter(|i| i.state != State::Gone);
         peer.cloned().ok_or_else(|| Error::Unknown(to.clone()))
     }
 
-    fn question(&self, to: &Instance, topic: Topic, body: Bytes) -> CallRequest {
+    fn call_request(&self, to: &Instance, topic: Topic, body: Bytes) -> CallRequest {
         let caller = Some(self.pool.caller());
         CallRequest { caller, topic: topic.number(), body, wanted: to.incarnation.0 }
     }
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,5 @@
-//! One link: two streams of frames over a connection of its own.
+//! Dialling a link: one stream of frames in each direction over a dedicated
+//! connection.
 
 use std::{error::Error, io, net::SocketAddr};
 
@@ -9,14 +10,14 @@
 
 use crate::{
     generated::{Frame, frame::Kind},
+    outbox::Heartbeat,
     pool::Pool,
     relay::Message,
     settings::Settings,
-    spread::Heartbeat,
     wire::{self, Greeting},
 };
 
-/// A link after both greetings.
+/// A dialled link on which both sides have sent their greetings.
 #[derive(Debug)]
 pub(crate) struct Opened {
     pub(crate) greeting: Greeting,
@@ -24,27 +25,28 @@
     pub(crate) incoming: Streaming<Frame>,
 }
 
-/// Why a dialled link did not come about.
+/// Reason why dialling a link failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// No connection, or no greeting in time.
+    /// No connection was made, or no greeting arrived in time.
     Unreachable,
-    /// Nobody listens at the address.
+    /// The connection was refused: no process listens at the address.
     NobodyThere,
-    /// The other side has a link with us already, or is this instance itself.
+    /// The peer already has a link with this instance, or is this instance.
     Duplicate,
-    /// A later run under our name is known there.
+    /// The peer knows a later run under this instance's name.
     Superseded,
-    /// Another key or protocol version.
+    /// The peer uses another key or an incompatible protocol version.
     Refused,
 }
 
-/// What came over a link.
+/// A decoded frame from a link.
 #[derive(Debug)]
 pub(crate) enum Received {
     Heartbeat(Heartbeat),
     Message(Message),
-    /// A kind of a later build, or news over the allowance.
+    /// A frame to ignore: unexpected, malformed, of a kind known only to later
+    /// builds, or news over the rate limit.
     Other,
 }
 
@@ -56,20 +58,20 @@
     settings: &Settings,
 ) -> Result<Opened, Failure> {
     let opening = open(address, greeting, pool, settings.limits.frames);
-    timeout(settings.timing.dial(), opening).await.unwrap_or(Err(Failure::Unreachable))
+    timeout(settings.timing.dial_timeout(), opening).await.unwrap_or(Err(Failure::Unreachable))
 }
 
-async fn open(address: SocketAddr, greeting: Greeting, pool: &Pool, frames: usize) -> Result<Opened, Failure> {
-    let mut client = pool.fresh(address).await.map_err(|error| connecting(&error))?;
-    let (sender, receiver) = mpsc::channel(frames);
+async fn open(address: SocketAddr, greeting: Greeting, pool: &Pool, queue_len: usize) -> Result<Opened, Failure> {
+    let mut client = pool.connect_new(address).await.map_err(|error| connect_failure(&error))?;
+    let (sender, receiver) = mpsc::channel(queue_len);
     sender.try_send(wire::frame(greeting)).map_err(|_| Failure::Unreachable)?;
     let reply = client.link(pool.request(ReceiverStream::new(receiver))).await;
-    let mut incoming = reply.map_err(|status| failure(status.code()))?.into_inner();
-    let greeting = greeting_from(&mut incoming).await.ok_or(Failure::Refused)?;
+    let mut incoming = reply.map_err(|status| status_failure(status.code()))?.into_inner();
+    let greeting = read_greeting(&mut incoming).await.ok_or(Failure::Refused)?;
     Ok(Opened { greeting, sender, incoming })
 }
 
-fn connecting(error: &tonic::transport::Error) -> Failure {
+fn connect_failure(error: &tonic::transport::Error) -> Failure {
     let mut source = error.source();
     while let Some(cause) = source {
         if cause.downcast_ref::<io::Error>().is_some_and(|e| e.kind() == io::ErrorKind::ConnectionRefused) {
@@ -80,7 +82,7 @@
     Failure::Unreachable
 }
 
-fn failure(code: Code) -> Failure {
+fn status_failure(code: Code) -> Failure {
     match code {
         Code::AlreadyExists => Failure::Duplicate,
         Code::Aborted => Failure::Superseded,
@@ -89,18 +91,19 @@
     }
 }
 
-/// Takes the first frame, which has to be a greeting that we understand.
-pub(crate) async fn greeting_from(incoming: &mut Streaming<Frame>) -> Option<Greeting> {
+/// Reads the first frame; returns `None` unless it is a greeting of a
+/// compatible version.
+pub(crate) async fn read_greeting(incoming: &mut Streaming<Frame>) -> Option<Greeting> {
     match incoming.message().await.ok()??.kind? {
         Kind::Greeting(greeting) => greeting.try_into().ok(),
         _ => None,
     }
 }
 
-/// Whose frames a reader brings.
+/// Identifier of a link, unique in this run of the instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Source {
-    pub(crate) id: Id,
-    /// Tells a link from an earlier one with the same peer.
+pub(crate) struct LinkId {
+    pub(crate) peer: Id,
+    /// Distinguishes this link from earlier ones with the same peer.
     pub(crate) serial: u64,
 }
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -1,17 +1,18 @@
-//! Who is there: a state machine without sockets or clocks.
+//! Membership and failure detection: a state machine without sockets or clocks.
 //!
 //! Time is an argument, in milliseconds of the caller's own monotonic clock,
-//! so no two instances' clocks are ever compared. The task feeds in what it
-//! hears ([`heard`](Membership::heard), [`merge`](Membership::merge)) and asks
-//! [`tick`](Membership::tick) on every heartbeat; what is to be done comes out
-//! as [`Action`]s and changed names.
+//! so clocks of different instances are never compared. The task reports
+//! received frames and entries ([`record_frame`](Membership::record_frame),
+//! [`merge`](Membership::merge)) and calls [`tick`](Membership::tick) at least
+//! once per heartbeat interval; the results are [`Action`]s and [`Change`]s.
 //!
-//! A watched member that falls silent is doubted, and the doubt spreads. The
-//! member refutes it with a new word (a higher refutation). Only a receiver's
-//! own time of waiting turns `Suspect` into `Gone`: a removal told by another
-//! is a doubt and no more. Otherwise a healed partition would make each side
-//! remove the other's members on hearsay, and keys' homes would move for
-//! nothing.
+//! A watched member that falls silent is suspected, and the suspicion is
+//! gossiped. The member refutes it with a new version of its entry (a higher
+//! refutation). Each instance waits for the refutation itself before it turns
+//! `Suspect` into `Gone`: a removal reported by another instance counts as a
+//! suspicion only. Otherwise, after a partition heals, stale reports would make
+//! each side remove the other's members, and journal shards would move to other
+//! home instances without need.
 
 mod list;
 mod silence;
@@ -29,32 +30,33 @@
     instance::{Id, Instance, State},
 };
 
-pub use list::{Listed, Standing};
+pub use list::{Listed, ListedState};
 
 use crate::{
     member::{Doubt, Member, Members},
     settings::Timing,
 };
 
-/// What the task has to do.
+/// An action that the task has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Ask others after the member; answer with `vouched` or `unvouched`.
+    /// Probe the member directly and through other peers, then call
+    /// `record_probe_success` or `record_probe_failure`.
     Probe(Member),
-    /// Tell the member itself what is held against it.
-    Tell(Member),
+    /// Notify the member that its entry is doubted, so that it can refute it.
+    Notify(Member),
 }
 
-/// A changed entry, to be passed on to all links but the one it came from.
+/// A changed entry, to be sent on all links except the one it came from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Whose entry.
+    /// Name of the member whose entry changed.
     pub id: Id,
-    /// Who told.
+    /// Peer that sent the change; `None` if it arose on this instance.
     pub from: Option<Id>,
 }
 
-/// One instance's knowledge of all.
+/// One instance's view of all members.
 #[derive(Debug)]
 pub struct Membership {
     me: Member,
@@ -63,10 +65,10 @@
     watched: BTreeSet<Id>,
     list: list::List,
     superseded: bool,
-    ticked: Millis,
-    /// Raised with every change that others can see.
+    last_tick: Millis,
+    /// Incremented with every change of the view.
     revision: u64,
-    /// Absent after a change, until it is asked for.
+    /// Cached hash of the view; `None` after a change until it is next needed.
     view: Cell<Option<u64>>,
     actions: Vec<Action>,
     changes: Vec<Change>,
@@ -75,42 +77,44 @@
 #[derive(Debug)]
 struct Entry {
     member: Member,
-    /// Last sign of life, its own or one that another vouched for.
-    heard: Millis,
-    /// Last sign of life on a link of our own.
-    direct: Option<Millis>,
-    /// When others doubted it though we had just heard it.
-    accused: Option<Millis>,
-    reach: Reach,
-    /// Since when the doubt or departure stands.
-    since: Millis,
-    asking: Asking,
+    /// Time from which silence is measured: the last frame, newer entry or
+    /// successful probe, or the start of monitoring.
+    last_heard: Millis,
+    /// Time of the last frame on a direct link; `None` if there is no working link.
+    last_direct: Option<Millis>,
+    /// Time of a doubt from others that was deferred because the member had
+    /// just been heard directly.
+    deferred_doubt: Option<Millis>,
+    reachability: Reachability,
+    /// Time of the last change of entry or doubt.
+    changed_at: Millis,
+    probe_state: ProbeState,
 }
 
-/// What came of connecting since the last sign of life.
+/// Result of the last connection attempt; `Reachable` again once the member is heard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Reach {
-    Fine,
-    /// No connection.
+enum Reachability {
+    Reachable,
+    /// No connection could be made.
     Unreachable,
-    /// Nobody listens at its address.
-    NobodyThere,
+    /// The connection was refused: no process listens at the address.
+    ConnectionRefused,
 }
 
-/// Whether others are being asked after a silent member.
+/// State of probing a silent member, directly and through other peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Asking {
-    No,
-    /// It is doubted already.
-    Doubted,
-    /// Others vouched before; it is not doubted while they do.
-    Quietly,
-    /// Not being asked now, but others have vouched since we last heard it.
-    Vouched,
+enum ProbeState {
+    Idle,
+    /// Being probed, and already suspected.
+    ProbingSuspect,
+    /// Being probed without a suspicion, because an earlier probe reached it.
+    ProbingUnsuspected,
+    /// Not being probed, but a probe has reached it since its last direct frame.
+    Reached,
 }
 
 impl Membership {
-    /// Knows only `me`.
+    /// Creates a view that contains only `me`.
     #[must_use]
     pub fn new(me: Instance, timing: Timing, now: Millis) -> Self {
         Self {
@@ -120,7 +124,7 @@
             watched: BTreeSet::new(),
             list: list::List::default(),
             superseded: false,
-            ticked: now,
+            last_tick: now,
             revision: 0,
             view: Cell::new(None),
             actions: Vec::new(),
@@ -128,215 +132,226 @@
         }
     }
 
-    /// Own entry.
+    /// Returns this instance's own entry.
     #[must_use]
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// Another's entry, lately gone ones included.
+    /// Returns the entry of an instance, including one recently gone.
     #[must_use]
     pub fn get(&self, id: &Id) -> Option<&Member> {
         if *id == self.me.instance.id { Some(&self.me) } else { self.others.get(id).map(|e| &e.member) }
     }
 
-    /// Others' entries, lately gone ones included.
+    /// Iterates over the entries of other instances, including those recently gone.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.others.values().map(|e| &e.member)
     }
 
-    /// What owners see.
+    /// Returns the snapshot published to the rest of the process.
     #[must_use]
     pub fn members(&self) -> Members {
-        let others = self.others.iter().map(|(id, entry)| (id.clone(), entry.member.shown())).collect();
-        Members { me: self.me.shown(), others, unmet: self.unmet() }
+        let others = self.others.iter().map(|(id, entry)| (id.clone(), entry.member.to_instance())).collect();
+        Members { me: self.me.to_instance(), others, unmet: self.unmet() }
     }
 
-    /// Hash over the counted members, equal where two views are.
+    /// Returns a hash over the current members; equal views have equal hashes.
     #[must_use]
     pub fn view(&self) -> u64 {
         if let Some(view) = self.view.get() {
             return view;
         }
-        let counted = self.others().chain([&self.me]).filter(|m| m.is_counted());
-        let view = counted.fold(0, |sum, member| sum ^ member.print());
+        let present = self.others().chain([&self.me]).filter(|m| m.is_present());
+        let view = present.fold(0, |sum, member| sum ^ member.view_hash());
         self.view.set(Some(view));
         view
     }
 
-    /// Differs when anything else but the times of hearing does.
+    /// Returns a number that changes whenever the view does. Times of last
+    /// contact do not count.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// To be called after every change of an entry.
-    fn changed(&mut self) {
+    /// Must be called after every change of the view.
+    fn bump_revision(&mut self) {
         self.revision += 1;
         self.view.set(None);
     }
 
-    /// An entry changed, and others are to hear it.
-    fn tell_change(&mut self, id: &Id, from: Option<&Id>) {
+    /// Records a changed entry to be sent to other instances.
+    fn record_change(&mut self, id: &Id, from: Option<&Id>) {
         self.changes.push(Change { id: id.clone(), from: from.cloned() });
-        self.changed();
+        self.bump_revision();
     }
 
-    /// Whether a later run under this name was met; this one is to end.
+    /// Returns whether a later run under this name is known, so this run must end.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// A later run under this name is known; this one counts no more.
+    /// Ends this run because a later run under its name is known.
     pub fn supersede(&mut self) {
         self.superseded = true;
         self.me.instance.state = State::Gone;
-        self.changed();
+        self.bump_revision();
     }
 
-    /// What has become due since the last call.
+    /// Takes the actions that became due since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// What has changed since the last call.
+    /// Takes the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes over what `from` tells.
-    pub fn merge(&mut self, told: Vec<Member>, from: &Id, now: Millis) {
-        for member in told {
-            self.merge_one(member, Some(from), now);
+    /// Merges entries received from `from`.
+    pub fn merge(&mut self, received: Vec<Member>, from: &Id, now: Millis) {
+        for member in received {
+            self.merge_entry(member, Some(from), now);
         }
     }
 
-    /// Says that this instance takes no new work.
+    /// Announces that this instance takes no new work.
     pub fn leave(&mut self) {
-        self.declare(State::Leaving);
+        self.set_own_state(State::Leaving);
     }
 
-    /// Says that this run has ended.
-    pub fn depart(&mut self) {
-        self.declare(State::Gone);
+    /// Announces that this run has ended.
+    pub fn end(&mut self) {
+        self.set_own_state(State::Gone);
     }
 
-    fn declare(&mut self, state: State) {
+    fn set_own_state(&mut self, state: State) {
         if self.me.instance.state == State::Gone || self.me.instance.state == state {
             return;
         }
         self.me.instance.state = state;
-        self.speak();
+        self.renew_own_entry();
     }
 
-    /// Gives a new word, which every doubt about the old one falls with.
-    fn speak(&mut self) {
+    /// Publishes a new version of this instance's own entry, which clears every
+    /// doubt about the previous one.
+    fn renew_own_entry(&mut self) {
         self.me.refutation += 1;
         let id = self.me.instance.id.clone();
-        self.tell_change(&id, None);
+        self.record_change(&id, None);
     }
 
-    fn merge_one(&mut self, told: Member, from: Option<&Id>, now: Millis) {
-        if told.instance.id == self.me.instance.id {
-            return self.hear_of_me(&told);
+    fn merge_entry(&mut self, received: Member, from: Option<&Id>, now: Millis) {
+        if received.instance.id == self.me.instance.id {
+            return self.merge_own_entry(&received);
         }
-        let id = told.instance.id.clone();
+        let id = received.instance.id.clone();
         let Some(entry) = self.others.get_mut(&id) else {
-            return self.insert(told, from, now);
+            return self.insert(received, from, now);
         };
-        // A message of an earlier run: it must not bring that run back.
-        if told.age() < entry.member.age() {
+        // Ignore an outdated entry, such as one of an earlier run.
+        if received.version() < entry.member.version() {
             return;
         }
-        let doubted = told.doubt != Doubt::None;
-        if told.age() > entry.member.age() {
-            entry.take(told, now);
-            self.tell_change(&id, from);
+        let doubted = received.doubt != Doubt::None;
+        if received.version() > entry.member.version() {
+            entry.replace(received, now);
+            self.record_change(&id, from);
         }
         if doubted {
-            self.hear_doubt(&id, from, now);
+            self.apply_doubt(&id, from, now);
         }
     }
 
-    /// What others say about this instance.
-    fn hear_of_me(&mut self, told: &Member) {
-        if told.instance.incarnation > self.me.instance.incarnation {
-            // Two runs under one name would both take its keys' homes; the
-            // later start is the one that the operator meant.
+    /// Merges another instance's entry about this instance, refuting a doubt.
+    fn merge_own_entry(&mut self, received: &Member) {
+        if received.instance.incarnation > self.me.instance.incarnation {
+            // Two runs under one name would both act as the home instance of the
+            // same journal shards. The later run is the intended one.
             return self.supersede();
         }
-        let mine = told.instance.incarnation == self.me.instance.incarnation;
-        let doubted = told.doubt != Doubt::None && told.refutation >= self.me.refutation;
-        if mine && (doubted || told.refutation > self.me.refutation) {
-            self.me.refutation = told.refutation;
-            self.speak();
+        let same_run = received.instance.incarnation == self.me.instance.incarnation;
+        let doubted = received.doubt != Doubt::None && received.refutation >= self.me.refutation;
+        if same_run && (doubted || received.refutation > self.me.refutation) {
+            self.me.refutation = received.refutation;
+            self.renew_own_entry();
         }
     }
 
-    fn insert(&mut self, told: Member, from: Option<&Id>, now: Millis) {
-        // Unknown and gone: a forgotten one, which must not come back.
-        if !told.is_counted() {
+    fn insert(&mut self, received: Member, from: Option<&Id>, now: Millis) {
+        // An unknown member that is gone has been forgotten already and must
+        // not be added again.
+        if !received.is_present() {
             return;
         }
-        let id = told.instance.id.clone();
-        self.others.insert(id.clone(), Entry::new(told, now));
-        self.tell_change(&id, from);
+        let id = received.instance.id.clone();
+        self.others.insert(id.clone(), Entry::new(received, now));
+        self.record_change(&id, from);
     }
 
-    fn hear_doubt(&mut self, id: &Id, from: Option<&Id>, now: Millis) {
-        let fresh = self.fresh();
+    fn apply_doubt(&mut self, id: &Id, from: Option<&Id>, now: Millis) {
+        let validity = self.direct_validity();
         let Some(entry) = self.others.get_mut(id) else { return };
         if entry.member.doubt != Doubt::None || entry.member.instance.state == State::Gone {
             return;
         }
-        // Heard just now: the doubt is wrong here, and only its subject can
-        // end it elsewhere. It comes once, so it is kept until the subject is
-        // heard again: it may have crashed since.
-        if entry.direct.is_some_and(|at| now.saturating_sub(at) <= fresh) {
-            entry.accused = Some(now);
-            return self.tell(id);
+        // The member was just heard directly, so the doubt is probably wrong;
+        // only the member can clear it elsewhere. The doubt is sent only once,
+        // so keep it until the member is heard again: it may have crashed since.
+        if entry.last_direct.is_some_and(|at| now.saturating_sub(at) <= validity) {
+            entry.deferred_doubt = Some(now);
+            return self.notify(id);
         }
-        entry.doubt(now);
-        self.tell_change(id, from);
+        entry.mark_suspect(now);
+        self.record_change(id, from);
     }
 
-    /// How long having heard a member outweighs what others say.
-    fn fresh(&self) -> Millis {
+    /// Returns how long a direct frame from a member overrides doubts of others.
+    fn direct_validity(&self) -> Millis {
         2 * self.timing.heartbeat
     }
 
-    /// Tells a member that its word is doubted somewhere.
-    fn tell(&mut self, id: &Id) {
+    /// Queues a notification to a member that its entry is doubted.
+    fn notify(&mut self, id: &Id) {
         let Some(entry) = self.others.get(id) else { return };
         let doubt = entry.member.doubt.max(Doubt::Suspect);
-        self.actions.push(Action::Tell(Member { doubt, ..entry.member.clone() }));
+        self.actions.push(Action::Notify(Member { doubt, ..entry.member.clone() }));
     }
 }
 
 impl Entry {
     fn new(member: Member, now: Millis) -> Self {
-        Self { member, heard: now, direct: None, accused: None, reach: Reach::Fine, since: now, asking: Asking::No }
+        Self {
+            member,
+            last_heard: now,
+            last_direct: None,
+            deferred_doubt: None,
+            reachability: Reachability::Reachable,
+            changed_at: now,
+            probe_state: ProbeState::Idle,
+        }
     }
 
-    /// Takes a newer word.
-    fn take(&mut self, told: Member, now: Millis) {
-        if told.instance.incarnation > self.member.instance.incarnation {
-            self.direct = None;
+    /// Replaces the entry with a newer version and clears doubts.
+    fn replace(&mut self, received: Member, now: Millis) {
+        if received.instance.incarnation > self.member.instance.incarnation {
+            self.last_direct = None;
         }
-        self.member = Member { doubt: Doubt::None, ..told };
-        self.heard = now;
-        self.since = now;
-        self.accused = None;
-        self.reach = Reach::Fine;
-        if self.asking == Asking::Doubted {
-            self.asking = Asking::Vouched;
+        self.member = Member { doubt: Doubt::None, ..received };
+        self.last_heard = now;
+        self.changed_at = now;
+        self.deferred_doubt = None;
+        self.reachability = Reachability::Reachable;
+        if self.probe_state == ProbeState::ProbingSuspect {
+            self.probe_state = ProbeState::Reached;
         }
     }
 
-    fn doubt(&mut self, now: Millis) {
+    fn mark_suspect(&mut self, now: Millis) {
         self.member.doubt = Doubt::Suspect;
-        self.accused = None;
-        self.since = now;
+        self.deferred_doubt = None;
+        self.changed_at = now;
     }
 }
--- a/crates/peer/src/membership/silence.rs
+++ b/crates/peer/src/membership/silence.rs
@@ -1,155 +1,163 @@
-//! What becomes of a member that is not heard.
+//! Detection of silent members: suspicion, probing and removal.
 
 use world::{Millis, instance::Id, instance::State};
 
-use super::{Action, Asking, Membership, Reach};
+use super::{Action, Membership, ProbeState, Reachability};
 use crate::member::{Doubt, Member};
 
-/// Heartbeats that this instance may miss itself before it blames its own pause.
-const OWN_PAUSE: Millis = 3;
+/// If two ticks are more than this many heartbeat intervals apart, this instance
+/// assumes that it was paused itself.
+const OWN_PAUSE_HEARTBEATS: Millis = 3;
 
 impl Membership {
-    /// Names the members that this instance is answerable for: those that it
-    /// has or wants a link with.
-    pub fn watch(&mut self, ids: impl IntoIterator<Item = Id>, now: Millis) {
+    /// Sets the members that this instance monitors: those that it has or
+    /// wants a link with.
+    pub fn set_watched(&mut self, ids: impl IntoIterator<Item = Id>, now: Millis) {
         let wanted = ids.into_iter().collect();
         let before = std::mem::replace(&mut self.watched, wanted);
         for id in self.watched.difference(&before) {
             if let Some(entry) = self.others.get_mut(id) {
-                entry.heard = now;
+                entry.last_heard = now;
             }
         }
     }
 
-    /// A frame came on our own link with the member.
-    pub fn heard(&mut self, id: &Id, now: Millis) {
+    /// Records that a frame arrived on a direct link with the member.
+    pub fn record_frame(&mut self, id: &Id, now: Millis) {
         let Some(entry) = self.others.get_mut(id) else { return };
-        entry.heard = now;
-        entry.direct = Some(now);
-        entry.accused = None;
-        entry.reach = Reach::Fine;
-        entry.asking = Asking::No;
+        entry.last_heard = now;
+        entry.last_direct = Some(now);
+        entry.deferred_doubt = None;
+        entry.reachability = Reachability::Reachable;
+        entry.probe_state = ProbeState::Idle;
         if entry.member.doubt != Doubt::None {
-            self.tell(id);
+            self.notify(id);
         }
     }
 
-    /// Our own link with the member has ended: what others say counts again.
-    pub fn unlinked(&mut self, id: &Id, now: Millis) {
+    /// Records that the direct link with the member has closed, so that doubts
+    /// of others count again.
+    pub fn record_link_closed(&mut self, id: &Id, now: Millis) {
         let Some(entry) = self.others.get_mut(id) else { return };
-        entry.direct = None;
-        self.settle_accusation(id, now);
+        entry.last_direct = None;
+        self.apply_deferred_doubt(id, now);
     }
 
-    /// Takes up a kept doubt if its subject was not heard again.
-    fn settle_accusation(&mut self, id: &Id, now: Millis) {
-        let fresh = self.fresh();
+    /// Applies a deferred doubt if the member has not been heard again.
+    fn apply_deferred_doubt(&mut self, id: &Id, now: Millis) {
+        let validity = self.direct_validity();
         let Some(entry) = self.others.get_mut(id) else { return };
-        let Some(accused) = entry.accused else { return };
-        if entry.direct.is_none() || now.saturating_sub(accused) > fresh {
-            entry.doubt(now);
-            self.tell_change(id, None);
+        let Some(doubted_at) = entry.deferred_doubt else { return };
+        if entry.last_direct.is_none() || now.saturating_sub(doubted_at) > validity {
+            entry.mark_suspect(now);
+            self.record_change(id, None);
         }
     }
 
-    /// The member could not be connected to: it counts as silent already.
-    pub fn unreachable(&mut self, id: &Id) {
-        self.not_reached(id, Reach::Unreachable);
+    /// Records that connecting to the member failed; it now counts as silent.
+    pub fn record_unreachable(&mut self, id: &Id) {
+        self.set_reachability(id, Reachability::Unreachable);
     }
 
-    /// Nobody listens where the member should: a process that has ended, most
-    /// likely, and no pause, so that its refutation is waited for less long.
-    pub fn nobody_there(&mut self, id: &Id) {
-        self.not_reached(id, Reach::NobodyThere);
+    /// Records that no process listens at the member's address. Its process has
+    /// most likely ended rather than paused, so the wait for a refutation is
+    /// shorter.
+    pub fn record_connection_refused(&mut self, id: &Id) {
+        self.set_reachability(id, Reachability::ConnectionRefused);
     }
 
-    fn not_reached(&mut self, id: &Id, reach: Reach) {
+    fn set_reachability(&mut self, id: &Id, reachability: Reachability) {
         if let Some(entry) = self.others.get_mut(id) {
-            entry.direct = None;
-            entry.reach = reach;
+            entry.last_direct = None;
+            entry.reachability = reachability;
         }
     }
 
-    /// Another one reached the member and brings its word.
-    pub fn vouched(&mut self, word: Member, now: Millis) {
-        let id = word.instance.id.clone();
-        self.merge_one(word, None, now);
+    /// Records that a probe reached the member and returned its entry.
+    pub fn record_probe_success(&mut self, entry: Member, now: Millis) {
+        let id = entry.instance.id.clone();
+        self.merge_entry(entry, None, now);
         if let Some(entry) = self.others.get_mut(&id) {
-            entry.heard = now;
-            entry.reach = Reach::Fine;
-            entry.asking = Asking::Vouched;
+            entry.last_heard = now;
+            entry.reachability = Reachability::Reachable;
+            entry.probe_state = ProbeState::Reached;
         }
     }
 
-    /// Nobody who was asked could reach the member.
-    pub fn unvouched(&mut self, id: &Id, now: Millis) {
+    /// Records that neither this instance nor the peers that it asked to probe the
+    /// member reached it.
+    pub fn record_probe_failure(&mut self, id: &Id, now: Millis) {
         let Some(entry) = self.others.get_mut(id) else { return };
-        let quietly = entry.asking == Asking::Quietly;
-        entry.asking = Asking::No;
-        if quietly {
+        let unsuspected = entry.probe_state == ProbeState::ProbingUnsuspected;
+        entry.probe_state = ProbeState::Idle;
+        if unsuspected {
             self.suspect(id, now);
         }
     }
 
-    /// Lets time pass; called once a heartbeat.
+    /// Advances the time. Called at least once per heartbeat interval, and after a
+    /// failed dial.
     pub fn tick(&mut self, now: Millis) {
-        self.forgive_own_pause(now);
+        self.compensate_own_pause(now);
         let ids: Vec<_> = self.others.keys().cloned().collect();
         for id in ids {
-            self.tick_one(&id, now);
+            self.check_member(&id, now);
         }
     }
 
-    /// A paused instance that wakes hears nobody for a moment, though nobody
-    /// is at fault; without this it would doubt the whole fleet at once.
-    fn forgive_own_pause(&mut self, now: Millis) {
-        let pause = now.saturating_sub(self.ticked);
-        self.ticked = now;
-        if pause <= OWN_PAUSE * self.timing.heartbeat {
+    /// Extends all timers by a pause of this instance itself. Without this, an
+    /// instance that resumes after a pause would suspect the whole fleet at once.
+    fn compensate_own_pause(&mut self, now: Millis) {
+        let pause = now.saturating_sub(self.last_tick);
+        self.last_tick = now;
+        if pause <= OWN_PAUSE_HEARTBEATS * self.timing.heartbeat {
             return;
         }
         for entry in self.others.values_mut() {
-            entry.heard = now;
-            entry.reach = Reach::Fine;
-            // A doubt heard since waking, before this tick, is not that old.
-            entry.since = (entry.since + pause).min(now);
+            entry.last_heard = now;
+            entry.reachability = Reachability::Reachable;
+            // If the entry changed after the pause but before this tick, the
+            // sum would be in the future.
+            entry.changed_at = (entry.changed_at + pause).min(now);
         }
     }
 
-    fn tick_one(&mut self, id: &Id, now: Millis) {
-        self.settle_accusation(id, now);
+    fn check_member(&mut self, id: &Id, now: Millis) {
+        self.apply_deferred_doubt(id, now);
         let Some(entry) = self.others.get(id) else { return };
-        let stood = now.saturating_sub(entry.since);
-        if !entry.member.is_counted() {
-            if stood > self.timing.forget {
+        let age = now.saturating_sub(entry.changed_at);
+        if !entry.member.is_present() {
+            if age > self.timing.forget {
                 self.others.remove(id);
-                self.changed();
+                self.bump_revision();
             }
             return;
         }
         if entry.member.doubt == Doubt::Suspect {
-            if stood >= self.patience(id) {
-                self.remove(id, now);
+            if age >= self.removal_delay(id) {
+                self.mark_gone(id, now);
             }
             return;
         }
-        let silent = entry.reach != Reach::Fine || now.saturating_sub(entry.heard) > self.timing.silence;
-        if silent && self.watched.contains(id) {
-            self.miss(id, now);
+        let is_silent =
+            entry.reachability != Reachability::Reachable || now.saturating_sub(entry.last_heard) > self.timing.silence;
+        if is_silent && self.watched.contains(id) {
+            self.handle_silence(id, now);
         }
     }
 
-    fn miss(&mut self, id: &Id, now: Millis) {
+    fn handle_silence(&mut self, id: &Id, now: Millis) {
         let Some(entry) = self.others.get_mut(id) else { return };
-        match entry.asking {
-            Asking::No | Asking::Doubted => self.suspect(id, now),
-            // A one-way cut: others hear it well. Doubting it at each silence
-            // would make it refute for ever.
-            Asking::Vouched => {
-                entry.asking = Asking::Quietly;
+        match entry.probe_state {
+            ProbeState::Idle | ProbeState::ProbingSuspect => self.suspect(id, now),
+            // Only the direct path is broken: other peers reach the member.
+            // Suspecting it whenever it falls silent again would make it refute
+            // forever.
+            ProbeState::Reached => {
+                entry.probe_state = ProbeState::ProbingUnsuspected;
                 self.actions.push(Action::Probe(entry.member.clone()));
             }
-            Asking::Quietly => {}
+            ProbeState::ProbingUnsuspected => {}
         }
     }
 
@@ -158,18 +166,18 @@
         if entry.member.doubt != Doubt::None || entry.member.instance.state == State::Gone {
             return;
         }
-        entry.doubt(now);
-        entry.asking = Asking::Doubted;
+        entry.mark_suspect(now);
+        entry.probe_state = ProbeState::ProbingSuspect;
         self.actions.push(Action::Probe(entry.member.clone()));
-        self.tell_change(id, None);
+        self.record_change(id, None);
     }
 
-    fn remove(&mut self, id: &Id, now: Millis) {
+    fn mark_gone(&mut self, id: &Id, now: Millis) {
         let Some(entry) = self.others.get_mut(id) else { return };
         entry.member.doubt = Doubt::Gone;
-        entry.since = now;
-        entry.asking = Asking::No;
-        entry.direct = None;
-        self.tell_change(id, None);
+        entry.changed_at = now;
+        entry.probe_state = ProbeState::Idle;
+        entry.last_direct = None;
+        self.record_change(id, None);
     }
 }
--- a/crates/peer/src/membership/tests/schedule.rs
+++ b/crates/peer/src/membership/tests/schedule.rs
@@ -1,22 +1,23 @@
-//! After any schedule of faults and their healing, all agree on who is there.
+//! After any schedule of faults and their healing, all views agree.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 
-use super::{SETTLED, sim::Sim};
+use super::{CONVERGENCE_HEARTBEATS, sim::Sim};
 
 const SIZE: usize = 8;
-/// Faults that pass what the suspicion spans, and the memory of the removed.
-const LONGEST: usize = 80;
+/// Longest time between two faults in heartbeats: longer than the suspicion
+/// timeout and the time for which removed members are remembered.
+const MAX_HEARTBEATS_BETWEEN: usize = 80;
 
 #[derive(Debug, Clone)]
 enum Fault {
     Cut(usize, usize),
-    Part(usize),
+    Partition(usize),
     Heal,
     Kill(usize),
     Restart(usize),
     Pause(usize),
-    Wake(usize),
+    Resume(usize),
     Leave(usize),
 }
 
@@ -24,12 +25,12 @@
     let node = || 0..SIZE;
     prop_oneof![
         4 => (node(), node()).prop_map(|(one, other)| Fault::Cut(one, other)),
-        2 => node().prop_map(Fault::Part),
+        2 => node().prop_map(Fault::Partition),
         2 => Just(Fault::Heal),
         2 => node().prop_map(Fault::Kill),
         2 => node().prop_map(Fault::Restart),
         2 => node().prop_map(Fault::Pause),
-        2 => node().prop_map(Fault::Wake),
+        2 => node().prop_map(Fault::Resume),
         1 => node().prop_map(Fault::Leave),
     ]
 }
@@ -39,27 +40,27 @@
         Fault::Cut(one, other) => {
             sim.cuts.insert((one, other));
         }
-        Fault::Part(first) => {
-            let (ones, others): (Vec<_>, Vec<_>) = (0..SIZE).partition(|place| *place < first);
-            sim.part(&ones, &others);
+        Fault::Partition(first) => {
+            let (ones, others): (Vec<_>, Vec<_>) = (0..SIZE).partition(|index| *index < first);
+            sim.partition_groups(&ones, &others);
         }
         Fault::Heal => sim.cuts.clear(),
-        Fault::Kill(place) => sim.kill(place),
-        Fault::Restart(place) => sim.restart(place),
-        Fault::Pause(place) => sim.nodes[place].paused = true,
-        Fault::Wake(place) => sim.nodes[place].paused = false,
-        Fault::Leave(place) if sim.nodes[place].awake() => sim.nodes[place].membership.leave(),
+        Fault::Kill(index) => sim.kill(index),
+        Fault::Restart(index) => sim.restart(index),
+        Fault::Pause(index) => sim.nodes[index].paused = true,
+        Fault::Resume(index) => sim.nodes[index].paused = false,
+        Fault::Leave(index) if sim.nodes[index].is_running() => sim.nodes[index].membership.leave(),
         Fault::Leave(_) => {}
     }
 }
 
-/// The same few cases every time; as many others as `PROPTEST_CASES` says.
+/// Runs 64 fixed cases by default, or `PROPTEST_CASES` random ones if set.
 fn config() -> ProptestConfig {
-    let asked = ProptestConfig { failure_persistence: None, ..ProptestConfig::default() };
+    let base = ProptestConfig { failure_persistence: None, ..ProptestConfig::default() };
     if std::env::var_os("PROPTEST_CASES").is_some() {
-        return asked;
+        return base;
     }
-    ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(7), ..asked }
+    ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(7), ..base }
 }
 
 proptest! {
@@ -67,7 +68,7 @@
 
     #[test]
     fn all_agree_after_healing(
-        faults in prop::collection::vec((fault(), 0..LONGEST), 1..12),
+        faults in prop::collection::vec((fault(), 0..MAX_HEARTBEATS_BETWEEN), 1..12),
         limit in prop_oneof![Just(SIZE), Just(3), Just(4)],
         seed: u64,
     ) {
@@ -78,8 +79,8 @@
         }
         sim.cuts.clear();
         sim.nodes.iter_mut().for_each(|node| node.paused = false);
-        sim.run(2 * SETTLED);
+        sim.run(2 * CONVERGENCE_HEARTBEATS);
         prop_assert_eq!(sim.disagreement(), None);
-        prop_assert!((0..SIZE).all(|place| sim.links(place) <= limit.max(SIZE - 1)));
+        prop_assert!((0..SIZE).all(|index| sim.links(index) <= limit.max(SIZE - 1)));
     }
 }
--- a/crates/peer/src/news.rs
+++ b/crates/peer/src/news.rs
@@ -1,4 +1,4 @@
-//! News: numbered by its origin, told apart from what has been seen.
+//! News items, the filter for duplicates, and the rate limit of a link.
 
 use std::{cmp::Ordering, collections::BTreeMap};
 
@@ -11,51 +11,51 @@
 #[cfg(test)]
 mod tests;
 
-/// Numbers below an origin's highest that are still told apart.
-const WINDOW: u64 = 128;
+/// Number of latest sequence numbers of an origin that are tracked one by one.
+const WINDOW_LEN: u64 = 128;
 
-/// One piece of news on its way. The topic is a number here, because news of
-/// an unknown topic is passed on as well.
+/// One news item. The topic is a number here, because news of a topic unknown
+/// to this build is relayed as well.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct News {
-    /// Who published it.
+    /// Instance that published it.
     pub origin: Id,
-    /// In which run.
+    /// Run in which the origin published it.
     pub incarnation: Incarnation,
-    /// From 1 in each run.
+    /// Sequence number, starting at 1 in each run.
     pub sequence: u64,
-    /// What it is about.
+    /// Number of the topic.
     pub topic: u32,
-    /// Its owner's bytes.
+    /// Body, defined by the topic owner.
     pub body: Bytes,
-    /// Links travelled.
+    /// Number of links travelled so far.
     pub hops: u32,
-    /// Whether receivers pass it on.
+    /// Whether receivers relay it.
     pub relay: bool,
-    /// The origin's clock; 0 for none.
+    /// Time of the origin's hybrid logical clock; 0 if it has none.
     pub stamp: u64,
 }
 
-/// What tells one piece of news from all others.
+/// Unique identifier of a news item.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Name {
-    /// Who published it.
+    /// Instance that published it.
     pub origin: Id,
-    /// In which run.
+    /// Run in which the origin published it.
     pub incarnation: Incarnation,
-    /// From 1 in each run.
+    /// Sequence number, starting at 1 in each run.
     pub sequence: u64,
 }
 
 impl News {
-    /// Its name.
+    /// Returns the identifier of this item.
     #[must_use]
     pub fn name(&self) -> Name {
         Name { origin: self.origin.clone(), incarnation: self.incarnation, sequence: self.sequence }
     }
 }
 
-/// Which news has been seen, one small window per origin.
+/// Set of news items already seen, as one small window per origin.
 #[derive(Debug, Default)]
 pub struct Seen {
     origins: BTreeMap<Id, Window>,
@@ -65,53 +65,53 @@
 struct Window {
     incarnation: Incarnation,
     highest: u64,
-    /// Bit n: `highest - n` was seen.
+    /// Bit n is set if `highest - n` was seen.
     bits: u128,
 }
 
 impl Seen {
-    /// Whether the news is new, which it is once only. News of an earlier run,
-    /// and news older than the window, counts as seen.
-    pub fn is_new(&mut self, name: &Name) -> bool {
-        let fresh = || Window { incarnation: name.incarnation, highest: 0, bits: 0 };
-        let window = self.origins.entry(name.origin.clone()).or_insert_with(fresh);
+    /// Marks the item as seen and returns whether it was new. Items of an
+    /// earlier run, and items older than the window, count as seen.
+    pub fn insert(&mut self, name: &Name) -> bool {
+        let new_window = || Window { incarnation: name.incarnation, highest: 0, bits: 0 };
+        let window = self.origins.entry(name.origin.clone()).or_insert_with(new_window);
         if name.incarnation > window.incarnation {
-            *window = fresh();
+            *window = new_window();
         }
-        name.incarnation == window.incarnation && window.add(name.sequence)
+        name.incarnation == window.incarnation && window.insert(name.sequence)
     }
 
-    /// Whether it counts as seen, without seeing it.
+    /// Returns whether the item counts as seen, without marking it.
     #[must_use]
-    pub fn has(&self, name: &Name) -> bool {
+    pub fn contains(&self, name: &Name) -> bool {
         self.origins.get(&name.origin).is_some_and(|window| match name.incarnation.cmp(&window.incarnation) {
             Ordering::Less => true,
-            Ordering::Equal => window.has(name.sequence),
+            Ordering::Equal => window.contains(name.sequence),
             Ordering::Greater => false,
         })
     }
 
-    /// Drops the windows of all but these origins.
-    pub fn keep(&mut self, known: impl Fn(&Id) -> bool) {
+    /// Drops the windows of all origins for which `known` returns false.
+    pub fn retain_origins(&mut self, known: impl Fn(&Id) -> bool) {
         self.origins.retain(|id, _| known(id));
     }
 }
 
 impl Window {
-    fn has(&self, sequence: u64) -> bool {
-        let Some(back) = self.highest.checked_sub(sequence) else { return false };
-        back >= WINDOW || self.bits & (1 << back) != 0
+    fn contains(&self, sequence: u64) -> bool {
+        let Some(distance) = self.highest.checked_sub(sequence) else { return false };
+        distance >= WINDOW_LEN || self.bits & (1 << distance) != 0
     }
 
-    fn add(&mut self, sequence: u64) -> bool {
+    fn insert(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
-            let step = sequence - self.highest;
-            self.bits = if step < WINDOW { self.bits << step } else { 0 };
+            let shift = sequence - self.highest;
+            self.bits = if shift < WINDOW_LEN { self.bits << shift } else { 0 };
             self.bits |= 1;
             self.highest = sequence;
             return true;
         }
-        if self.has(sequence) {
+        if self.contains(sequence) {
             return false;
         }
         self.bits |= 1 << (self.highest - sequence);
@@ -119,32 +119,33 @@
     }
 }
 
-/// News that a link may still bring in this second.
+/// Limit of the news items per second accepted on a link.
 ///
-/// A flooding peer would otherwise be relayed to the whole fleet. What is over
-/// is dropped: the digests on heartbeats tell owners what they missed.
+/// Otherwise a peer that floods its link would be relayed to the whole fleet.
+/// Items over the limit are dropped: the digests on heartbeats let topic
+/// owners detect what they missed.
 #[derive(Debug)]
-pub struct Allowance {
+pub struct RateLimit {
     rate: u32,
-    left: u32,
-    since: Millis,
+    remaining: u32,
+    window_start: Millis,
 }
 
-impl Allowance {
-    /// `rate` pieces a second.
+impl RateLimit {
+    /// Creates a limit of `rate` items per second.
     #[must_use]
     pub fn new(rate: u32, now: Millis) -> Self {
-        Self { rate, left: rate, since: now }
+        Self { rate, remaining: rate, window_start: now }
     }
 
-    /// Takes one, if there is one.
+    /// Returns whether one more item is allowed, and counts it.
     pub fn take(&mut self, now: Millis) -> bool {
-        if now.saturating_sub(self.since) >= 1_000 {
-            self.left = self.rate;
-            self.since = now;
+        if now.saturating_sub(self.window_start) >= 1_000 {
+            self.remaining = self.rate;
+            self.window_start = now;
         }
-        let allowed = self.left > 0;
-        self.left = self.left.saturating_sub(1);
+        let allowed = self.remaining > 0;
+        self.remaining = self.remaining.saturating_sub(1);
         allowed
     }
 }
--- a/crates/peer/src/reader.rs
+++ b/crates/peer/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a link.
+//! Reader task of a link.
 
 use tokio::sync::mpsc;
 use tokio_util::task::AbortOnDropHandle;
@@ -8,37 +8,38 @@
 use crate::{
     event::{Clock, Event},
     generated::{Frame, frame::Kind},
-    link::{Received, Source},
-    news::Allowance,
+    link::{LinkId, Received},
+    news::RateLimit,
     relay::Message,
 };
 
-/// Reads a link until it ends. Each reader waits for room for one event at a
-/// time, so a flooding peer gets its turn among the others and no more.
-pub(crate) fn read(
+/// Spawns a task that reads a link until it ends. Each reader waits until the
+/// event queue has room for its next event, so that a flooding peer cannot crowd
+/// out the others.
+pub(crate) fn spawn_reader(
     mut incoming: Streaming<Frame>,
-    source: Source,
+    link: LinkId,
     events: mpsc::Sender<Event>,
     clock: Clock,
     rate: u32,
 ) -> AbortOnDropHandle<()> {
     AbortOnDropHandle::new(tokio::spawn(async move {
-        let mut allowance = Allowance::new(rate, clock.now());
+        let mut rate_limit = RateLimit::new(rate, clock.now());
         while let Ok(Some(frame)) = incoming.message().await {
-            let received = receive(frame, &mut allowance, clock.now());
-            if events.send(Event::Received(source.clone(), received)).await.is_err() {
+            let received = decode(frame, &mut rate_limit, clock.now());
+            if events.send(Event::Received(link.clone(), received)).await.is_err() {
                 return;
             }
         }
-        // The task may have ended; then nobody has to know.
-        let _ = events.send(Event::Closed(source)).await;
+        // Fails only if the task has ended, and all links with it.
+        let _ = events.send(Event::Closed(link)).await;
     }))
 }
 
-fn receive(frame: Frame, allowance: &mut Allowance, now: Millis) -> Received {
+fn decode(frame: Frame, rate_limit: &mut RateLimit, now: Millis) -> Received {
     let message = match frame.kind {
         Some(Kind::Heartbeat(heartbeat)) => return Received::Heartbeat(heartbeat.into()),
-        Some(Kind::News(_)) if !allowance.take(now) => {
+        Some(Kind::News(_)) if !rate_limit.take(now) => {
             metrics::counter!("peer_news_dropped_total", "where" => "allowance").increment(1);
             return Received::Other;
         }
--- a/crates/peer/src/relay/tests.rs
+++ b/crates/peer/src/relay/tests.rs
@@ -1,4 +1,4 @@
-//! News over a graph of links, with a clock of messages: each takes 10 ms.
+//! Broadcasts over a simulated graph of links, on which each message takes 10 ms.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,37 +10,38 @@
     instance::{Id, Incarnation},
 };
 
-use super::{Message, Messages, Relay, WAIT};
+use super::{BODY_TIMEOUT, Message, Messages, Relay};
 use crate::news::News;
 
-const HOP: Millis = 10;
-/// Longer than any question is waited with, all offers included.
-const QUIET: Millis = 40 * WAIT;
+const HOP_MS: Millis = 10;
+/// Longer than it takes to request a body from every peer that offered it.
+const SETTLE_TIME: Millis = 40 * BODY_TIMEOUT;
 
 struct Graph {
     now: Millis,
     nodes: BTreeMap<Id, Relay>,
-    /// What is under way: when it arrives, from whom, to whom.
-    air: Vec<(Millis, Id, Id, Message)>,
-    got: BTreeMap<Id, u64>,
+    /// Messages in transit: arrival time, sender, receiver, message.
+    in_transit: Vec<(Millis, Id, Id, Message)>,
+    received: BTreeMap<Id, u64>,
     bodies: usize,
     published: u64,
 }
 
-fn id(place: usize) -> Id {
-    Id::parse(&format!("i{place}")).unwrap()
+fn id(index: usize) -> Id {
+    Id::parse(&format!("i{index}")).unwrap()
 }
 
 impl Graph {
-    /// A ring with chords, as the topology makes them.
+    /// Creates a ring with chords, as the topology plans it.
     fn new(size: usize, chords: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
-        let nodes = (0..size).map(|place| (id(place), Relay::default())).collect();
-        let mut graph = Self { now: 0, nodes, air: Vec::new(), got: BTreeMap::new(), bodies: 0, published: 0 };
-        for place in 0..size {
-            graph.link(place, (place + 1) % size);
+        let nodes = (0..size).map(|index| (id(index), Relay::default())).collect();
+        let mut graph =
+            Self { now: 0, nodes, in_transit: Vec::new(), received: BTreeMap::new(), bodies: 0, published: 0 };
+        for index in 0..size {
+            graph.link(index, (index + 1) % size);
             for _ in 0..chords / 2 {
-                graph.link(place, rng.random_range(0..size));
+                graph.link(index, rng.random_range(0..size));
             }
         }
         graph
@@ -48,21 +49,22 @@
 
     fn link(&mut self, one: usize, other: usize) {
         if one != other {
-            self.nodes.get_mut(&id(one)).unwrap().linked(&id(other));
-            self.nodes.get_mut(&id(other)).unwrap().linked(&id(one));
+            self.nodes.get_mut(&id(one)).unwrap().add_link(&id(other));
+            self.nodes.get_mut(&id(other)).unwrap().add_link(&id(one));
         }
     }
 
-    fn lose(&mut self, place: usize) {
-        self.nodes.remove(&id(place));
-        self.nodes.values_mut().for_each(|relay| relay.unlinked(&id(place)));
+    fn remove(&mut self, index: usize) {
+        self.nodes.remove(&id(index));
+        self.nodes.values_mut().for_each(|relay| relay.remove_link(&id(index)));
     }
 
-    /// Publishes and says how many bodies were sent; all have it once after.
-    fn publish(&mut self, place: usize) -> usize {
+    /// Publishes an item, asserts that every other node receives it exactly
+    /// once, and returns the number of bodies sent.
+    fn publish(&mut self, index: usize) -> usize {
         self.published += 1;
         let news = News {
-            origin: id(place),
+            origin: id(index),
             incarnation: Incarnation(1),
             sequence: self.published,
             topic: 1,
@@ -71,32 +73,32 @@
             relay: true,
             stamp: 0,
         };
-        (self.got, self.bodies) = (BTreeMap::new(), 0);
-        let messages = self.nodes.get_mut(&id(place)).unwrap().publish(&news);
-        self.send(&id(place), messages);
-        let end = self.now + QUIET;
+        (self.received, self.bodies) = (BTreeMap::new(), 0);
+        let messages = self.nodes.get_mut(&id(index)).unwrap().publish(&news);
+        self.send(&id(index), messages);
+        let end = self.now + SETTLE_TIME;
         while self.now < end {
             self.step();
         }
-        let others: BTreeSet<_> = self.nodes.keys().filter(|node| **node != id(place)).collect();
-        let have: BTreeSet<_> = self.got.keys().collect();
-        assert_eq!(have, others, "not everywhere");
-        assert!(self.got.values().all(|times| *times == 1), "more than once");
+        let others: BTreeSet<_> = self.nodes.keys().filter(|node| **node != id(index)).collect();
+        let have: BTreeSet<_> = self.received.keys().collect();
+        assert_eq!(have, others, "not received everywhere");
+        assert!(self.received.values().all(|times| *times == 1), "received more than once");
         self.bodies
     }
 
     fn step(&mut self) {
-        self.now += HOP;
+        self.now += HOP_MS;
         let now = self.now;
-        let (arrived, air) = std::mem::take(&mut self.air).into_iter().partition(|(at, ..)| *at <= now);
-        self.air = air;
+        let (arrived, in_transit) = std::mem::take(&mut self.in_transit).into_iter().partition(|(at, ..)| *at <= now);
+        self.in_transit = in_transit;
         for (_, from, to, message) in arrived {
             self.arrive(&from, &to, message);
         }
         for node in self.nodes.keys().cloned().collect::<Vec<_>>() {
             let relay = self.nodes.get_mut(&node).unwrap();
-            if relay.due().is_some_and(|due| due <= now) {
-                let messages = relay.ask(now);
+            if relay.next_due().is_some_and(|due| due <= now) {
+                let messages = relay.request_overdue(now);
                 self.send(&node, messages);
             }
         }
@@ -106,17 +108,17 @@
         let Some(relay) = self.nodes.get_mut(to) else { return };
         let messages = match message {
             Message::News(news) => {
-                let (is_new, messages) = relay.news(from, &news);
-                *self.got.entry(to.clone()).or_default() += u64::from(is_new);
+                let (is_new, messages) = relay.on_news(from, &news);
+                *self.received.entry(to.clone()).or_default() += u64::from(is_new);
                 messages
             }
             Message::Have(name) => {
-                relay.have(from, name, self.now);
+                relay.on_have(from, name, self.now);
                 Messages::new()
             }
-            Message::Want(name) => relay.want(from, &name),
+            Message::Want(name) => relay.on_want(from, &name),
             Message::Prune => {
-                relay.prune(from);
+                relay.prune_link(from);
                 Messages::new()
             }
         };
@@ -126,7 +128,7 @@
     fn send(&mut self, from: &Id, messages: Messages) {
         for (to, message) in messages {
             self.bodies += usize::from(matches!(message, Message::News(_)));
-            self.air.push((self.now + HOP, from.clone(), to, message));
+            self.in_transit.push((self.now + HOP_MS, from.clone(), to, message));
         }
     }
 }
@@ -144,16 +146,16 @@
 }
 
 #[test]
-fn the_tree_mends_itself_when_instances_are_lost() {
-    // A tenth of the instances is lost in the middle of the tree, and nobody's
-    // links are replaced yet. The names on the pruned links show what is
-    // missing; the next news is everywhere all the same, and exactly once.
+fn the_tree_is_repaired_when_instances_are_lost() {
+    // A tenth of the instances are lost inside the tree, before any link is
+    // replaced. The names on the pruned links reveal the missing bodies, so the
+    // next items still arrive everywhere exactly once.
     let mut graph = Graph::new(100, 10);
     for origin in 0..10 {
         graph.publish(origin);
     }
-    for place in (3..100).step_by(10) {
-        graph.lose(place);
+    for index in (3..100).step_by(10) {
+        graph.remove(index);
     }
     for origin in [0, 50, 99, 0, 50, 99] {
         graph.publish(origin);
@@ -163,23 +165,23 @@
 }
 
 #[test]
-fn a_body_that_nobody_can_give_is_given_up() {
-    // The one that offered it has gone; the memory of it must not stay.
+fn a_body_that_no_peer_can_send_is_abandoned() {
+    // The peer that offered it is gone; the awaited item must not be kept forever.
     let mut relay = Relay::default();
-    relay.linked(&id(1));
+    relay.add_link(&id(1));
     let name = crate::news::Name { origin: id(9), incarnation: Incarnation(1), sequence: 1 };
-    relay.have(&id(1), name.clone(), 0);
-    assert_eq!(relay.due(), Some(WAIT));
-    assert_eq!(relay.ask(WAIT), [(id(1), Message::Want(name))]);
-    assert_eq!(relay.ask(2 * WAIT), []);
-    assert_eq!(relay.due(), None);
+    relay.on_have(&id(1), name.clone(), 0);
+    assert_eq!(relay.next_due(), Some(BODY_TIMEOUT));
+    assert_eq!(relay.request_overdue(BODY_TIMEOUT), [(id(1), Message::Want(name))]);
+    assert_eq!(relay.request_overdue(2 * BODY_TIMEOUT), []);
+    assert_eq!(relay.next_due(), None);
 }
 
 #[test]
 fn a_flood_of_names_is_bounded() {
     let mut relay = Relay::default();
     for sequence in 1..10_000 {
-        relay.have(&id(1), crate::news::Name { origin: id(9), incarnation: Incarnation(1), sequence }, 0);
+        relay.on_have(&id(1), crate::news::Name { origin: id(9), incarnation: Incarnation(1), sequence }, 0);
     }
-    assert_eq!(relay.missing.len(), super::MISSING);
+    assert_eq!(relay.missing.len(), super::MAX_MISSING);
 }
--- a/crates/peer/src/task/tests.rs
+++ b/crates/peer/src/task/tests.rs
@@ -1,4 +1,4 @@
-//! Odd peers, over real connections: later builds, floods, one that never reads.
+//! Misbehaving and later-build peers over real connections.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,9 +19,9 @@
     pool::Pool,
 };
 
-const PATIENCE: Duration = Duration::from_secs(30);
-/// A topic of a later build.
-const LATER: u32 = 4_000;
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of a topic that only a later build knows.
+const LATER_TOPIC: u32 = 4_000;
 
 fn settings(name: &str, seed: Option<&Handle>) -> Settings {
     let local = "127.0.0.1:0".parse().unwrap();
@@ -39,23 +39,23 @@
     settings
 }
 
-/// A peer made by hand, linked with a real instance.
-struct Raw {
+/// A scripted peer that is linked with a real instance.
+struct ScriptedPeer {
     pool: Arc<Pool>,
     sender: mpsc::Sender<Frame>,
     incoming: Streaming<Frame>,
 }
 
-impl Raw {
+impl ScriptedPeer {
     async fn link(name: &str, to: &Handle) -> Self {
         let settings = settings(name, None);
         let pool = Arc::new(Pool::new(&settings));
         let (sender, receiver) = mpsc::channel(1_024);
         let member = pb::Member::from(&Member::new(settings.me));
-        // Of a later build, which still understands this one.
+        // This is the greeting of a later build that still understands this one.
         let greeting = pb::Greeting { version: 9, oldest: 1, sender: Some(member), full: false };
         sender.send(Frame { kind: Some(Kind::Greeting(greeting)) }).await.unwrap();
-        let mut client = pool.fresh(to.address()).await.unwrap();
+        let mut client = pool.connect_new(to.address()).await.unwrap();
         let incoming = client.link(pool.request(ReceiverStream::new(receiver))).await.unwrap().into_inner();
         Self { pool, sender, incoming }
     }
@@ -80,68 +80,69 @@
 
 async fn until_live(handle: &Handle, count: usize) {
     let mut members = handle.members();
-    let waited = timeout(PATIENCE, members.wait_for(|m| m.live().count() == count)).await;
+    let waited = timeout(TIMEOUT, members.wait_for(|m| m.live().count() == count)).await;
     assert!(matches!(waited, Ok(Ok(_))), "{:?}", handle.members().borrow());
 }
 
 async fn next_news(inbound: &mut mpsc::Receiver<Inbound>, by: &str) -> Bytes {
     let wanted = async {
         loop {
-            match inbound.recv().await.expect("the task runs") {
+            match inbound.recv().await.expect("the task is running") {
                 Inbound::News { origin, body, .. } if origin.as_str() == by => return body,
                 _ => {}
             }
         }
     };
-    timeout(PATIENCE, wanted).await.expect("the news comes")
+    timeout(TIMEOUT, wanted).await.expect("the news arrives")
 }
 
 #[tokio::test]
-async fn what_a_later_build_adds_is_kept_out_of_the_way() {
-    // A roll-out of ours has two builds at work. Frames, topics and digests
-    // that only the later one knows arrive at the earlier one: it takes the
-    // rest, keeps the link, passes the news on, and refuses the calls as not run.
+async fn unknown_additions_of_a_later_build_do_no_harm() {
+    // During a rollout, two builds run side by side. The earlier build receives
+    // frames, topics and digests that only the later one knows. It handles the
+    // rest, keeps the link, relays the news and refuses the calls as not run.
     let (node, mut inbound) = crate::spawn(settings("a", None)).await.unwrap();
-    let raw = Raw::link("z", &node).await;
-    let mut other = Raw::link("y", &node).await;
+    let raw = ScriptedPeer::link("z", &node).await;
+    let mut other = ScriptedPeer::link("y", &node).await;
     until_live(&node, 3).await;
 
     raw.send(None).await;
-    let digests = vec![pb::Digest { topic: LATER, value: "x".into() }, pb::Digest { topic: 1, value: "17".into() }];
+    let digests =
+        vec![pb::Digest { topic: LATER_TOPIC, value: "x".into() }, pb::Digest { topic: 1, value: "17".into() }];
     raw.send(Some(Kind::Heartbeat(pb::Heartbeat { digests, ..pb::Heartbeat::default() }))).await;
-    raw.send(Some(raw.news(1, LATER, true))).await;
+    raw.send(Some(raw.news(1, LATER_TOPIC, true))).await;
     raw.send(Some(raw.news(2, Topic::Stop.number(), false))).await;
 
-    let first = timeout(PATIENCE, inbound.recv()).await.unwrap().unwrap();
+    let first = timeout(TIMEOUT, inbound.recv()).await.unwrap().unwrap();
     assert!(matches!(&first, Inbound::Digest { topic: Topic::Config, value, .. } if value == "17"), "{first:?}");
-    let second = timeout(PATIENCE, inbound.recv()).await.unwrap().unwrap();
+    let second = timeout(TIMEOUT, inbound.recv()).await.unwrap().unwrap();
     assert!(matches!(&second, Inbound::News { topic: Topic::Stop, .. }), "{second:?}");
 
     let relayed = async {
         loop {
-            let frame = other.incoming.message().await.unwrap().expect("the link stays");
+            let frame = other.incoming.message().await.unwrap().expect("the link stays open");
             if let Some(Kind::News(news)) = frame.kind {
                 return (news.topic, news.hops);
             }
         }
     };
-    assert_eq!(timeout(PATIENCE, relayed).await.unwrap(), (LATER, 1));
+    assert_eq!(timeout(TIMEOUT, relayed).await.unwrap(), (LATER_TOPIC, 1));
 
-    let call = CallRequest { caller: Some(raw.pool.caller()), topic: LATER, body: Bytes::new(), wanted: 0 };
-    let mut client = raw.pool.fresh(node.address()).await.unwrap();
+    let call = CallRequest { caller: Some(raw.pool.caller()), topic: LATER_TOPIC, body: Bytes::new(), wanted: 0 };
+    let mut client = raw.pool.connect_new(node.address()).await.unwrap();
     let status = client.call(raw.pool.request(call)).await.unwrap_err();
     assert_eq!(status.code(), Code::Unimplemented);
     assert!(!Error::from_status(&Id::parse("a").unwrap(), &status).may_have_arrived());
 }
 
 #[tokio::test]
-async fn a_flood_from_one_peer_does_not_hold_up_others() {
-    // One peer sends far more news than any owner can use. Without a bound all
-    // of it would be relayed, and heartbeats of others would wait behind it.
+async fn a_flood_from_one_peer_does_not_delay_others() {
+    // One peer sends far more news than any topic owner can handle. Without a
+    // rate limit all of it would be relayed and delay heartbeats of others.
     let (node, mut inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let (other, _other_inbound) = crate::spawn(settings("b", Some(&node))).await.unwrap();
     until_live(&node, 2).await;
-    let raw = Raw::link("z", &node).await;
+    let raw = ScriptedPeer::link("z", &node).await;
     let flood = tokio::spawn(async move {
         for sequence in 1.. {
             raw.send(Some(raw.news(sequence, Topic::Config.number(), true))).await;
@@ -157,13 +158,13 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_never_reads_costs_its_own_link_only() {
-    // Its queue and the connection's buffers fill; what does not fit is dropped
-    // for it alone, and the publisher never waits.
+async fn a_peer_that_never_reads_affects_only_its_own_link() {
+    // Its queue and the connection's buffers fill up. Further frames are dropped
+    // for this peer only, and the publisher never waits.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let (other, mut inbound) = crate::spawn(settings("b", Some(&node))).await.unwrap();
     until_live(&node, 2).await;
-    let _deaf = Raw::link("z", &node).await;
+    let _unreading = ScriptedPeer::link("z", &node).await;
     until_live(&node, 3).await;
     let body = Bytes::from(vec![b'x'; 64 << 10]);
     for _ in 0..100 {
@@ -175,19 +176,21 @@
 
 #[tokio::test]
 async fn a_silent_link_is_closed_and_its_peer_removed() {
-    // The connection stands, but nothing comes: the peer hangs, or lost its
-    // side. Kept open, the link would have its peer refused as linked already.
+    // The connection is open, but no frames arrive: the peer hangs or has lost
+    // its side. If the link were kept, the peer's next dial would be refused as
+    // a duplicate.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
-    let mut raw = Raw::link("z", &node).await;
+    let mut raw = ScriptedPeer::link("z", &node).await;
     until_live(&node, 2).await;
     let ended = async { while let Ok(Some(_)) = raw.incoming.message().await {} };
-    timeout(PATIENCE, ended).await.expect("the link is closed");
+    timeout(TIMEOUT, ended).await.expect("the link is closed");
     until_live(&node, 1).await;
 }
 
 #[tokio::test]
-async fn a_connection_that_says_nothing_is_harmless() {
-    // Opened by mistake, or by a peer that hangs before its greeting.
+async fn a_connection_without_a_greeting_is_harmless() {
+    // Such a connection is opened by mistake, or by a peer that hangs before it
+    // sends its greeting.
     let (node, _inbound) = crate::spawn(settings("a", None)).await.unwrap();
     let _silent = TcpStream::connect(node.address()).await.unwrap();
     sleep(Duration::from_millis(10)).await;
--- a/crates/peer/src/topology/tests.rs
+++ b/crates/peer/src/topology/tests.rs
@@ -1,4 +1,4 @@
-//! The links that all plan together.
+//! The graph that results when all instances plan their links.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 
 use super::{has_room, plan};
 
-/// Rounds in which all plan again, unless nothing changes any more before.
+/// Maximum number of planning rounds until no link changes.
 const ROUNDS: usize = 24;
 
 struct Fleet {
@@ -18,7 +18,7 @@
 
 impl Fleet {
     fn new(size: usize, domains: usize, limit: usize) -> Self {
-        let instances = (0..size).map(|place| instance(place, domains)).collect();
+        let instances = (0..size).map(|index| instance(index, domains)).collect();
         let mut fleet = Self { instances, links: BTreeMap::new(), limit };
         fleet.settle();
         fleet
@@ -27,8 +27,8 @@
     fn settle(&mut self) {
         for _ in 0..ROUNDS {
             let before = self.links.clone();
-            for place in 0..self.instances.len() {
-                self.plan(place);
+            for index in 0..self.instances.len() {
+                self.plan(index);
             }
             if self.links == before {
                 return;
@@ -36,18 +36,18 @@
         }
     }
 
-    fn plan(&mut self, place: usize) {
-        let me = self.instances[place].clone();
+    fn plan(&mut self, index: usize) {
+        let me = self.instances[index].clone();
         let others: Vec<_> = self.instances.iter().filter(|i| i.id != me.id).collect();
         let linked = self.links.get(&me.id).cloned().unwrap_or_default();
         let plan = plan(&me, &others, &linked, self.limit);
         for other in &plan.close {
             self.unlink(&me.id, other);
         }
-        for other in plan.dial.iter().chain(&plan.late) {
+        for other in plan.dial.iter().chain(&plan.dial_later) {
             self.link(&me.id, other);
         }
-        // One at a time, as the task does: each changes which domain is next.
+        // One chord at a time, as the task does: each changes which domain is preferred.
         if let Some(other) = plan.chords.iter().find(|id| self.has_room(id, &me)).cloned() {
             self.link(&me.id, &other);
         }
@@ -74,7 +74,7 @@
         }
     }
 
-    fn lose(&mut self, domain: usize) {
+    fn remove(&mut self, domain: usize) {
         let lost = instance(domain, self.domains()).domain;
         self.instances.retain(|i| i.domain != lost);
         let left: BTreeSet<_> = self.instances.iter().map(|i| i.id.clone()).collect();
@@ -86,7 +86,8 @@
         self.instances.iter().map(|i| &i.domain).collect::<BTreeSet<_>>().len()
     }
 
-    /// The most links from any one to any other; none when some are cut off.
+    /// Returns the largest distance between two instances in links, or `None`
+    /// if the graph is disconnected.
     fn diameter(&self) -> Option<usize> {
         self.instances.iter().map(|i| self.reach(&i.id)).max()?
     }
@@ -111,12 +112,12 @@
     }
 }
 
-fn instance(place: usize, domains: usize) -> Instance {
+fn instance(index: usize, domains: usize) -> Instance {
     let address = "127.0.0.1:1".parse().unwrap();
     Instance {
-        id: Id::parse(&format!("i{place}")).unwrap(),
+        id: Id::parse(&format!("i{index}")).unwrap(),
         incarnation: Incarnation(1),
-        domain: format!("d{}", place % domains).parse().unwrap(),
+        domain: format!("d{}", index % domains).parse().unwrap(),
         callers: address,
         peers: address,
         operators: address,
@@ -124,20 +125,21 @@
     }
 }
 
-/// All reach all in few hops over few links, also in the moment in which a
-/// failure domain is lost and no link has been replaced yet.
+/// Asserts that all instances reach each other in at most `hops` hops over at
+/// most `limit` links each, and that the graph stays connected when a failure
+/// domain is lost, even before any link is replaced.
 fn check(size: usize, domains: usize, limit: usize, hops: usize) {
     let mut fleet = Fleet::new(size, domains, limit);
-    let diameter = fleet.diameter().expect("all are reached");
+    let diameter = fleet.diameter().expect("the graph is connected");
     assert!(diameter <= hops, "{diameter} hops");
     assert!(fleet.most_links() <= limit, "{} links", fleet.most_links());
 
-    fleet.lose(0);
+    fleet.remove(0);
     if limit > 3 {
-        assert!(fleet.diameter().is_some(), "some are cut off until the links are replaced");
+        assert!(fleet.diameter().is_some(), "disconnected until the links are replaced");
     }
     fleet.settle();
-    assert!(fleet.diameter().is_some(), "some are cut off for good");
+    assert!(fleet.diameter().is_some(), "disconnected permanently");
     assert!(fleet.most_links() <= limit, "{} links after the loss", fleet.most_links());
 }
 
@@ -148,19 +150,19 @@
 }
 
 fleets! {
-    seven_are_all_linked: 7, 3, 12, 1;
-    thirteen_are_all_linked: 13, 4, 12, 1;
-    fourteen_are_just_too_many: 14, 4, 12, 2;
+    seven_form_a_full_mesh: 7, 3, 12, 1;
+    thirteen_form_a_full_mesh: 13, 4, 12, 1;
+    fourteen_exceed_a_full_mesh: 14, 4, 12, 2;
     ten_with_three_links: 10, 3, 3, 4;
     thirty_one: 31, 8, 12, 3;
     two_hundred: 200, 8, 12, 4;
 }
 
 #[test]
-fn links_stand_in_many_domains() {
-    // A domain that holds most of an instance's links would take them all at
-    // once. An even share would be an eighth, twice that is allowed. Few links
-    // may be missing for it.
+fn links_are_spread_over_domains() {
+    // If one domain held most of an instance's links, its loss would cost them
+    // all at once. An even share is one eighth, and twice that is allowed. The
+    // limit must not leave many links unused.
     let fleet = Fleet::new(200, 8, 12);
     let domain = |id: &Id| &fleet.instances.iter().find(|i| i.id == *id).unwrap().domain;
     for links in fleet.links.values() {
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -1,8 +1,8 @@
-//! Between our types and the generated wire types.
+//! Conversions between this crate's types and the generated wire types.
 //!
-//! A message of another build is read as far as this one knows it: unknown
-//! fields are skipped, an unknown state takes no new work, an entry that makes
-//! no sense is left out alone.
+//! Messages of other builds are read as far as this build knows them: unknown
+//! fields are skipped, a member with an unknown state gets no new work, and an
+//! invalid entry is skipped, but not the rest of its message.
 
 use std::net::SocketAddr;
 
@@ -12,8 +12,8 @@
     generated as pb,
     member::{Doubt, Member},
     news::{Name, News},
+    outbox::Heartbeat,
     relay::Message,
-    spread::Heartbeat,
 };
 
 #[cfg(test)]
@@ -21,14 +21,14 @@
 
 /// Protocol version of this build.
 pub const VERSION: u32 = 1;
-/// Oldest version that this build understands.
-pub const OLDEST: u32 = 1;
-/// Where the shared secret travels.
-pub(crate) const KEY: &str = "arbutuslug-key-bin";
-/// Room in a message for all but the body.
-pub(crate) const OVERHEAD: usize = 64 << 10;
-
-/// A message that makes no sense; the text names the field.
+/// Oldest protocol version that this build understands.
+pub const OLDEST_VERSION: u32 = 1;
+/// Metadata key of the shared secret.
+pub(crate) const KEY_METADATA: &str = "arbutuslug-key-bin";
+/// Maximum size of a message without its body, in bytes.
+pub(crate) const MAX_OVERHEAD: usize = 64 << 10;
+
+/// An invalid message; the text names the invalid field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Invalid(pub &'static str);
 
@@ -39,7 +39,7 @@
             id: instance.id.to_string(),
             incarnation: instance.incarnation.0,
             refutation: member.refutation,
-            state: word(instance.state).into(),
+            state: wire_state(instance.state).into(),
             domain: instance.domain.to_string(),
             callers: instance.callers.to_string(),
             peers: instance.peers.to_string(),
@@ -49,7 +49,7 @@
     }
 }
 
-fn word(state: State) -> pb::State {
+fn wire_state(state: State) -> pb::State {
     match state {
         State::Live | State::Suspect => pb::State::Live,
         State::Leaving => pb::State::Leaving,
@@ -74,7 +74,8 @@
         let state = match wire.state() {
             pb::State::Live => State::Live,
             pb::State::Left => State::Gone,
-            // Also one that a later build made up: no new work goes there.
+            // `Unspecified` includes states added by a later build: such a
+            // member gets no new work.
             pb::State::Leaving | pb::State::Unspecified => State::Leaving,
         };
         let doubt = match wire.doubt() {
@@ -86,16 +87,16 @@
             id: Id::parse(&wire.id).map_err(|_| Invalid("id"))?,
             incarnation: Incarnation(wire.incarnation),
             domain: wire.domain.parse().map_err(|_| Invalid("domain"))?,
-            callers: address(&wire.callers).ok_or(Invalid("callers"))?,
-            peers: address(&wire.peers).ok_or(Invalid("peers"))?,
-            operators: address(&wire.operators).ok_or(Invalid("operators"))?,
+            callers: parse_address(&wire.callers).ok_or(Invalid("callers"))?,
+            peers: parse_address(&wire.peers).ok_or(Invalid("peers"))?,
+            operators: parse_address(&wire.operators).ok_or(Invalid("operators"))?,
             state,
         };
         Ok(Self { instance, refutation: wire.refutation, doubt })
     }
 }
 
-fn address(text: &str) -> Option<SocketAddr> {
+fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
@@ -171,15 +172,15 @@
 /// The first frame on a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Greeting {
-    /// Who greets.
+    /// Entry of the sender.
     pub sender: Member,
-    /// It has all the links it may keep.
+    /// Whether the sender has no room for this link and will close a link soon.
     pub full: bool,
 }
 
 impl From<Greeting> for pb::Greeting {
     fn from(greeting: Greeting) -> Self {
-        Self { version: VERSION, oldest: OLDEST, sender: Some((&greeting.sender).into()), full: greeting.full }
+        Self { version: VERSION, oldest: OLDEST_VERSION, sender: Some((&greeting.sender).into()), full: greeting.full }
     }
 }
 
@@ -187,7 +188,7 @@
     type Error = Invalid;
 
     fn try_from(wire: pb::Greeting) -> Result<Self, Invalid> {
-        if wire.version < OLDEST || wire.oldest > VERSION {
+        if wire.version < OLDEST_VERSION || wire.oldest > VERSION {
             return Err(Invalid("version"));
         }
         let sender = wire.sender.ok_or(Invalid("sender"))?.try_into()?;
@@ -195,7 +196,7 @@
     }
 }
 
-/// One frame with its kind.
+/// Wraps a message in a frame.
 #[must_use]
 pub fn frame(kind: impl Into<pb::frame::Kind>) -> pb::Frame {
     pb::Frame { kind: Some(kind.into()) }
--- a/crates/peer/src/wire/tests.rs
+++ b/crates/peer/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Messages of builds before and after this one.
+//! Compatibility with messages of earlier and later builds.
 
 use prost::Message;
 use world::instance::State;
@@ -7,12 +7,13 @@
 use crate::{
     generated as pb,
     member::{Doubt, Member},
-    spread::Heartbeat,
+    outbox::Heartbeat,
 };
 
-/// A member as the first build wrote it: no refutation, no doubt.
+/// A member as written by other builds: without `refutation` and `doubt`, as by
+/// the first build, and optionally with a field added by a later one.
 #[derive(Clone, PartialEq, Message)]
-struct OldMember {
+struct OtherBuildMember {
     #[prost(string, tag = "1")]
     id: String,
     #[prost(uint64, tag = "2")]
@@ -27,13 +28,13 @@
     peers: String,
     #[prost(string, tag = "8")]
     operators: String,
-    /// Of a later build.
+    /// Field added by a later build.
     #[prost(string, optional, tag = "100")]
     colour: Option<String>,
 }
 
-fn member() -> OldMember {
-    OldMember {
+fn member() -> OtherBuildMember {
+    OtherBuildMember {
         id: "i1".into(),
         incarnation: 3,
         state: pb::State::Live.into(),
@@ -45,8 +46,8 @@
     }
 }
 
-/// Reads a member off the wire.
-fn check(wire: &OldMember, expected: &Result<State, Invalid>) {
+/// Decodes a member and compares its state or error.
+fn check(wire: &OtherBuildMember, expected: &Result<State, Invalid>) {
     let read = pb::Member::decode(wire.encode_to_vec().as_slice()).unwrap();
     let member = Member::try_from(read);
     assert_eq!(&member.as_ref().map(Member::state).map_err(Clone::clone), expected);
@@ -60,16 +61,16 @@
 }
 
 members! {
-    of_an_earlier_build: member() => Ok(State::Live);
-    with_a_field_of_a_later_build: OldMember { colour: Some("blue".into()), ..member() } => Ok(State::Live);
-    // Not known to take work: it gets none.
-    with_a_state_of_a_later_build: OldMember { state: 77, ..member() } => Ok(State::Leaving);
-    without_a_state: OldMember { state: 0, ..member() } => Ok(State::Leaving);
-    without_a_name: OldMember { id: String::new(), ..member() } => Err(Invalid("id"));
-    with_a_host_name: OldMember { peers: "host:1".into(), ..member() } => Err(Invalid("peers"));
+    member_of_an_earlier_build: member() => Ok(State::Live);
+    member_with_a_field_of_a_later_build: OtherBuildMember { colour: Some("blue".into()), ..member() } => Ok(State::Live);
+    // A member with an unknown state may not accept work, so it gets none.
+    member_with_a_state_of_a_later_build: OtherBuildMember { state: 77, ..member() } => Ok(State::Leaving);
+    member_without_a_state: OtherBuildMember { state: 0, ..member() } => Ok(State::Leaving);
+    member_without_a_name: OtherBuildMember { id: String::new(), ..member() } => Err(Invalid("id"));
+    member_with_a_host_name: OtherBuildMember { peers: "host:1".into(), ..member() } => Err(Invalid("peers"));
 }
 
-/// Whether a greeting of these versions is understood.
+/// Checks whether a greeting of these versions is accepted.
 fn check_version(version: u32, oldest: u32, expected: bool) {
     let sender = pb::Member::decode(member().encode_to_vec().as_slice()).unwrap();
     let greeting = pb::Greeting { version, oldest, sender: Some(sender), full: false };
@@ -83,14 +84,14 @@
 }
 
 versions! {
-    this_version: 1, 1 => true;
-    a_later_one_that_understands_us: 9, 1 => true;
-    a_later_one_that_does_not: 9, 2 => false;
-    one_that_does_not_say: 0, 0 => false;
+    greeting_of_this_version: 1, 1 => true;
+    greeting_of_a_later_compatible_version: 9, 1 => true;
+    greeting_of_a_later_incompatible_version: 9, 2 => false;
+    greeting_without_a_version: 0, 0 => false;
 }
 
 #[test]
-fn a_broken_entry_is_left_out_alone() {
+fn only_the_invalid_entry_is_skipped() {
     let good = pb::Member::decode(member().encode_to_vec().as_slice()).unwrap();
     let broken = pb::Member { domain: "no domain".into(), ..good.clone() };
     let heartbeat = Heartbeat::from(pb::Heartbeat { members: vec![broken, good], ..pb::Heartbeat::default() });
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_again() {
+fn a_heartbeat_survives_a_round_trip() {
     let read = pb::Member::decode(member().encode_to_vec().as_slice()).unwrap();
     let member = Member { refutation: 4, doubt: Doubt::Gone, ..Member::try_from(read).unwrap() };
     let heartbeat = Heartbeat { members: vec![member], digests: vec![(1, "17".into())], view: 5, want_all: true };
