--- a/crates/entry/src/ask.rs
+++ b/crates/entry/src/ask.rs
@@ -1,9 +1,8 @@
-//! What a caller asks for, read from its headers and body.
+//! Parsing of a caller's headers and body.
 //!
-//! Everything is checked here, once: what leaves this module is typed, and
-//! what cannot be read is a [`Problem`] that names the part at fault. The
-//! members of a chat request that we do not need pass on to the engine as
-//! they came.
+//! Everything is checked once, in this module: its results are typed, and input
+//! that cannot be parsed gives a [`Problem`] that names the faulty part. Members of
+//! a chat request that are not needed here are passed to the engine unchanged.
 
 use std::collections::BTreeMap;
 
@@ -22,58 +21,58 @@
 
 use crate::problem::{Kind, Problem};
 
-/// Names a request so that a repeat is known.
+/// Header with the request's key, by which repeats are recognized.
 pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// `false` marks a request that must not be repeated.
+/// Header whose value `false` marks a request that must not be repeated.
 pub const IDEMPOTENT: HeaderName = HeaderName::from_static("arbutuslug-idempotent");
-/// Names the session.
+/// Header that names the session.
 pub const SESSION: HeaderName = HeaderName::from_static("arbutuslug-session");
-/// Milliseconds from now in which the answer must be whole.
+/// Header with the milliseconds from now in which the answer must be whole.
 pub const DEADLINE: HeaderName = HeaderName::from_static("arbutuslug-deadline-ms");
-/// Names the request class.
+/// Header that names the request class.
 pub const CLASS: HeaderName = HeaderName::from_static("arbutuslug-request-class");
 
-/// Class of a request that names none.
+/// Class of a request that does not name one.
 const DEFAULT_CLASS: &str = "default";
-/// Longest deadline a caller may ask for.
+/// Longest deadline of a request, in milliseconds; longer ones are cut to it.
 const MAX_DEADLINE_MS: Millis = 60 * 60 * 1_000;
-/// Bytes of prompt taken for one token where no better count is known.
+/// Bytes of prompt estimated as one token, as no exact count is known.
 const BYTES_PER_TOKEN: usize = 4;
-/// Bytes of the prompt that decide where its prefix is likely cached.
+/// Number of leading bytes of the prompt whose hash identifies its cached prefix.
 const PREFIX_BYTES: usize = 256;
 
-/// What every call's headers say.
+/// The terms of a call, given by its headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Terms {
-    /// Whose call.
+    /// Customer that sent the request.
     pub customer: Customer,
-    /// Its request.
+    /// Identifier of the request.
     pub id: request::Id,
-    /// Whether the caller named the key; one of ours nobody can repeat.
+    /// Whether the caller gave the key; nobody can repeat a key generated here.
     pub keyed: bool,
-    /// Whether the caller said it must not be repeated.
+    /// Whether the caller marked the request as not to be repeated.
     pub never: bool,
-    /// The session as the caller named it.
+    /// Session header as sent by the caller.
     pub session: Option<String>,
-    /// Time to its deadline; the contract's when it names none.
+    /// Time until the deadline; `None` for the contract's default.
     pub deadline_ms: Option<Millis>,
-    /// Its class.
+    /// Request class.
     pub class: Class,
 }
 
 impl Terms {
-    /// Whether it may be repeated.
+    /// Returns whether the request may be repeated.
     #[must_use]
     pub fn repeat(&self) -> Repeat {
         if self.never { Repeat::Never } else { Repeat::Idempotent }
     }
 }
 
-/// The customer whose contract has the caller's key.
+/// Returns the customer whose contract lists the caller's API key.
 ///
 /// # Errors
 ///
-/// [`Kind::WrongKey`].
+/// [`Kind::WrongKey`] if there is no key or no contract lists it.
 pub fn customer(catalog: &Catalog, headers: &HeaderMap) -> Result<Customer, Problem> {
     let refused = |detail: &str| Problem::not_run(Kind::WrongKey, detail);
     let value = headers.get(header::AUTHORIZATION).ok_or_else(|| refused("no Authorization header"))?;
@@ -85,18 +84,18 @@
     let digest = contract::Key::of(key.trim()).sha256;
     let wrong = || refused("no contract lists this key");
     let customer = catalog.customer_by_key(&digest).ok_or_else(wrong)?;
-    // The table is searched by the key's hash, so that the time it takes
-    // tells nothing of the key; the match itself is checked in constant time.
+    // The lookup uses the key's hash, so that its duration reveals nothing about the
+    // key; the match itself is checked in constant time.
     let contract = catalog.contract(customer).ok_or_else(wrong)?;
     let held = contract.keys.iter().any(|held| held.sha256.as_bytes().ct_eq(digest.as_bytes()).into());
     if held { Ok(customer.clone()) } else { Err(wrong()) }
 }
 
-/// Reads a call's terms.
+/// Parses a call's terms from its headers.
 ///
 /// # Errors
 ///
-/// [`Kind::Malformed`] that names the header, or [`Kind::KeyExpired`].
+/// [`Kind::Malformed`], naming the header, or [`Kind::KeyExpired`].
 pub fn terms(customer: Customer, headers: &HeaderMap, now: Timestamp) -> Result<Terms, Problem> {
     let given = text(headers, &KEY)?;
     let keyed = given.is_some();
@@ -121,15 +120,17 @@
     Ok(Terms { customer, id, keyed, never, session, deadline_ms, class })
 }
 
-/// A key of our own making.
+/// Generates a key for a request whose caller gave none.
 #[must_use]
 pub fn fresh_key() -> request::Key {
     let text = uuid::Uuid::now_v7().to_string();
     request::Key::parse(&text).unwrap_or_else(|_| unreachable!("a UUID is a name"))
 }
 
-/// Refuses keys older than they are remembered: whether such a request ran
-/// can no longer be told, and running it again might double it.
+/// Refuses keys that are older than keys are remembered.
+///
+/// Whether such a request ran is no longer known, and running it might run it twice.
+/// Keys dated too far ahead of this instance's clock are refused too.
 fn check_age(key: &request::Key, now: Timestamp) -> Result<(), Problem> {
     let Some(made) = key.made_at() else {
         return Ok(());
@@ -145,6 +146,7 @@
     Ok(())
 }
 
+/// Parses the value of the deadline header.
 fn deadline(digits: &str) -> Result<Millis, Problem> {
     match digits.parse::<Millis>() {
         Ok(0) | Err(_) => Err(malformed(&DEADLINE, "use a whole number of milliseconds above 0")),
@@ -152,6 +154,7 @@
     }
 }
 
+/// Returns the trimmed value of a header that may be sent at most once.
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Problem> {
     let mut values = headers.get_all(name).iter();
     let Some(first) = values.next() else {
@@ -164,6 +167,7 @@
     Ok(Some(text.trim()))
 }
 
+/// Adds the header's name to a parse error of its value.
 fn named<T>(header: &HeaderName, parsed: Result<T, world::Invalid>) -> Result<T, Problem> {
     parsed.map_err(|invalid| malformed(header, &invalid.to_string()))
 }
@@ -172,25 +176,26 @@
     Problem::not_run(Kind::Malformed, format!("header `{header}`: {detail}"))
 }
 
-/// A chat request.
+/// A parsed chat request.
 #[derive(Debug, Clone)]
 pub struct Chat {
-    /// The model it names.
+    /// Requested model.
     pub model: model::Id,
     /// Whether the caller wants a stream.
     pub stream: bool,
-    /// Most tokens the caller takes.
+    /// Maximum number of tokens that the caller accepts.
     pub max_tokens: Option<u32>,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Hash of the prompt's beginning; decides where its cache likely is.
+    /// Hash of the prompt's beginning; used to find endpoints that likely cache it.
     pub prefix: u64,
-    /// Hash of the whole body; two requests with one key must have one body.
+    /// Hash of the whole body; requests with the same key must have the same body.
     pub fingerprint: u64,
+    /// All members of the body as sent.
     members: BTreeMap<String, Box<RawValue>>,
 }
 
-/// One message, as far as we check it.
+/// The members of a message that are checked here.
 #[derive(Debug, Deserialize)]
 struct Message<'a> {
     role: String,
@@ -199,11 +204,11 @@
 }
 
 impl Chat {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
     ///
-    /// [`Kind::Malformed`] that names the member.
+    /// [`Kind::Malformed`], naming the member.
     pub fn parse(body: &[u8]) -> Result<Self, Problem> {
         let bad = |detail: String| Problem::not_run(Kind::Malformed, detail);
         let members: BTreeMap<String, Box<RawValue>> =
@@ -235,10 +240,10 @@
         })
     }
 
-    /// The body for an engine: this version, always streamed.
+    /// Returns the body to send to an engine that runs `version`.
     ///
-    /// Streamed also where the caller wants the answer whole, because only a
-    /// stream can be resumed after a break.
+    /// It always asks for a stream, even if the caller wants the answer whole, because
+    /// only a stream can be resumed after a break.
     #[must_use]
     pub fn body(&self, version: &model::Version, max_tokens: u32) -> Bytes {
         let mut members: BTreeMap<&str, &RawValue> = self.members.iter().map(|(k, v)| (k.as_str(), &**v)).collect();
@@ -253,10 +258,12 @@
     }
 }
 
+/// Serializes a value to raw JSON.
 fn raw<T: serde::Serialize>(value: &T) -> Box<RawValue> {
     serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned())
 }
 
+/// Checks that there is a message and that each has a role and the content it needs.
 fn check_messages(messages: &RawValue) -> Result<(), Problem> {
     let bad = |detail: String| Problem::not_run(Kind::Malformed, detail);
     let messages: Vec<Message<'_>> =
@@ -271,6 +278,7 @@
     }
 }
 
+/// Parses a member that must be present.
 fn required<T: serde::de::DeserializeOwned>(
     members: &BTreeMap<String, Box<RawValue>>,
     name: &str,
@@ -278,6 +286,7 @@
     optional(members, name)?.ok_or_else(|| Problem::not_run(Kind::Malformed, format!("`{name}` is missing")))
 }
 
+/// Parses a member if it is present.
 fn optional<T: serde::de::DeserializeOwned>(
     members: &BTreeMap<String, Box<RawValue>>,
     name: &str,
@@ -288,18 +297,18 @@
     serde_json::from_str(value.get()).map_err(|error| Problem::not_run(Kind::Malformed, format!("`{name}`: {error}")))
 }
 
-/// The headers that are named, each with its first value.
+/// Returns the headers listed in `names`, each with its first value.
 pub(crate) fn only(headers: &HeaderMap, names: &[HeaderName]) -> HeaderMap {
     let kept = names.iter().filter_map(|name| Some((name.clone(), headers.get(name)?.clone())));
     kept.collect()
 }
 
-/// Text for headers, from bytes.
+/// Encodes bytes as URL-safe base64 without padding.
 pub(crate) fn encode(bytes: &[u8]) -> String {
     base64::engine::general_purpose::URL_SAFE_NO_PAD.encode(bytes)
 }
 
-/// Bytes from header text.
+/// Decodes URL-safe base64 without padding; `None` if the text is invalid.
 pub(crate) fn decode(text: &str) -> Option<Vec<u8>> {
     base64::engine::general_purpose::URL_SAFE_NO_PAD.decode(text).ok()
 }
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,4 +1,6 @@
-//! Wall-clock time, read at the rim and passed on as an argument.
+//! Wall-clock time.
+//!
+//! It is read in this crate only and passed to deciding code as an argument.
 
 use std::time::SystemTime;
 
@@ -6,13 +8,13 @@
 pub use world::time::millis;
 use world::{Millis, Timestamp};
 
-/// The wall-clock time now.
+/// Returns the present wall-clock time.
 #[must_use]
 pub fn now() -> Timestamp {
     SystemTime::now().into()
 }
 
-/// Time left until `deadline`, in milliseconds.
+/// Returns the time left until `deadline`, in milliseconds.
 #[must_use]
 pub fn left(deadline: Instant) -> Millis {
     millis(deadline.saturating_duration_since(Instant::now()))
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -1,9 +1,10 @@
-//! Drives one request through its life.
+//! The driver: the task that runs one request from admission to its end.
 //!
-//! One task per request. It carries out the state machine's commands, one at
-//! a time, and tells it what came of each; beside the command it watches the
-//! deadline and whether anybody still waits for the answer. What a caller
-//! sees is written to the request's tape.
+//! The driver executes the commands of the request's state machine ([`Life`])
+//! one at a time and feeds the resulting event back. While a command runs, the
+//! driver also watches the deadline and whether any caller still reads the
+//! answer. Everything that callers receive is written to the request's
+//! [`Tape`].
 
 mod account;
 mod choose;
@@ -33,46 +34,54 @@
     tape::{End, Head, Reply, Tape},
 };
 
-/// One request under way.
+/// Runs one request: executes the commands of its state machine.
 pub(crate) struct Driver {
     shared: Arc<Shared>,
     request: Request,
     tape: Tape,
     life: Life,
-    /// Its claim is durable: no other try of its key runs.
+    /// Whether the request's claim is durable, so that no other try under its key runs.
     is_claimed: bool,
+    /// Turn granted by the admission queue; dropping it lets the next request in.
     turn: Option<Turn>,
     chosen: Option<Chosen>,
+    /// Budget set aside for this request.
     reservation: Option<Reservation>,
-    /// Its bill, once it was made out.
+    /// The request's bill, once created.
     bill: Option<Bill>,
     attempt: Option<Attempt>,
+    /// Number of dispatches so far.
     tries: u32,
+    /// Endpoints that failed this request; avoided by the next dispatch.
     avoid: Vec<Key>,
-    /// Versions under roll-out that have failed this request.
+    /// Versions under roll-out that failed this request.
     shunned: Vec<Stop>,
+    /// How the latest dispatch failed; input of the retry decision.
     failure: retry::Failure,
-    /// Time that another dispatch is expected to take, in milliseconds.
+    /// Expected duration of another dispatch, in milliseconds.
     expected_ms: Millis,
-    /// What a failure tells the caller, apart from what ran.
+    /// Problem to report if the request fails; its `ran` is filled in at the end.
     cause: Option<Problem>,
     answer: Answer,
     _in_flight: InFlight,
 }
 
-/// What was settled before the first dispatch.
+/// The versions, session and prices chosen before the first dispatch.
 struct Chosen {
     choice: Choice,
+    /// Index of the present cascade step in `choice`.
     step: usize,
+    /// Record of this request as an answer whose rating is pending.
     entered: Entered,
+    /// Session identifier returned to the caller.
     session: Option<String>,
-    /// Versions that the answer says the session left.
+    /// Versions that the session left and that the answer reports to the caller.
     moved: Vec<Version>,
-    /// Pins of a session that the caller named, as the journal has them.
+    /// Pins recorded in the journal for a session that the caller named.
     bound: Option<Vec<Pin>>,
 }
 
-/// One dispatch.
+/// One dispatch to an endpoint.
 struct Attempt {
     dispatch: Dispatch,
     place: Place,
@@ -81,24 +90,28 @@
     first_frame: Option<Instant>,
 }
 
-/// The answer so far.
+/// State of the answer, accumulated over all attempts.
 #[derive(Default)]
 struct Answer {
-    /// Text of the present attempt that matched what was sent before a break.
+    /// Bytes of the present attempt's text that are accounted for: equal to text
+    /// already sent before a break, or newly sent.
     matched: usize,
-    /// Text of a step that is rated before any of it is shown.
+    /// Text of a cascade step that is rated before any of it is sent.
     buffer: String,
+    /// Finish reason and usage from the last frame.
     last: Option<(endpoint::frame::Reason, Usage)>,
+    /// Whole answer of a plain service.
     reply: Option<Arc<Reply>>,
     cost: Amount,
     input_tokens: u64,
     output_tokens: u64,
     frames: u64,
-    /// Whether its last step was rated while the caller waited.
+    /// Whether the last step was rated before its answer was sent.
     rated: bool,
 }
 
 impl Driver {
+    /// Creates the driver of a request and counts the request as in flight.
     pub fn new(shared: Arc<Shared>, request: Request, tape: Tape) -> Self {
         let (life, _) = Life::begin(request.repeat);
         let in_flight = shared.enter(request.customer());
@@ -124,7 +137,7 @@
         }
     }
 
-    /// Drives the request to its end.
+    /// Runs the request to its end.
     pub async fn drive(mut self) {
         if !self.enter().await {
             return;
@@ -140,22 +153,25 @@
         self.finish(command).await;
     }
 
+    /// Feeds an event to the state machine; an illegal one fails the request.
     fn step(&mut self, event: Event) -> Command {
         match self.life.step(event) {
             Ok(command) => command,
             Err(illegal) => {
-                tracing::error!(request = %self.request.id(), %illegal, "fault in the driver");
+                tracing::error!(request = %self.request.id(), %illegal, "request driver produced an illegal event");
                 self.life.step(Event::Fault).unwrap_or(Command::Abandon)
             }
         }
     }
 
+    /// Executes a command until it completes, every caller has hung up or the
+    /// deadline passes.
     async fn carry_out(&mut self, command: Command) -> Event {
         let tape = self.tape.clone();
         let deadline = self.request.deadline;
         let alone = self.life.outlives_caller();
-        // A whole answer is billed even when the deadline passes meanwhile:
-        // the work is done, and an unbilled answer is lost to everybody.
+        // A whole answer is billed even if the deadline passes meanwhile: the
+        // work is done, and an answer without a bill cannot be delivered.
         let bounded = self.life.state() != State::Billing;
         tokio::select! {
             biased;
@@ -165,6 +181,7 @@
         }
     }
 
+    /// Executes a command and returns the resulting event.
     async fn act(&mut self, command: Command) -> Event {
         match command {
             Command::Admit => self.admit().await,
@@ -180,7 +197,7 @@
         }
     }
 
-    /// Ends the request as its state machine has decided.
+    /// Executes the final command of the state machine.
     async fn finish(&mut self, command: Command) {
         self.turn = None;
         match command {
@@ -191,6 +208,7 @@
         }
     }
 
+    /// Returns the recorded cause of the failure, or one derived from the deadline.
     fn fail_cause(&self) -> Problem {
         if let Some(cause) = &self.cause {
             return cause.clone();
@@ -201,39 +219,41 @@
         Problem::not_run(Kind::Internal, "no cause was recorded")
     }
 
+    /// Ends the request without a whole answer.
     async fn fail(&mut self, ran: Ran) {
         let mut problem = self.problem(ran);
         self.drop_attempt();
         if problem.kind == Kind::BillNotHeld {
-            // The bill's fate is unknown: it may count.
+            // Whether the bill was recorded is unknown, so its amount counts.
             self.end_reservation(None);
         }
         self.settle(ran).await;
         if !self.is_claimed {
             problem = self.shared.truthful(problem, &self.request.terms, self.request.repeat).await;
         }
-        // From here on a repeat runs anew and does not join.
+        // From here on a repeat starts a new run instead of joining this one.
         self.shared.held.forget(self.request.id(), &self.tape);
-        // Of several callers with one key, the first to hear of a refusal may
-        // come back and start the run before the others have heard of it.
+        // With several callers under one key, the first to receive this refusal
+        // may repeat the request and start a run before the others receive theirs.
         if problem.ran == Ran::No && self.tape.is_shared() {
             problem.ran = Ran::Unknown;
         }
         self.end_failed(problem);
     }
 
-    /// What a failure tells the caller.
+    /// Returns the problem reported to the caller.
     fn problem(&self, ran: Ran) -> Problem {
         let mut problem = self.fail_cause().about(&self.request.id().key);
         problem.ran = ran;
-        // The outcome of a request that must not be repeated is what its
-        // caller needs to know first.
+        // For a request that must not be repeated, the caller first needs to know
+        // that the outcome is unknown.
         if ran == Ran::Unknown && self.request.repeat == Repeat::Never {
             problem.kind = Kind::OutcomeUnknown;
         }
         problem
     }
 
+    /// Records a failure in the timeline and the metrics and ends the tape with it.
     fn end_failed(&self, problem: Problem) {
         let step =
             Step::Refused { ran: problem.ran, problem: problem.kind.as_str().into(), detail: problem.detail.clone() };
@@ -242,6 +262,7 @@
         self.tape.end(End::Failed(Arc::new(problem)));
     }
 
+    /// Ends a request that no caller waits for.
     async fn abandon(&mut self) {
         self.drop_attempt();
         self.settle(self.life.ran()).await;
@@ -252,6 +273,7 @@
         self.tape.end(End::Failed(Arc::new(problem)));
     }
 
+    /// Ends the tape with the whole, billed answer.
     async fn deliver(&mut self) {
         self.note_told().await;
         let frames = self.answer.frames;
@@ -272,7 +294,7 @@
         self.tape.end(end);
     }
 
-    /// Writes the head once the version that answers is settled.
+    /// Writes the head; called once the answering version is final.
     fn write_head(&self) {
         let (session, moved) =
             self.chosen.as_ref().map(|chosen| (chosen.session.clone(), chosen.moved.clone())).unwrap_or_default();
@@ -280,17 +302,18 @@
         self.tape.head(Head { request, version: self.version(), session, moved });
     }
 
-    /// The version of the present step; nothing for a plain service.
+    /// Returns the version of the present cascade step; `None` for a plain service.
     fn version(&self) -> Option<Version> {
         let chosen = self.chosen.as_ref()?;
         Some(chosen.choice.steps()[chosen.step].version().clone())
     }
 
-    /// Cancels what runs.
+    /// Cancels the running dispatch, if any.
     fn drop_attempt(&mut self) {
         self.attempt = None;
     }
 
+    /// Counts the request under its outcome in the metrics.
     fn count(&self, outcome: &'static str) {
         let version = self.version().map_or_else(|| "none".into(), |version| version.to_string());
         let customer = self.request.customer().to_string();
--- a/crates/entry/src/drive/account.rs
+++ b/crates/entry/src/drive/account.rs
@@ -1,4 +1,5 @@
-//! After the answer: rating, escalation, the bill, the outcome.
+//! Steps after an answer is whole: rating, escalation, billing and recording the
+//! outcome.
 
 use std::time::Duration;
 
@@ -19,19 +20,21 @@
     request::Work,
 };
 
-/// Longest wait for a rating while the caller waits.
+/// Longest wait for a rating that holds back the answer.
 const RATE_WITHIN: Duration = Duration::from_secs(2);
-/// Least time for a bill to be held, whatever the deadline.
+/// Minimum time allowed for storing a bill, even past the request's deadline, and
+/// the time after which a failing store is no longer retried.
 const BILL_WITHIN: Duration = Duration::from_secs(5);
-/// Pause before a bill is offered again.
+/// Pause before storing a bill is retried.
 const BILL_PAUSE: Duration = Duration::from_millis(200);
-/// Times a bill is made out when its grant was settled elsewhere.
+/// Maximum number of bills created because another instance settled the grant.
 const BILL_TRIES: usize = 2;
-/// Longest wait for an outcome to be recorded; it is delivered later then.
+/// Longest wait for an outcome to be recorded; after it the journal delivers the
+/// outcome later.
 const SETTLE_WITHIN: Duration = Duration::from_secs(1);
 
 impl Driver {
-    /// Has a step's whole answer rated before any of it is shown.
+    /// Rates the whole answer of a cascade step before any of it is sent.
     pub(super) async fn rate(&mut self) -> Event {
         let Some(sample) = self.sample(self.answer.buffer.clone()) else {
             return Event::Fault;
@@ -39,10 +42,10 @@
         let limit = RATE_WITHIN.min(self.request.deadline.saturating_duration_since(Instant::now()) / 2);
         let pass = match self.shared.links.endpoint.rate(&sample, limit).await {
             Ok(pass) => pass,
-            // Unrated, the cheap answer is not known to be good: the dearer
-            // version answers, and no cascade starts for a while.
+            // Without a rating the cheap answer is not known to be good, so the
+            // more expensive version answers, and no cascade starts for a while.
             Err(error) => {
-                tracing::debug!(request = %self.request.id(), %error, "no rating, so the next step answers");
+                tracing::debug!(request = %self.request.id(), %error, "no rating received, escalating to the next step");
                 self.shared.desk.rater_down();
                 return self.escalate("no rating could be had").await;
             }
@@ -56,9 +59,9 @@
         if !pass {
             return self.escalate("its answer failed its rating").await;
         }
-        // The text may be on the tape already, copied from an instance that
-        // was lost before the last frame: written again, the caller would
-        // hold the answer twice in one.
+        // Part of the text may be on the tape already, copied from an instance
+        // that was lost before the last frame. Writing it again would duplicate
+        // that part in the caller's answer.
         let text = std::mem::take(&mut self.answer.buffer);
         let new = self.unsent(&text).map(str::to_owned).ok().filter(|_| self.answer.matched >= self.tape.len());
         let Some(new) = new else {
@@ -70,6 +73,7 @@
         Event::Kept
     }
 
+    /// Moves on to the next step of the cascade.
     async fn escalate(&mut self, reason: &str) -> Event {
         self.answer.buffer.clear();
         self.answer.last = None;
@@ -88,7 +92,7 @@
         Event::Rejected
     }
 
-    /// Has the request's one bill held.
+    /// Stores the request's bill.
     pub(super) async fn bill(&mut self) -> Event {
         let deadline = self.request.deadline.max(Instant::now() + BILL_WITHIN);
         match self.hold_bill(deadline).await {
@@ -104,34 +108,37 @@
         }
     }
 
+    /// Stores the bill on the platform or at a second instance, retrying for a
+    /// limited time.
     pub(super) async fn hold_bill(&mut self, deadline: Instant) -> Result<(Bill, Receipt), String> {
         let give_up = Instant::now() + BILL_WITHIN;
         let mut renewed = 0;
         while renewed < BILL_TRIES {
-            // The same at every go: an earlier one may have been recorded, and
-            // another bill would be taken for another run's.
+            // Every retry sends the same bill: an earlier one may have been
+            // recorded, and a different bill would count as another run's.
             let bill = match &self.bill {
                 Some(bill) => bill.clone(),
                 None => self.bill.insert(self.make_bill().ok_or("the contract is gone")?).clone(),
             };
             match self.shared.links.journal.bill(&bill, deadline).await {
                 Ok(receipt) => return Ok((bill, receipt)),
-                // This instance was taken for lost and its grant settled.
+                // Another instance considered this one lost and settled its grant.
                 Err(Error::NotRecorded(Reason::GrantClosed)) => {
                     renewed += 1;
                     self.bill = None;
                     self.renew_reservation(bill.amount, deadline).await?;
                 }
                 Err(error) if Instant::now() + BILL_PAUSE >= give_up => return Err(error.to_string()),
-                // Neither the platform nor a second instance has it. The
-                // answer is whole and its caller waits only for this: a short
-                // outage is waited out, a longer one is told.
+                // Neither the platform nor a second instance has stored the bill.
+                // The answer is whole and the caller waits only for this, so a
+                // short outage is retried and a longer one reported.
                 Err(_) => sleep(BILL_PAUSE).await,
             }
         }
         Err("its budget grant keeps being settled elsewhere".into())
     }
 
+    /// Replaces a reservation whose grant was settled by one from a new grant.
     async fn renew_reservation(&mut self, actual: Amount, deadline: Instant) -> Result<(), String> {
         let catalog = self.shared.catalog();
         let contract = catalog.contract(self.request.customer()).ok_or("the contract is gone")?;
@@ -143,7 +150,10 @@
         Ok(())
     }
 
-    /// Without a receipt the bill's fate is unknown: it may count.
+    /// Commits or releases the budget reservation.
+    ///
+    /// Without a receipt it is unknown whether the bill was recorded, so its
+    /// amount is committed.
     pub(super) fn end_reservation(&mut self, receipt: Option<Receipt>) {
         let Some(reservation) = self.reservation.take() else { return };
         let budget = &self.shared.links.budget;
@@ -156,6 +166,7 @@
         }
     }
 
+    /// Creates the bill for the answer so far; `None` if the contract no longer exists.
     fn make_bill(&self) -> Option<Bill> {
         let catalog = self.shared.catalog();
         let contract = catalog.contract(self.request.customer())?;
@@ -185,6 +196,8 @@
         })
     }
 
+    /// Records a stored bill in the timeline and the metrics, settles the request
+    /// and submits its answer for rating.
     pub(super) fn billed(&mut self, bill: &Bill, receipt: Receipt) {
         let version = self.version();
         let step = Step::Billed { version, cost: bill.amount, currency: bill.currency, attempts: bill.attempts };
@@ -203,7 +216,9 @@
         self.submit();
     }
 
-    /// A bill settles a claim; a registration is taken back on its own.
+    /// Settles the registration of the request's key in the background.
+    ///
+    /// The bill itself settles a claim, but not a registration.
     fn settle_answered(&self) {
         if !self.request.terms.keyed {
             return;
@@ -215,7 +230,7 @@
         });
     }
 
-    /// Records how a request without a whole answer ended.
+    /// Records the outcome of a request that ended without a whole answer.
     pub(super) async fn settle(&mut self, ran: Ran) {
         if ran != Ran::No {
             self.observe(Seen::Failed);
@@ -226,11 +241,11 @@
         let outcome = if ran == Ran::No { Outcome::NotRun } else { Outcome::Unknown };
         let deadline = Instant::now() + SETTLE_WITHIN;
         if let Err(error) = self.shared.links.journal.settle(self.request.id(), outcome, deadline).await {
-            tracing::debug!(request = %self.request.id(), %error, "outcome is delivered later");
+            tracing::debug!(request = %self.request.id(), %error, "outcome not recorded yet, the journal delivers it later");
         }
     }
 
-    /// Has the answer rated later.
+    /// Submits the answer to be rated after it was delivered.
     fn submit(&mut self) {
         let Some(chosen) = &self.chosen else { return };
         if self.answer.rated {
@@ -248,11 +263,12 @@
         let endpoint = self.shared.links.endpoint.clone();
         tokio::spawn(async move {
             if let Err(error) = endpoint.submit(&sample).await {
-                tracing::debug!(id = sample.id, %error, "answer stays unrated");
+                tracing::debug!(id = sample.id, %error, "could not submit the answer for rating");
             }
         });
     }
 
+    /// Returns the sample that the rating service needs to rate an answer.
     fn sample(&self, answer: String) -> Option<Sample> {
         let step = self.chosen.as_ref()?.step;
         Some(Sample {
@@ -264,6 +280,7 @@
         })
     }
 
+    /// Reports how the present version did to the version guard.
     pub(super) fn observe(&self, outcome: Seen) {
         let Some(version) = self.version() else { return };
         self.shared.links.control.observe(Observation {
@@ -275,6 +292,7 @@
     }
 }
 
+/// Maps a step's index to its stage in the quality account.
 fn stage(step: usize) -> Stage {
     if step == 0 { Stage::First } else { Stage::Escalated }
 }
--- a/crates/entry/src/drive/choose.rs
+++ b/crates/entry/src/drive/choose.rs
@@ -1,4 +1,5 @@
-//! Settling versions, session and price before the first dispatch.
+//! Choosing versions, binding the session and reserving the budget before the
+//! first dispatch.
 
 use std::sync::Arc;
 
@@ -25,14 +26,15 @@
     session::{self, Named},
 };
 
-/// Longest wait for a caller-named session's binding.
+/// Longest wait for the journal to bind a caller-named session.
 const BIND_WITHIN: std::time::Duration = std::time::Duration::from_secs(2);
-/// Bindings tried when others move the same session at the same time.
+/// Maximum number of binding attempts while other requests move the same session.
 const BIND_TRIES: usize = 3;
-/// When to come back when no version may run now.
+/// Retry delay in milliseconds for callers whose request no version may run now.
 const NO_VERSION_RETRY_MS: u64 = 1_000;
 
 impl Driver {
+    /// Chooses the versions for a chat request and reserves the budget.
     pub(super) async fn choose(&mut self) -> Event {
         let steps = match self.request.work {
             Work::Call(_) => self.reserve(self.call_price()).await.map(|()| 1),
@@ -44,10 +46,10 @@
         }
     }
 
-    /// Sets the most it may cost aside.
+    /// Reserves the request's maximum cost from the customer's budget.
     ///
-    /// Before the run: after it the money may be gone, and the work would be
-    /// done for nobody's account.
+    /// This happens before the run: afterwards the budget may be spent, and
+    /// nobody could be billed for the work.
     async fn reserve(&mut self, ceiling: Amount) -> Result<(), Problem> {
         self.reservation = None;
         let catalog = self.shared.catalog();
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Returns the price of a plain service's call; zero if it has none.
     fn call_price(&self) -> Amount {
         let Work::Call(visit) = &self.request.work else {
             return Amount::ZERO;
@@ -77,7 +80,8 @@
         price.map_or(Amount::ZERO, |price| price.call)
     }
 
-    /// Chooses versions and binds the session to them; the number of steps.
+    /// Chooses the versions, binds the session to them and returns the number of
+    /// cascade steps.
     pub(super) async fn choose_versions(&mut self) -> Result<u8, Problem> {
         let (choice, entered, pins) = match self.request.session.clone() {
             Some(Named::Caller(id)) => self.choose_bound(&id).await?,
@@ -105,16 +109,18 @@
         Ok(steps)
     }
 
-    /// The choice for a session whose pins are known, and its pins after it.
+    /// Chooses for a request without a session or with a session whose pins are
+    /// known; returns the choice and the session's pins after it.
     async fn choose_pinned(&mut self, session: Option<Session>) -> Result<(Choice, Entered, Vec<Pin>), Problem> {
         let (choice, entered) = self.ask(session.clone()).await?;
         let pins = choice.pins(session.as_ref());
         Ok((choice, entered, pins))
     }
 
-    /// The choice for a session that the caller named: its pins are agreed
-    /// over the journal, so that the session keeps its version whichever
-    /// instances its requests reach.
+    /// Chooses for a session that the caller named.
+    ///
+    /// The pins are agreed through the journal, so that the session keeps its
+    /// version no matter which instances its requests reach.
     async fn choose_bound(&mut self, id: &Id) -> Result<(Choice, Entered, Vec<Pin>), Problem> {
         let customer = self.request.customer().clone();
         let mut bound: Option<Vec<Pin>> = None;
@@ -139,7 +145,7 @@
             if won == wanted {
                 return Ok((choice, entered, wanted));
             }
-            // The session was bound before, or another request moved it first.
+            // The session was already bound, or another request moved it first.
             self.shared.desk.void(entered);
             bound = Some(won);
         }
@@ -147,6 +153,7 @@
         Err(Problem::not_run(Kind::Busy, detail).after(NO_VERSION_RETRY_MS))
     }
 
+    /// Requests a choice of versions from the desk.
     async fn ask(&mut self, session: Option<Session>) -> Result<(Choice, Entered), Problem> {
         let Work::Chat(chat) = &self.request.work else {
             return Err(Problem::not_run(Kind::Internal, "a plain service has no versions"));
@@ -173,7 +180,8 @@
         }
     }
 
-    /// Versions that this request must not run on, whatever the catalog says.
+    /// Returns the versions that this request must not use, whatever the catalog
+    /// says: the stopped ones and those that failed this request.
     pub(super) fn stops(&self) -> Arc<Stops> {
         let stops = self.shared.links.control.stops();
         if self.shunned.is_empty() {
@@ -186,11 +194,11 @@
         Arc::new(stops)
     }
 
-    /// Has the request leave a version under roll-out that failed it.
+    /// Excludes a version under roll-out that failed this request.
     ///
-    /// Until its guard has seen enough, a bad version fails everyone who meets
-    /// it, on every endpoint alike; its predecessor would answer. A session
-    /// that is on it already stays.
+    /// Until the guard has enough observations, a bad version fails every request
+    /// on every endpoint, while its predecessor would answer. A session that is
+    /// already pinned to the version keeps it.
     pub(super) fn shun(&mut self) {
         let named = matches!(self.request.session, Some(Named::Caller(_)));
         let Some(chosen) = self.chosen.as_ref().filter(|chosen| chosen.step == 0) else { return };
@@ -208,17 +216,20 @@
         }
     }
 
-    /// Without a rating service no cascade can be decided, and a request that
-    /// must not be repeated never cascades.
+    /// Returns the repeat policy for choosing versions.
+    ///
+    /// A request that must not be repeated never cascades. Without a rating service
+    /// no cascade can be decided, so every request is treated that way.
     fn repeat(&self) -> Repeat {
         if self.shared.settings.rated { self.request.repeat } else { Repeat::Never }
     }
 
+    /// Returns the budget amount of the customer's contract.
     fn ceiling(&self, catalog: &Catalog) -> Amount {
         catalog.contract(self.request.customer()).map_or(Amount::ZERO, |contract| contract.budget.amount)
     }
 
-    /// What the caller names the session by from now on.
+    /// Returns the identifier by which the caller names the session from now on.
     fn session_text(&self, pins: Vec<Pin>) -> Option<String> {
         if let Some(Named::Caller(id)) = &self.request.session {
             return Some(id.to_string());
@@ -229,6 +240,7 @@
     }
 }
 
+/// Converts a failed budget reservation to a problem.
 fn unreserved(error: &budget::Error) -> Problem {
     match error {
         budget::Error::Exhausted { until } => {
@@ -241,6 +253,7 @@
     }
 }
 
+/// Converts a failed session binding to a problem.
 fn unbound(error: journal::Error) -> Problem {
     match error {
         journal::Error::NotRecorded(reason) => enter::refusal(reason),
@@ -251,6 +264,7 @@
     }
 }
 
+/// Converts a refused choice of versions to a problem.
 fn not_chosen(refusal: &Refusal) -> Problem {
     let (kind, after) = match refusal {
         Refusal::NoContract => (Kind::WrongKey, None),
--- a/crates/entry/src/drive/dispatch.rs
+++ b/crates/entry/src/drive/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatches: to which endpoint, what its refusal means, when again.
+//! Dispatching a request: selecting the endpoint, classifying failures and
+//! deciding about retries.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,13 +21,14 @@
     tape::Reply,
 };
 
-/// When to come back when no endpoint takes the work.
+/// Retry delay in milliseconds for callers whose request no endpoint accepts.
 const NO_ENDPOINT_RETRY_MS: u64 = 500;
-/// Headers of a plain service's answer that its caller gets.
+/// Headers of a plain service's answer that are forwarded to the caller.
 const PASSED_ON: [HeaderName; 5] =
     [header::CONTENT_TYPE, header::CONTENT_LANGUAGE, header::LOCATION, header::ETAG, header::CACHE_CONTROL];
 
 impl Driver {
+    /// Sends the request to an endpoint.
     pub(super) async fn dispatch(&mut self) -> Event {
         if let Err(problem) = self.renew().await {
             return self.decline(problem);
@@ -58,11 +60,11 @@
         }
     }
 
-    /// Makes sure that the version may still run.
+    /// Checks that the chosen version may still run, and chooses again if not.
     ///
-    /// While the request waited its version may have been withdrawn: it gets
-    /// no new work then, and the request another version. Text that was sent
-    /// binds it to its version; it fails openly then.
+    /// The version may have been withdrawn while the request waited; a withdrawn
+    /// version gets no new work. Once text was sent, the request cannot change
+    /// its version and fails with an explicit problem.
     async fn renew(&mut self) -> Result<(), Problem> {
         let Some(chosen) = &self.chosen else {
             return Ok(());
@@ -82,6 +84,7 @@
         self.choose_versions().await.map(drop)
     }
 
+    /// Selects an endpoint that serves `target`.
     async fn place(&mut self, target: Target) -> Result<Place, Problem> {
         let prefix = match &self.request.work {
             Work::Chat(chat) => Some(chat.prefix),
@@ -93,7 +96,7 @@
         let wanted = Wanted { target: target.clone(), prefix, avoid: self.avoid.clone(), draw, cell };
         let placed = match self.shared.desk.place(wanted).await.map_err(stopping)? {
             Err(placing::Refusal::NoneLeft) if !self.avoid.is_empty() => {
-                // All have failed it once: any may have recovered.
+                // Every endpoint failed this request once; any may have recovered.
                 self.avoid.clear();
                 let wanted = Wanted { target, prefix, avoid: Vec::new(), draw, cell };
                 self.shared.desk.place(wanted).await.map_err(stopping)?
@@ -109,6 +112,7 @@
         })
     }
 
+    /// Starts a chat request on the selected endpoint.
     async fn run(&mut self, place: Place) -> Event {
         let (Work::Chat(chat), Some(chosen)) = (&self.request.work, &self.chosen) else {
             return Event::Fault;
@@ -133,6 +137,7 @@
         }
     }
 
+    /// Calls a plain service and takes its whole answer.
     async fn call(&mut self, call: endpoint::service::Call, place: Place) -> Event {
         let started = Instant::now();
         match self.shared.links.endpoint.call_service(call).await {
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Takes in that a dispatch ended without an answer.
+    /// Records a dispatch that ended without an answer and classifies its failure.
     fn failed(&mut self, error: &Error, place: Place) -> Event {
         let (ran, failure, event) = match error {
             Error::Refused { refusal, retry_after } => {
@@ -173,8 +178,8 @@
                 self.cause = Some(Problem::not_run(Kind::Malformed, format!("the engine refused it: status {status}")));
                 Event::Declined
             }
-            // The endpoint is well and the version is not: its guard must
-            // hear of it, although nothing was run.
+            // The endpoint works but the version does not, so the guard must count
+            // this failure although nothing ran.
             Error::Refused { refusal: Refusal::Status(_), .. } => {
                 self.observe(Seen::Failed);
                 self.shun();
@@ -184,6 +189,7 @@
         }
     }
 
+    /// Returns the retry delay for the caller, in milliseconds.
     fn retry_after(&self) -> u64 {
         match self.failure {
             retry::Failure::NotRun { retry_after: Some(after) } => after,
@@ -191,7 +197,7 @@
         }
     }
 
-    /// Asks for another dispatch; waits as the decision says.
+    /// Decides whether to dispatch again, and waits for the decided pause.
     pub(super) async fn retry(&mut self) -> Event {
         let asked = retry::Request {
             repeat: self.request.repeat,
@@ -205,7 +211,7 @@
                 sleep(Duration::from_millis(after_ms)).await;
                 Event::Again
             }
-            // The final answer goes out at once; when to come back is said in it.
+            // The final answer is sent at once and contains the retry delay.
             Ok(retry::Decision::GiveUp(reason)) => {
                 if let Some(cause) = &mut self.cause {
                     cause.detail = format!("{}; {reason}", cause.detail);
@@ -217,12 +223,12 @@
     }
 }
 
-/// A name that no other dispatch has.
+/// Returns a new, unique attempt name.
 fn name() -> Name {
     Name::parse(&uuid::Uuid::now_v7().to_string()).unwrap_or_else(|_| unreachable!("a UUID is a name"))
 }
 
-/// What a refusal says of an endpoint's health.
+/// Maps a refusal to the kind of failure counted against the endpoint.
 fn health(refusal: Refusal) -> Failure {
     match refusal {
         Refusal::Unreachable => Failure::Broken,
--- a/crates/entry/src/drive/enter.rs
+++ b/crates/entry/src/drive/enter.rs
@@ -1,4 +1,5 @@
-//! Before the first dispatch: joining a running request, the turn, the claim.
+//! Steps before the first dispatch: registering the key, joining a run of the same
+//! request elsewhere, admission and the claim.
 
 use std::sync::Arc;
 
@@ -21,16 +22,20 @@
     tape::End,
 };
 
-/// Longest wait for the word of a key's home; without one the request runs.
+/// Longest wait for the response of a key's home instance; without a response the
+/// request runs.
 const REGISTER_WITHIN: std::time::Duration = std::time::Duration::from_millis(500);
-/// Longest wait for a durable claim; the platform answers in milliseconds.
+/// Longest wait for a durable claim; the platform usually answers in milliseconds.
 const CLAIM_WITHIN: std::time::Duration = std::time::Duration::from_secs(5);
-/// When to come back after the platform did not answer.
+/// Retry delay in milliseconds for callers when the platform did not answer.
 const PLATFORM_RETRY_MS: u64 = 2_000;
 
 impl Driver {
-    /// Registers a request with a caller's key; false when its answer comes
-    /// from another run of it.
+    /// Registers an idempotent request that has a caller's key with the key's home
+    /// instance.
+    ///
+    /// Returns whether the request has to run here; otherwise its tape has ended,
+    /// with the answer of another run or with a problem.
     pub(super) async fn enter(&mut self) -> bool {
         if self.request.repeat == Repeat::Never || !self.request.terms.keyed {
             return true;
@@ -51,27 +56,29 @@
                 false
             }
             Ok(Registered::First) => true,
-            // An earlier try may have run, or the home cannot be asked. Running
-            // twice does an idempotent request no harm, and it is billed once;
-            // but nobody can promise that it has not run.
+            // An earlier try may have run, or the home instance cannot be reached.
+            // Running an idempotent request twice is harmless, and it is billed
+            // once, but it can no longer be promised that it has not run.
             Ok(Registered::Again) => {
                 self.life.ran_before(Ran::Unknown);
                 true
             }
             Err(error) => {
-                tracing::info!(request = %self.request.id(), %error, "runs without the word of its key's home");
+                tracing::info!(request = %self.request.id(), %error, "could not register the key with its home instance, running anyway");
                 self.life.ran_before(Ran::Unknown);
                 true
             }
         }
     }
 
-    /// An earlier request with this key has left a record.
+    /// Handles an idempotent request whose key already has a record in the journal.
+    ///
+    /// Returns whether the request has to run here.
     async fn known_idempotent(&mut self, known: &Known) -> bool {
         match (known.outcome, &known.at) {
-            // A second run could answer otherwise, on another version say, and
-            // the caller would hold two answers to one request: the first one
-            // is fetched for as long as it is held.
+            // A second run could give another answer, for example on another
+            // version, and the caller would have two answers to one request. So
+            // the first answer is fetched for as long as it is stored.
             (Outcome::Answered, at) => {
                 self.life.ran_before(Ran::Yes);
                 match at {
@@ -92,11 +99,13 @@
         }
     }
 
-    /// Copies the answer of the same request running at another instance;
-    /// false when it has to run here.
+    /// Copies the answer of the same request from the instance `at` to the tape.
+    ///
+    /// Returns false if the answer could not be copied to its end and the request
+    /// may have to run here.
     async fn follow(&mut self, at: &instance::Id) -> bool {
         if *at == self.shared.settings.instance {
-            // Its answer would have been found among those held here.
+            // An answer stored at this instance would have been found already.
             return false;
         }
         self.shared.note(self.request.id(), Step::Joined { home: at.clone() });
@@ -113,12 +122,13 @@
             self.shared.held.forget(self.request.id(), &self.tape);
             return true;
         }
-        // The link or the other instance is lost. What it sent so far stays
-        // on the tape; a run here must begin with it, or fails openly.
+        // The link or the other instance is lost. The text received so far stays
+        // on the tape; a run here must begin with the same text, or it fails with
+        // an explicit problem.
         false
     }
 
-    /// Ends the request with a problem, before its life began.
+    /// Ends the request with a problem before it was dispatched.
     pub(super) fn refuse(&mut self, problem: Problem) {
         let problem = problem.about(&self.request.id().key);
         let kind = problem.kind.as_str();
@@ -129,6 +139,7 @@
         self.tape.end(End::Failed(Arc::new(problem)));
     }
 
+    /// Waits for the request's turn in the admission queue.
     pub(super) async fn admit(&mut self) -> Event {
         let catalog = self.shared.catalog();
         let weight = catalog.contract(self.request.customer()).map_or(1, |contract| contract.rank.weight);
@@ -150,19 +161,20 @@
         }
     }
 
-    /// Notes why a step was refused.
+    /// Records why a step was refused.
     pub(super) fn decline(&mut self, problem: Problem) -> Event {
         self.cause = Some(problem);
         Event::Declined
     }
 
+    /// Makes the claim of a request that must not be repeated durable.
     pub(super) async fn claim(&mut self) -> Event {
         let id = self.request.id().clone();
-        // A key that does not tell its time counts from its first use.
+        // A key without a timestamp counts as made at its first use.
         let made_at = id.key.made_at().unwrap_or_else(clock::now);
         let fingerprint = self.request.fingerprint();
-        // While a write's fate is open the journal asks on. To wait for it up
-        // to the deadline would hold back a refusal that stands already.
+        // While the outcome of a write is unknown the journal keeps asking. Waiting
+        // for that until the request's deadline would only delay a refusal.
         let deadline = self.request.deadline.min(Instant::now() + CLAIM_WITHIN);
         let claimed = self.shared.links.journal.claim(&id, made_at, fingerprint, deadline).await;
         match claimed {
@@ -172,14 +184,14 @@
                 Event::Claimed
             }
             Ok(Claimed::Known(known)) => self.known_claim(known).await,
-            // Whether a request of an expired key ran nobody can tell any more.
+            // Nobody can tell any more whether a request with an expired key ran.
             Err(Error::NotRecorded(Reason::KeyTooOld)) => {
                 self.refuse(refusal(Reason::KeyTooOld));
                 Event::Superseded
             }
             Err(Error::NotRecorded(reason)) => self.decline(refusal(reason)),
-            // The claim may stand, but nothing was dispatched under it, and
-            // the journal takes it back: "not run" is true.
+            // The claim may have been recorded, but nothing was dispatched under it
+            // and the journal retracts it, so "not run" is true.
             Err(Error::Unknown) => {
                 let detail = "its claim could not be made durable";
                 self.decline(Problem::not_run(Kind::PlatformDown, detail).after(PLATFORM_RETRY_MS))
@@ -187,7 +199,7 @@
         }
     }
 
-    /// The key was claimed before: this request never runs here.
+    /// Handles a key that was claimed before: the request never runs here.
     async fn known_claim(&mut self, known: Known) -> Event {
         self.turn = None;
         if matches!(known.outcome, Outcome::Running | Outcome::Answered)
@@ -210,6 +222,7 @@
     }
 }
 
+/// Converts the result of a registration to its form in the timeline.
 fn found(registered: &Result<Registered, Error>) -> Found {
     match registered {
         Ok(Registered::First) => Found::Nothing,
@@ -220,6 +233,7 @@
     }
 }
 
+/// Converts a refused admission to a problem.
 fn turned_away(refusal: admission::Refusal) -> Problem {
     let kind = match refusal.cause {
         admission::Cause::Deadline { .. } => Kind::Deadline,
@@ -228,7 +242,7 @@
     Problem::not_run(kind, refusal.to_string()).after(refusal.retry_after_ms)
 }
 
-/// A problem for what the journal refused; nothing was run.
+/// Converts the reason of a refusal by the journal to a problem.
 pub(super) fn refusal(reason: Reason) -> Problem {
     let kind = match reason {
         Reason::PlatformDown | Reason::Unproved | Reason::NoHome => Kind::PlatformDown,
--- a/crates/entry/src/drive/late.rs
+++ b/crates/entry/src/drive/late.rs
@@ -1,10 +1,10 @@
-//! Bills that are held later than their caller waits.
+//! Bills that are stored only after the caller was answered.
 //!
-//! An answer that must not run twice is whole, and neither the platform nor a
-//! second instance takes its bill in time. The caller is told so; dropped then,
-//! the answer would be paid for and lost, since its bill may be recorded all the
-//! same and a repeat runs nothing. So it is kept, and a repeat waits for the bill
-//! and gets the answer.
+//! A request that must not be repeated can have a whole answer whose bill neither
+//! the platform nor a second instance stores in time. The caller gets a problem.
+//! If the answer were dropped then, it would be lost and possibly paid for: the
+//! bill may have been recorded all the same, and a repeat runs nothing. So the
+//! answer is kept, and a repeat waits for the bill and gets the answer.
 
 use std::time::Duration;
 
@@ -18,16 +18,19 @@
 use super::Driver;
 use crate::{life::State, problem::Kind};
 
-/// How long a bill is tried after its caller was told; as long as answers are held.
+/// How long storing a bill is retried after the caller got the problem; equals the
+/// time for which finished answers are kept.
 const LATE_FOR: Duration = Duration::from_mins(2);
-/// Longest that one go takes.
+/// Longest duration of one attempt.
 const LATE_WITHIN: Duration = Duration::from_secs(5);
-/// Pause between two goes.
+/// Pause between two attempts.
 const LATE_PAUSE: Duration = Duration::from_secs(1);
 
 impl Driver {
-    /// Leave to keep a whole answer whose bill is not held; nothing for every
-    /// other end, and where too much is kept already.
+    /// Returns a permit to keep a whole answer whose bill is not stored.
+    ///
+    /// Returns `None` if the request ended in any other way, or if too many requests
+    /// already continue in the background.
     pub(super) fn late_bill(&self) -> Option<OwnedSemaphorePermit> {
         let is_unbilled = self.cause.as_ref().is_some_and(|cause| cause.kind == Kind::BillNotHeld);
         let is_kept = self.request.repeat == Repeat::Never && self.request.terms.keyed;
@@ -37,7 +40,7 @@
         self.shared.late.clone().try_acquire_owned().ok()
     }
 
-    /// Tells the caller that the bill is not held, and goes on until it is.
+    /// Reports to the caller that the bill is not stored, and keeps trying to store it.
     pub(super) async fn bill_late(&mut self, _leave: OwnedSemaphorePermit) {
         self.turn = None;
         let tape = self.tape.reopen();
--- a/crates/entry/src/drive/read.rs
+++ b/crates/entry/src/drive/read.rs
@@ -1,4 +1,5 @@
-//! Reading an answer: frames to the tape, breaks mended or told.
+//! Reading an answer: writing its frames to the tape and resuming or reporting
+//! broken streams.
 
 use endpoint::{Broken, Frame};
 use route::{endpoint::Failure, retry};
@@ -13,11 +14,11 @@
     problem::{Kind, Problem},
 };
 
-/// Another endpoint's text does not begin with what was sent before.
+/// Error: another endpoint's text does not begin with the text already sent.
 pub(super) struct Diverged;
 
 impl Driver {
-    /// Reads until the first frame, and then until the end or a break.
+    /// Reads until the first frame; after it, until the end or a break.
     pub(super) async fn read(&mut self) -> Event {
         if self.answer.reply.is_some() {
             self.write_head();
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Counts a frame; true for the attempt's first.
+    /// Counts a frame; returns whether it is the attempt's first.
     fn framed(&mut self) -> bool {
         self.answer.frames += 1;
         let Some(attempt) = &mut self.attempt else {
@@ -60,7 +61,7 @@
         first
     }
 
-    /// Takes text to the tape, or to the buffer of a step that is rated first.
+    /// Writes text to the tape, or to the buffer if the step is rated first.
     async fn take(&mut self, text: &str) -> Result<(), Diverged> {
         if self.life.may_escalate() {
             self.answer.buffer.push_str(text);
@@ -76,11 +77,11 @@
         Ok(())
     }
 
-    /// The part of `text` that the caller does not have.
+    /// Returns the part of `text` that was not sent to the caller yet.
     ///
-    /// After a restart elsewhere the answer comes from its beginning again.
-    /// Sent once more it would double a part; a different beginning would
-    /// make an answer of two halves that do not belong together.
+    /// After a restart at another endpoint the answer arrives from its beginning
+    /// again. Sending it again would duplicate a part; continuing after a different
+    /// beginning would join two halves that do not belong together.
     pub(super) fn unsent<'a>(&mut self, text: &'a str) -> Result<&'a str, Diverged> {
         let written = self.tape.len();
         if self.answer.matched >= written {
@@ -98,6 +99,7 @@
         Ok(new)
     }
 
+    /// Fails the request because its restarted answer differs from the text sent.
     fn diverged(&mut self) -> Event {
         self.drop_attempt();
         let detail = "another endpoint's answer does not go on from the part that was sent";
@@ -105,9 +107,10 @@
         Event::Diverged
     }
 
+    /// Completes an attempt whose last frame arrived.
     fn whole(&mut self) -> Event {
-        // A restarted answer that is shorter than what was sent does not
-        // go on from it.
+        // A restarted answer that is shorter than the text already sent does not
+        // continue it.
         if !self.life.may_escalate() && self.answer.matched < self.tape.len() {
             return self.diverged();
         }
@@ -120,7 +123,7 @@
         Event::Whole
     }
 
-    /// Notes what a whole answer took and cost.
+    /// Records the duration, tokens and cost of a whole answer.
     fn account(&mut self, attempt: Attempt) {
         let usage = self.answer.last.as_ref().map(|(_, usage)| *usage).unwrap_or_default();
         let tokens = u32::try_from(usage.completion_tokens).unwrap_or(u32::MAX).max(1);
@@ -142,6 +145,7 @@
         self.observe(control::observation::Outcome::Answered { latency_ms: clock::millis(first) });
     }
 
+    /// Records a broken stream.
     fn broke(&mut self, broken: Broken) -> Event {
         if broken == Broken::Deadline {
             return Event::TimeUp;
@@ -153,7 +157,7 @@
         Event::Broke
     }
 
-    /// Takes a broken stream up at its engine, from the next frame on.
+    /// Resumes a broken stream at its engine, from the next frame on.
     pub(super) async fn resume(&mut self) -> Event {
         let Some(mut attempt) = self.attempt.take() else {
             return Event::Fault;
--- a/crates/entry/src/drive/tell.rs
+++ b/crates/entry/src/drive/tell.rs
@@ -1,8 +1,9 @@
-//! Telling callers that their session left a version.
+//! Reporting to callers that their session moved off a version.
 //!
-//! A move is bound before it is told, and the answer that tells of it may be lost
-//! with its instance, or on its way. The journal keeps with each pin which answer
-//! has told; the rest here is about not trusting that note too far.
+//! A move is bound in the journal before an answer reports it, and that answer may
+//! be lost with its instance or in transit. The journal records with each pin which
+//! answer reported the move. As that answer may not have arrived, the code here
+//! checks the record before it relies on it, and retracts it when it proves wrong.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,20 +22,21 @@
 use super::Driver;
 use crate::{join, session::Named, shared::Shared};
 
-/// Longest that an answer waits for a note of what it tells, or for the instance
-/// that told before; after it the move is told once more.
+/// Longest that an answer waits for recording the moves that it reports, or for the
+/// instance that reported a move before; after it the move is reported again.
 const TELL_WITHIN: Duration = Duration::from_millis(200);
-/// Longest that a refusal waits for the note that its first answer told nobody.
+/// Longest that a refusal waits for the retraction of the report by the request's
+/// first answer.
 const UNTELL_WITHIN: Duration = Duration::from_secs(2);
-/// Pause before such a note is tried again behind its refusal.
+/// Pause before a retraction is retried, possibly after its refusal was sent.
 const UNTELL_PAUSE: Duration = Duration::from_millis(500);
-/// How long such a note is tried: as long as a home remembers what became of a
-/// request that it has no record of.
+/// How long a retraction is retried: as long as a home instance remembers the
+/// outcome of a request that it has no record of.
 const UNTELL_FOR: Duration = Duration::from_mins(10);
 
 impl Driver {
-    /// The versions that the session left for those of a choice, now or before,
-    /// as far as its caller may not have heard of that yet.
+    /// Returns the versions that the session left for those of `choice`, now or
+    /// before, and of which its caller may not have been notified yet.
     pub(super) async fn moves(&self, choice: &Choice, pins: &[Pin]) -> Vec<Version> {
         let mut moved = choice.reason().moved.clone();
         let answering: Vec<_> = choice.steps().iter().map(Permit::version).collect();
@@ -53,11 +55,11 @@
         moved
     }
 
-    /// Whether an answer that told of a move has gone out whole, by the word of the
-    /// instance that gave it.
+    /// Returns whether the instance that gave an answer confirms that the answer,
+    /// which reported a move, has ended.
     ///
-    /// Members hold an instance to be live for seconds after it is lost. So it is
-    /// asked, once for each answer.
+    /// The member list shows an instance as live for seconds after it is lost, so
+    /// the instance itself is asked, once for each answer.
     async fn has_told(&self, told: &Teller) -> bool {
         let links = &self.shared.links;
         if !links.journal.knows(&told.instance, told.incarnation) {
@@ -75,16 +77,17 @@
             self.shared.confirm(answer);
         } else {
             let (request, instance) = (self.request.id(), &told.instance);
-            tracing::info!(%request, %instance, "the answer that told of a move is not known to have ended; told again");
+            tracing::info!(%request, %instance, "could not confirm that the answer reporting a session move ended, reporting it again");
         }
         has_ended
     }
 
-    /// Notes in the journal that this answer tells of a move, before it ends.
+    /// Records in the journal that this answer reports a move.
     ///
-    /// Noted after the answer's head was written and before its end: a caller
-    /// whose next request is served after this one is not told twice, and one
-    /// that never saw the head repeats this request or is told by the next.
+    /// The record is made after the answer's head was written and before its end. So
+    /// a caller whose next request is served after this one does not get the report
+    /// twice, and a caller that never received the head gets it from a repeat of this
+    /// request or from the next one.
     pub(super) async fn note_told(&self) {
         let Some(Named::Caller(id)) = &self.request.session else { return };
         let Some(chosen) = self.chosen.as_ref().filter(|chosen| !chosen.moved.is_empty()) else { return };
@@ -106,16 +109,17 @@
         let deadline = self.request.deadline.min(Instant::now() + TELL_WITHIN);
         let journal = &self.shared.links.journal;
         if let Err(error) = journal.bind_session(self.request.customer(), id, &told, Some(bound), deadline).await {
-            tracing::info!(request = %self.request.id(), ?error, "a session's move will be told again");
+            tracing::info!(request = %self.request.id(), ?error, "could not record a reported session move, it will be reported again");
         }
     }
 
-    /// Notes that nobody has heard of the moves that this request's answer told.
+    /// Retracts the record that this request's answer reported session moves.
     ///
-    /// The caller asks again with the key, and one that must not run twice is only
-    /// told that it ran: the answer that would have told is lost for good, and the
-    /// next one, with another key, would say nothing. So this comes before the
-    /// refusal, and goes on behind it if it takes too long.
+    /// The caller sends the key again, so it lacks the first answer. A repeat of a
+    /// request that must not run twice gets only a refusal: the answer with the
+    /// report is lost for good, and the next one, under another key, would not
+    /// contain it. So the retraction comes before the refusal, and continues in the
+    /// background if it takes too long.
     pub(super) async fn note_untold(&self) {
         let Some(Named::Caller(session)) = &self.request.session else { return };
         let note = Untold { shared: self.shared.clone(), session: session.clone(), answer: self.request.id().clone() };
@@ -127,18 +131,18 @@
             return;
         };
         let (done, noted) = oneshot::channel();
-        // A task of its own: this request may end before the note is written.
+        // Runs as its own task because this request may end before it succeeds.
         tokio::spawn(async move {
             note.deliver(done).await;
             drop(leave);
         });
         if timeout_at(deadline, noted).await.is_err() {
-            tracing::info!(request = %self.request.id(), "that nobody heard of a session's move is noted later");
+            tracing::info!(request = %self.request.id(), "retraction of a session move report continues in the background");
         }
     }
 }
 
-/// That an answer which told of a session's moves has reached nobody.
+/// Retraction of the record that an answer reported a session's moves.
 struct Untold {
     shared: Arc<Shared>,
     session: Id,
@@ -146,11 +150,11 @@
 }
 
 impl Untold {
-    /// Takes the note back that the answer has told.
+    /// Removes the record from the session's binding.
     async fn write(&self, deadline: Instant) -> Result<(), Error> {
         let (journal, customer) = (&self.shared.links.journal, &self.answer.customer);
-        // A session that nobody has bound yet gets an empty binding, which the
-        // next choice replaces.
+        // A session that is not bound yet gets an empty binding, which the next
+        // choice replaces.
         let mut bound = journal.bind_session(customer, &self.session, &[], None, deadline).await?;
         loop {
             let untold = self.without_note(&bound);
@@ -165,6 +169,7 @@
         }
     }
 
+    /// Returns the pins without the record that this answer reported their moves.
     fn without_note(&self, bound: &[Pin]) -> Vec<Pin> {
         let mut pins = bound.to_vec();
         let is_by_this = |left: &&mut Left| left.told.as_ref().is_some_and(|told| told.request == self.answer.key);
@@ -174,13 +179,13 @@
         pins
     }
 
-    /// Goes on until it is noted.
+    /// Retries until the record is removed or the time limit is reached.
     async fn deliver(self, done: oneshot::Sender<()>) {
         let give_up = Instant::now() + UNTELL_FOR;
         loop {
             match self.write(Instant::now() + UNTELL_WITHIN).await {
                 Ok(()) => {
-                    // Nobody may be waiting any more.
+                    // The receiver may have stopped waiting.
                     let _ = done.send(());
                     return;
                 }
@@ -195,7 +200,7 @@
     }
 }
 
-/// Answers that told of moves to versions which may answer now.
+/// Returns the answers that reported moves to any of the `answering` versions.
 fn tellers<'a>(pins: &'a [Pin], answering: &[&Version]) -> Vec<&'a Teller> {
     let answers = |pin: &&Pin| answering.contains(&&pin.version);
     pins.iter().filter(answers).filter_map(|pin| pin.left.as_ref()?.told.as_ref()).collect()
--- a/crates/entry/src/feed.rs
+++ b/crates/entry/src/feed.rs
@@ -1,4 +1,5 @@
-//! What the desk is told without a request: catalogs, members, reports, ratings.
+//! Background tasks that forward updates to the desk: catalogs, members, engine
+//! reports, leaving endpoints and ratings.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,14 +15,15 @@
 
 use crate::shared::Shared;
 
-/// How often engines are asked for their load and cache events.
+/// Interval at which engines are asked for their load and cache events.
 const REPORT_EVERY: Duration = Duration::from_secs(1);
-/// How long the rating service may wait for the next rating.
+/// Longest time that the rating service may wait for the next rating before it
+/// answers, in milliseconds.
 const RATINGS_WAIT_MS: u64 = 5_000;
-/// Pause after the rating service failed.
+/// Pause after a failed call to the rating service.
 const RATINGS_PAUSE: Duration = Duration::from_secs(1);
 
-/// Starts all feeds.
+/// Starts all background tasks.
 pub(crate) fn spawn(shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
     let mut feeds = vec![
         tokio::spawn(world(shared.clone())),
@@ -34,7 +36,7 @@
     feeds
 }
 
-/// Tells the desk of each catalog and each change of members.
+/// Forwards each new catalog and each change of the members to the desk.
 async fn world(shared: Arc<Shared>) {
     let mut catalogs = shared.links.config.subscribe();
     let mut members = shared.links.peer.members();
@@ -55,8 +57,9 @@
     }
 }
 
-/// Notes when an instance that took work is suspected or gone: what it knew
-/// of keys is lost. One that leaves in order loses nothing.
+/// Records a loss if an instance that was live is now suspected, restarted or gone:
+/// what it held in memory about keys is lost. An instance that leaves in an orderly
+/// way loses nothing.
 fn note_losses(shared: &Shared, counted: &mut Vec<(instance::Id, Incarnation)>) {
     let members = shared.links.peer.members().borrow().clone();
     let live = members.others.values().filter(|i| i.state == State::Live).map(|i| (i.id.clone(), i.incarnation));
@@ -71,7 +74,7 @@
     *counted = live;
 }
 
-/// Asks each engine for its load and its cache events.
+/// Polls each engine for its load and cache events and forwards them to the desk.
 async fn reports(shared: Arc<Shared>) {
     let mut next: std::collections::HashMap<Id, u64> = std::collections::HashMap::new();
     let mut ticks = interval(REPORT_EVERY);
@@ -107,7 +110,7 @@
     }
 }
 
-/// Tells the desk which endpoints are leaving, with each change of the list.
+/// Forwards each change of the list of leaving endpoints to the desk.
 async fn leaving(shared: Arc<Shared>) {
     let mut leaving = shared.links.leaving.clone();
     loop {
@@ -119,7 +122,7 @@
     }
 }
 
-/// Hands ratings that came later to the desk.
+/// Forwards ratings that arrive after their answers were delivered to the desk.
 async fn ratings(shared: Arc<Shared>) {
     let mut after = 0;
     loop {
@@ -129,7 +132,7 @@
                 shared.desk.ratings(page.ratings);
             }
             Err(error) => {
-                tracing::debug!(%error, "no ratings were read");
+                tracing::debug!(%error, "could not read ratings");
                 sleep(RATINGS_PAUSE).await;
             }
         }
--- a/crates/entry/src/held.rs
+++ b/crates/entry/src/held.rs
@@ -1,5 +1,7 @@
-//! Answers held here under their callers' keys: running ones, and finished
-//! ones for a while, so that a repeat gets the same answer and runs nothing.
+//! Answers stored at this instance under their callers' keys.
+//!
+//! Running answers are stored, and finished ones for a limited time, so that a
+//! repeat of a request gets the same answer instead of running again.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,12 +14,12 @@
 
 use crate::tape::{Reader, Tape};
 
-/// How long a finished answer is held.
+/// How long a finished answer is kept.
 const HOLD: Duration = Duration::from_mins(2);
-/// Most bytes of finished answers.
+/// Maximum size of all finished answers, in bytes.
 const MAX_BYTES: usize = 32 * 1024 * 1024;
 
-/// Answers under their keys; clones share them.
+/// Stored answers by request key; clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct Held {
     shared: Arc<Mutex<Shared>>,
@@ -26,13 +28,16 @@
 #[derive(Debug, Default)]
 struct Shared {
     answers: HashMap<Id, Answer>,
+    /// Finished answers, oldest first.
     finished: VecDeque<Finished>,
+    /// Size of all finished answers.
     bytes: usize,
 }
 
 #[derive(Debug)]
 struct Answer {
     tape: Tape,
+    /// Hash of the request, to recognize another request under the same key.
     fingerprint: u64,
 }
 
@@ -44,19 +49,19 @@
     until: Instant,
 }
 
-/// What is held under a key.
+/// The result of looking up a request's key.
 #[derive(Debug)]
 pub enum Found {
-    /// Nothing was: this tape is the caller's to write, with its reader.
+    /// Nothing was stored; a new tape to write the answer to, and its reader.
     New(Tape, Reader),
-    /// The same request, running or answered.
+    /// The same request, running or answered; a reader of its answer.
     Same(Reader),
-    /// Another request.
+    /// Another request under the same key.
     Other,
 }
 
 impl Held {
-    /// Finds a request's answer, or opens its tape.
+    /// Returns a reader of a request's answer, or creates a tape for it.
     #[must_use]
     pub fn find_or_open(&self, id: &Id, fingerprint: u64) -> Found {
         let mut shared = self.lock();
@@ -73,27 +78,28 @@
         }
     }
 
-    /// Joins a request that runs, or was answered, here.
+    /// Returns a reader of the answer of a request that runs, or was answered, here.
     #[must_use]
     pub fn join(&self, id: &Id, fingerprint: u64) -> Option<Reader> {
         let shared = self.lock();
         shared.answers.get(id).filter(|answer| answer.fingerprint == fingerprint).map(|answer| answer.tape.reader())
     }
 
-    /// Whether a request runs here.
+    /// Returns whether a request is running here.
     #[must_use]
     pub fn running(&self, id: &Id) -> bool {
         self.lock().answers.get(id).is_some_and(|answer| !answer.tape.ended())
     }
 
-    /// Puts another tape of the same answer in a tape's place; a repeat reads that.
+    /// Replaces a tape by another one of the same answer, which repeats read from now
+    /// on.
     pub fn replace(&self, id: &Id, tape: &Tape, with: &Tape) {
         if let Some(answer) = self.lock().answers.get_mut(id).filter(|answer| answer.tape.is(tape)) {
             answer.tape = with.clone();
         }
     }
 
-    /// Keeps a whole answer for a while.
+    /// Keeps a whole answer for a limited time.
     pub fn keep(&self, id: &Id, tape: &Tape, bytes: usize) {
         let mut shared = self.lock();
         shared.bytes += bytes;
@@ -102,7 +108,7 @@
         shared.expire(Instant::now());
     }
 
-    /// Forgets an answer that did not come about: a repeat may run.
+    /// Removes an answer that failed, so that a repeat may run.
     pub fn forget(&self, id: &Id, tape: &Tape) {
         self.lock().remove(id, tape);
     }
@@ -113,6 +119,8 @@
 }
 
 impl Shared {
+    /// Removes finished answers that are too old, and the oldest ones beyond the size
+    /// limit.
     fn expire(&mut self, now: Instant) {
         while let Some(oldest) = self.finished.front() {
             if oldest.until > now && self.bytes <= MAX_BYTES {
@@ -124,6 +132,7 @@
         }
     }
 
+    /// Removes the answer under a key if it is still on this tape.
     fn remove(&mut self, id: &Id, tape: &Tape) {
         if self.answers.get(id).is_some_and(|answer| answer.tape.is(tape)) {
             self.answers.remove(id);
--- a/crates/entry/src/life.rs
+++ b/crates/entry/src/life.rs
@@ -1,155 +1,154 @@
-//! One request's life, as a state machine without I/O.
+//! The state machine of one request, without I/O.
 //!
-//! The driver carries out a [`Command`], and tells what came of it as an
-//! [`Event`]; [`Life::step`] is the one place where it is decided what
-//! follows. The promises that need an order of steps are kept here, and its
-//! tests draw events at random to see that they hold whatever happens:
+//! The driver executes a [`Command`] and reports its result as an [`Event`]; only
+//! [`Life::step`] decides the next command. The guarantees that depend on the order
+//! of steps are enforced here, and property tests check them under random events:
 //!
 //! - A request that must not be repeated is dispatched only under a claim, and
 //!   never again once a byte may have arrived.
-//! - `ran: no` is said only while every dispatch was certainly refused.
-//! - The last frame goes out only after the bill is held.
+//! - `ran: no` is reported only if every dispatch was certainly refused.
+//! - The last frame is sent only after the bill is stored.
 
 use world::request::Repeat;
 
 pub use timeline::Ran;
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// Waits for its turn.
+    /// Waiting in the admission queue.
     Admitting,
-    /// Waits for its durable claim.
+    /// Waiting for its claim to become durable.
     Claiming,
-    /// Waits for the version and its price to be settled.
+    /// Waiting for its versions to be chosen and their price to be reserved.
     Choosing,
-    /// Waits for an endpoint to take it.
+    /// Waiting for an endpoint to accept it.
     Dispatching,
-    /// Waits for leave to dispatch again.
+    /// Waiting for permission to dispatch again.
     Retrying,
-    /// An endpoint works on it.
+    /// Running at an endpoint.
     Running,
-    /// Its broken stream is taken up at its endpoint.
+    /// Waiting for its broken stream to be resumed at its endpoint.
     Resuming,
-    /// Waits for its rating.
+    /// Waiting for its answer to be rated.
     Rating,
-    /// Waits until its bill is held.
+    /// Waiting for its bill to be stored.
     Billing,
-    /// Its answer is whole and billed.
+    /// Final: its answer is whole and billed.
     Answered,
-    /// It has failed; the caller is told whether it ran.
+    /// Final: it failed, and the problem states whether it ran.
     Failed,
-    /// Its caller is gone and it was stopped.
+    /// Final: it was stopped because its caller is gone.
     Abandoned,
-    /// Another run of it has answered in its place.
+    /// Final: its caller gets the outcome of another run, or a refusal.
     Superseded,
 }
 
 impl State {
-    /// Whether nothing follows.
+    /// Returns whether the state is final.
     #[must_use]
     pub fn is_end(self) -> bool {
         matches!(self, Self::Answered | Self::Failed | Self::Abandoned | Self::Superseded)
     }
 }
 
-/// What has happened.
+/// An event reported by the driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Its turn has come.
+    /// The admission queue granted the request its turn.
     Admitted,
-    /// Its claim is durable.
+    /// The claim is durable.
     Claimed,
-    /// It was claimed before, and its caller has that run's answer.
+    /// The key was claimed before, and the caller got that run's outcome or a refusal.
     Superseded,
-    /// The versions to try are settled and paid for: so many steps.
+    /// The versions are chosen and their price is reserved.
     Chosen {
-        /// Steps of the cascade, at least 1.
+        /// Number of cascade steps, at least 1.
         steps: u8,
     },
     /// A step before the first byte of a dispatch was refused.
     Declined,
-    /// The endpoint took it.
+    /// The endpoint accepted the request.
     Started,
-    /// The endpoint certainly ran nothing.
+    /// The endpoint certainly did not run the request.
     Refused {
         /// Whether a byte of the dispatch may have arrived there.
         arrived: bool,
     },
     /// The dispatch ended and may have run.
     Lost,
-    /// Leave to dispatch again.
+    /// Another dispatch is permitted.
     Again,
-    /// No leave to dispatch again.
+    /// No further dispatch is permitted.
     GiveUp,
     /// The first frame arrived.
     Frame,
     /// The stream ended early.
     Broke,
-    /// The stream goes on where it broke.
+    /// The stream continues where it broke.
     Resumed,
-    /// The stream cannot be taken up.
+    /// The stream cannot be resumed.
     Gone,
-    /// Another endpoint's answer does not begin with what was sent already.
+    /// Another endpoint's answer does not begin with the text already sent.
     Diverged,
     /// The answer is whole.
     Whole,
-    /// The rating says the answer is good enough, or there is no rating.
+    /// The answer passed its rating and is sent.
     Kept,
-    /// The rating says a dearer version must answer.
+    /// The next version of the cascade must answer.
     Rejected,
-    /// The bill is held.
+    /// The bill is stored.
     Billed,
-    /// The bill could not be held.
+    /// The bill could not be stored.
     Unbilled,
-    /// Nobody waits for the answer any more.
+    /// No caller waits for the answer any more.
     CallerGone,
     /// The deadline has passed.
     TimeUp,
-    /// A fault of ours.
+    /// An internal error of this instance.
     Fault,
 }
 
-/// What to do next.
+/// The next action for the driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Command {
-    /// Wait for its turn.
+    /// Wait in the admission queue.
     Admit,
-    /// Make its claim durable.
+    /// Make the claim durable.
     Claim,
-    /// Settle versions and reserve their price.
+    /// Choose the versions and reserve their price.
     Choose,
-    /// Send it to an endpoint.
+    /// Send the request to an endpoint.
     Dispatch,
-    /// Ask for leave to dispatch again.
+    /// Ask for permission to dispatch again.
     Retry,
     /// Read the answer.
     Read,
-    /// Take the stream up at its endpoint.
+    /// Resume the stream at its endpoint.
     Resume,
-    /// Have the answer rated.
+    /// Get the answer rated.
     Rate,
-    /// Have the bill held.
+    /// Store the bill.
     Bill,
     /// Send the last frame.
     Deliver,
-    /// Tell the caller that there is no whole answer.
+    /// Report to the caller that there is no whole answer.
     Fail {
-        /// Whether it ran; `No` is a promise.
+        /// Whether the request ran; `No` is a guarantee.
         ran: Ran,
     },
-    /// Cancel what runs; there is nobody to tell.
+    /// Cancel the running dispatch; no caller is left to notify.
     Abandon,
-    /// Nothing; another run has answered.
+    /// Do nothing; the caller already got its outcome.
     Retire,
 }
 
-/// An event that cannot follow; a fault of the driver.
+/// An event that is not possible in the present state; a bug in the driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Illegal {
-    /// Where the request stood.
+    /// The state of the request.
     pub state: State,
-    /// What was said to have happened.
+    /// The event that was reported.
     pub event: Event,
 }
 
@@ -161,61 +160,62 @@
 
 impl std::error::Error for Illegal {}
 
-/// One request's life so far.
+/// The state machine of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Life {
     repeat: Repeat,
     state: State,
     ran: Ran,
+    /// Number of cascade steps after the present one.
     steps_left: u8,
     dispatches: u32,
 }
 
 impl Life {
-    /// A request whose head and customer are known, and what to do first.
+    /// Creates the state machine of a request and returns it with the first command.
     #[must_use]
     pub fn begin(repeat: Repeat) -> (Self, Command) {
         let life = Self { repeat, state: State::Admitting, ran: Ran::No, steps_left: 0, dispatches: 0 };
         (life, Command::Admit)
     }
 
-    /// Notes that an earlier try under the same key ran, or may have.
+    /// Records that an earlier try under the same key ran, or may have run.
     pub fn ran_before(&mut self, ran: Ran) {
         if self.ran == Ran::No {
             self.ran = ran;
         }
     }
 
-    /// Where it stands.
+    /// Returns the present state.
     #[must_use]
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether it ran.
+    /// Returns whether the request ran.
     #[must_use]
     pub fn ran(&self) -> Ran {
         self.ran
     }
 
-    /// Dispatches so far.
+    /// Returns the number of dispatches so far.
     #[must_use]
     pub fn dispatches(&self) -> u32 {
         self.dispatches
     }
 
-    /// Whether a later step of the cascade is left, so that the present
-    /// answer is rated before any of it is shown.
+    /// Returns whether a further step of the cascade is left, in which case the present
+    /// answer is rated before any of it is sent.
     #[must_use]
     pub fn may_escalate(&self) -> bool {
         self.steps_left > 0
     }
 
-    /// Whether it goes on when nobody waits for its answer.
+    /// Returns whether the request continues when no caller waits for its answer.
     ///
-    /// One that must not be repeated does so from its claim on: its outcome is
-    /// what the caller asks for next, and a cancelled run has none. One whose
-    /// answer is whole has run for its customer and is billed.
+    /// A request that must not be repeated continues from its claim on: the caller
+    /// will ask for its outcome, and a cancelled run has none. A request whose answer
+    /// is whole has done its work and is billed.
     #[must_use]
     pub fn outlives_caller(&self) -> bool {
         match self.state {
@@ -225,11 +225,12 @@
         }
     }
 
-    /// Takes in an event and says what to do next.
+    /// Processes an event and returns the next command.
     ///
     /// # Errors
     ///
-    /// [`Illegal`] when the event cannot follow; the life is unchanged.
+    /// [`Illegal`] if the event is not possible in the present state, which then
+    /// stays as it is.
     pub fn step(&mut self, event: Event) -> Result<Command, Illegal> {
         match (self.state, event) {
             (state, _) if state.is_end() => Err(Illegal { state, event }),
@@ -263,9 +264,10 @@
         command
     }
 
+    /// Fails the request because of its deadline or an internal error.
     fn cut_short(&mut self) -> Command {
-        // In `Dispatching` the request may be on its way: a deadline or fault
-        // there says nothing about what the endpoint does with it.
+        // In `Dispatching` the request may already be in transit: after a deadline or
+        // fault in this state, the endpoint may still run it.
         if self.state == State::Dispatching {
             self.may_have_run();
         }
@@ -306,10 +308,10 @@
     }
 
     fn refused(&mut self, arrived: bool) -> Command {
-        // Where bytes have arrived, only the endpoint's word stands against a
-        // second run. That word is enough to tell the caller "not run" and to
-        // try elsewhere with a request that may be repeated; a deposit is not
-        // staked on it.
+        // Once bytes have arrived, only the endpoint's own statement rules out that
+        // the request ran. That is enough to report "not run" and to retry an
+        // idempotent request elsewhere, but not to risk running a request twice that
+        // must not be repeated.
         if self.repeat == Repeat::Never && arrived {
             return self.go(State::Failed, Command::Fail { ran: self.ran });
         }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! One request as it goes through this instance.
+//! A checked request, ready to run at this instance.
 
 use bytes::Bytes;
 use endpoint::service::Call;
@@ -21,32 +21,32 @@
     session::Named,
 };
 
-/// What is to be run.
+/// The work of a request.
 #[derive(Debug, Clone)]
 pub enum Work {
     /// A chat request.
     Chat(Chat),
-    /// A plain service's call.
+    /// A call of a plain service.
     Call(Visit),
 }
 
-/// A call of a plain service as the caller made it.
+/// A call of a plain service as received from the caller.
 #[derive(Debug, Clone)]
 pub struct Visit {
-    /// The service.
+    /// Service to call.
     pub service: service::Id,
     /// HTTP method.
     pub method: Method,
-    /// Path and query, from `/` on.
+    /// Path and query, starting with `/`.
     pub path: String,
-    /// Headers worth passing on.
+    /// Headers forwarded to the service.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
 impl Visit {
-    /// The same call for one server.
+    /// Returns the call addressed to one server of the service.
     #[must_use]
     pub fn call(&self, attempt: endpoint::Attempt, address: std::net::SocketAddr, request: &Request) -> Call {
         Call {
@@ -61,6 +61,7 @@
         }
     }
 
+    /// Returns the hash of the method, path and body.
     fn fingerprint(&self) -> u64 {
         let head = format!("{} {} ", self.method, self.path);
         hash::rendezvous(hash::stable(head.as_bytes()), &self.body)
@@ -70,22 +71,22 @@
 /// One request, checked and ready to run.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Whose it is and on what terms.
+    /// Customer, key and other terms given by the headers.
     pub terms: Terms,
-    /// Whether it may be repeated; the terms' word, or its service's.
+    /// Whether the request may be repeated, according to its terms or its service.
     pub repeat: Repeat,
-    /// What is to be run.
+    /// Work to run.
     pub work: Work,
-    /// The session it names.
+    /// Session named by the caller.
     pub session: Option<Named>,
-    /// When its answer must be whole.
+    /// Time by which the answer must be whole.
     pub deadline: Instant,
-    /// When it was received.
+    /// Time at which the request was received.
     pub received: Instant,
 }
 
 impl Request {
-    /// A request received now under its contract.
+    /// Creates a request that is received now; `contract` gives the default deadline.
     #[must_use]
     pub fn new(terms: Terms, repeat: Repeat, work: Work, session: Option<Named>, contract: &Contract) -> Self {
         let received = Instant::now();
@@ -94,25 +95,25 @@
         Self { terms, repeat, work, session, deadline, received }
     }
 
-    /// Which request.
+    /// Returns the identifier of the request.
     #[must_use]
     pub fn id(&self) -> &Id {
         &self.terms.id
     }
 
-    /// Whose.
+    /// Returns the customer that sent the request.
     #[must_use]
     pub fn customer(&self) -> &Customer {
         &self.terms.customer
     }
 
-    /// Its deadline on the wall clock.
+    /// Returns the deadline as wall-clock time.
     #[must_use]
     pub fn due(&self) -> Timestamp {
         clock::now().plus(clock::left(self.deadline))
     }
 
-    /// Where it waits.
+    /// Returns the admission queue in which the request waits.
     #[must_use]
     pub fn line(&self) -> Line {
         match &self.work {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Hash of what is to be run; one key must have one.
+    /// Returns the hash of the work; requests with the same key must have the same one.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         match &self.work {
@@ -130,7 +131,8 @@
         }
     }
 
-    /// The name of its session; its own key where it starts one.
+    /// Returns the identifier of the session; a request that starts one uses its own
+    /// key.
     #[must_use]
     pub fn session_id(&self) -> Option<session::Id> {
         match &self.session {
@@ -139,7 +141,8 @@
         }
     }
 
-    /// Its session as roll-outs count it.
+    /// Returns the unit that roll-outs assign to a version: the session, or the request
+    /// itself if it has none.
     #[must_use]
     pub fn unit(&self) -> Unit {
         match self.session_id() {
@@ -148,7 +151,8 @@
         }
     }
 
-    /// Endpoints it may go to.
+    /// Returns the target that its endpoints must serve: `version` for a chat request,
+    /// or the service.
     #[must_use]
     pub fn target(&self, version: Option<&Version>) -> Option<Target> {
         match &self.work {
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -1,8 +1,8 @@
-//! Session handles: pinned versions that the caller keeps for us.
+//! Session handles: a session's pinned versions in signed form, stored by the caller.
 //!
-//! A handle is `s1.PAYLOAD.MAC`. The payload names the customer, the session
-//! and its pins; the MAC keeps a caller from making up a pin or using another
-//! customer's handle. The fleet holds no state for such a session, and any
+//! A handle is `s1.PAYLOAD.MAC`. The payload contains the customer, the session
+//! and its pins; the MAC prevents a caller from forging a pin or using another
+//! customer's handle. The instances store no state for such a session, and any
 //! instance can serve its next request.
 
 use hmac::{Hmac, KeyInit, Mac};
@@ -18,13 +18,13 @@
     problem::{Kind, Problem},
 };
 
-/// Marks a handle; a caller's own name may not start with it.
+/// Prefix of every handle; a session name given by a caller must not start with it.
 const PREFIX: &str = "s1.";
 
-/// The keys handles are signed with, the current one first.
+/// Keys that sign handles, the current one first.
 ///
-/// While a key is replaced both are listed, so that handles signed by an
-/// instance that has the new settings are taken by one that has the old.
+/// While a key is being replaced both are listed, so that an instance with the old
+/// settings accepts handles signed by an instance with the new ones.
 #[derive(Clone)]
 pub struct Keys(Vec<Vec<u8>>);
 
@@ -35,7 +35,8 @@
 }
 
 impl Keys {
-    /// The keys, current one first; nothing when there is none.
+    /// Creates the list of keys, the current one first; `None` if the list is empty or
+    /// contains an empty key.
     #[must_use]
     pub fn new(keys: Vec<Vec<u8>>) -> Option<Self> {
         let usable = !keys.is_empty() && keys.iter().all(|key| !key.is_empty());
@@ -43,34 +44,37 @@
     }
 }
 
-/// A session as a request names it.
+/// A session as identified by a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Named {
-    /// A handle of ours, with its pins.
+    /// A valid handle, which contains the pins.
     Handle {
-        /// The session's own name.
+        /// Identifier of the session.
         id: Id,
-        /// What it is pinned to.
+        /// The session with its pins.
         session: Session,
     },
-    /// The caller's own name; its pins are in the journal.
+    /// A name given by the caller; the pins are in the journal.
     Caller(Id),
 }
 
-/// What a handle carries.
+/// Payload of a handle.
 #[derive(Debug, Serialize, Deserialize)]
 struct Payload {
+    /// Customer.
     c: Customer,
+    /// Session.
     s: Id,
+    /// Pins.
     p: Vec<Pin>,
 }
 
-/// Reads a session header.
+/// Parses a session header and verifies a handle's signature.
 ///
 /// # Errors
 ///
-/// [`Kind::BadSession`] for a handle that is not ours or another customer's,
-/// [`Kind::Malformed`] for a text that is no name.
+/// [`Kind::BadSession`] for a handle that is not signed with one of `keys` or belongs
+/// to another customer, [`Kind::Malformed`] for a text that is not a valid name.
 pub fn read(keys: &Keys, customer: &Customer, text: &str) -> Result<Named, Problem> {
     let Some(rest) = text.strip_prefix(PREFIX) else {
         let id = Id::parse(text).map_err(|invalid| Problem::not_run(Kind::Malformed, format!("session: {invalid}")))?;
@@ -90,7 +94,7 @@
     Ok(Named::Handle { id: payload.s, session: Session { customer: payload.c, pins: payload.p } })
 }
 
-/// Makes a session's handle.
+/// Creates and signs a session's handle.
 #[must_use]
 pub fn handle(keys: &Keys, id: &Id, session: &Session) -> String {
     let payload = Payload { c: session.customer.clone(), s: id.clone(), p: session.pins.clone() };
@@ -99,6 +103,7 @@
     format!("{PREFIX}{payload}.{}", encode(&mac))
 }
 
+/// Returns the MAC state over a payload, to sign or verify it.
 fn signer(key: &[u8], payload: &str) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
     mac.update(payload.as_bytes());
--- a/crates/entry/src/tape.rs
+++ b/crates/entry/src/tape.rs
@@ -1,11 +1,12 @@
-//! Tapes: the answer of one request, written once and read by any number.
+//! Tapes: buffers that hold the answer of one request, with one writer and any
+//! number of readers.
 //!
 //! The request's driver writes; its caller, and every caller that joined with
 //! the same idempotency key, reads at its own pace. A reader that falls
 //! behind gets the text it missed in one piece. The writer waits while the
-//! fastest reader is more than a window behind, so that a slow caller slows
-//! its engine down and memory is bounded; a joined reader that is slower than
-//! the fastest one holds up nobody.
+//! fastest reader is more than a window behind, so that a slow caller applies
+//! back-pressure to its engine and memory is bounded. A joined reader that is
+//! slower than the fastest one delays nobody.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -18,19 +19,20 @@
 
 use crate::problem::Problem;
 
-/// Bytes of text that may wait for the fastest reader.
+/// Maximum number of bytes that the fastest reader may be behind the writer.
 const WINDOW: usize = 16 * 1024;
 
-/// What is known before the first text.
+/// Data about an answer that is known before its first text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The request's key.
     pub request: request::Key,
-    /// The version that answers; nothing for a plain service.
+    /// The version that answers; `None` for a plain service.
     pub version: Option<Version>,
-    /// The session to go on with: a handle, or the caller's own name.
+    /// The session to continue with: a handle, or the name given by the caller.
     pub session: Option<String>,
-    /// The versions that the session left, of which its caller may not know yet.
+    /// The versions that the session left and that may not have been reported to
+    /// its caller yet.
     pub moved: Vec<Version>,
 }
 
@@ -41,12 +43,12 @@
     Whole {
         /// Why the engine stopped.
         reason: Reason,
-        /// Tokens read and made.
+        /// Number of prompt and completion tokens.
         usage: Usage,
     },
     /// A plain service's whole answer.
     Reply(Arc<Reply>),
-    /// No whole answer.
+    /// A failure without a whole answer.
     Failed(Arc<Problem>),
 }
 
@@ -55,24 +57,24 @@
 pub struct Reply {
     /// HTTP status.
     pub status: StatusCode,
-    /// Headers worth passing on.
+    /// Headers forwarded to the caller.
     pub headers: HeaderMap,
-    /// The body.
+    /// Whole body.
     pub body: Bytes,
 }
 
-/// What a reader gets.
+/// One item read from a tape.
 #[derive(Debug, Clone)]
 pub enum Item {
-    /// First, unless the request failed before it was known.
+    /// The head: the first item, unless the request failed before it was known.
     Head(Head),
-    /// Text that follows what was read before.
+    /// Text that follows the text read before.
     Text(String),
-    /// Last.
+    /// The end: the last item.
     End(End),
 }
 
-/// The answer of one request; clones share it.
+/// The answer of one request; clones share the same tape.
 #[derive(Debug, Clone)]
 pub struct Tape {
     shared: Arc<Shared>,
@@ -81,7 +83,9 @@
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
+    /// Notifies readers of anything written.
     written: watch::Sender<()>,
+    /// Notifies the writer when a reader has read or is dropped.
     read: watch::Sender<()>,
 }
 
@@ -90,13 +94,14 @@
     head: Option<Head>,
     text: String,
     end: Option<End>,
-    /// Bytes read so far, one per reader; nothing for one that is gone.
+    /// Bytes read so far by each reader; `None` for a dropped one.
     readers: Vec<Option<usize>>,
-    /// Readers that there have been.
+    /// Number of readers ever created.
     opened: usize,
 }
 
 impl State {
+    /// Returns the bytes read by the fastest reader; `None` without readers.
     fn fastest(&self) -> Option<usize> {
         self.readers.iter().flatten().copied().max()
     }
@@ -109,7 +114,7 @@
 }
 
 impl Tape {
-    /// An empty tape.
+    /// Creates an empty tape.
     #[must_use]
     pub fn open() -> Self {
         let (written, _) = watch::channel(());
@@ -117,7 +122,7 @@
         Self { shared: Arc::new(Shared { state: Mutex::default(), written, read }) }
     }
 
-    /// A tape of its own with the same head and text, and no end yet.
+    /// Creates an independent tape with the same head and text and without an end.
     #[must_use]
     pub fn reopen(&self) -> Self {
         let tape = Self::open();
@@ -129,7 +134,7 @@
         tape
     }
 
-    /// A reader from the beginning.
+    /// Creates a reader that starts at the beginning.
     #[must_use]
     pub fn reader(&self) -> Reader {
         let mut state = self.lock();
@@ -154,10 +159,10 @@
         self.shared.written.send_replace(());
     }
 
-    /// Writes text and waits while the fastest reader is a window behind.
+    /// Writes text and waits while the fastest reader is more than a window behind.
     ///
-    /// Returns at once when there is no reader: whether to go on for nobody
-    /// is the writer's decision, by [`Tape::deserted`].
+    /// Returns at once if there is no reader: whether to continue without readers is
+    /// up to the writer, which can wait on [`Tape::deserted`].
     pub async fn text(&self, text: &str) {
         self.lock().text.push_str(text);
         self.shared.written.send_replace(());
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Writes the end; the first one stays.
+    /// Writes the end; only the first end written is kept.
     pub fn end(&self, end: End) {
         let mut state = self.lock();
         state.end.get_or_insert(end);
@@ -180,43 +185,44 @@
         self.shared.written.send_replace(());
     }
 
-    /// Whether both are the same tape.
+    /// Returns whether both share the same tape.
     #[must_use]
     pub fn is(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.shared, &other.shared)
     }
 
-    /// Text written so far.
+    /// Returns the text written so far.
     #[must_use]
     pub fn written(&self) -> String {
         self.lock().text.clone()
     }
 
-    /// Bytes of text written so far.
+    /// Returns the number of bytes of text written so far.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lock().text.len()
     }
 
-    /// Whether no text is written.
+    /// Returns whether no text is written yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether the end is written.
+    /// Returns whether the end is written.
     #[must_use]
     pub fn ended(&self) -> bool {
         self.lock().end.is_some()
     }
 
-    /// Whether more than one has read it: its key is in use more than once.
+    /// Returns whether the tape has had more than one reader, which means that
+    /// several callers used the same key.
     #[must_use]
     pub fn is_shared(&self) -> bool {
         self.lock().opened > 1
     }
 
-    /// Waits until nobody reads.
+    /// Waits until there is no reader.
     pub async fn deserted(&self) {
         let mut read = self.shared.read.subscribe();
         while self.lock().fastest().is_some() {
@@ -226,18 +232,20 @@
         }
     }
 
+    /// Returns whether the fastest reader is more than a window behind.
     fn full(&self) -> bool {
         let state = self.lock();
         state.fastest().is_some_and(|read| state.text.len() - read > WINDOW)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Every change is a single assignment: whole even if a holder panicked.
+        // Every change is a single assignment, so the state is consistent even if a
+        // holder of the lock panicked.
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// How far a reader is.
+/// The part of the tape that a reader reads next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Head,
@@ -245,17 +253,18 @@
     Done,
 }
 
-/// Reads a tape from the beginning; dropping it says that its caller is gone.
+/// Reads a tape from the beginning; dropping it signals that its caller is gone.
 #[derive(Debug)]
 pub struct Reader {
     tape: Tape,
     written: watch::Receiver<()>,
+    /// Index of this reader in the tape's list of readers.
     place: usize,
     stage: Stage,
 }
 
 impl Reader {
-    /// The next item; nothing after the end.
+    /// Waits for the next item; returns `None` after the end.
     pub async fn next(&mut self) -> Option<Item> {
         loop {
             if self.stage == Stage::Done {
@@ -269,6 +278,7 @@
         }
     }
 
+    /// Takes the next item if it is already written.
     fn take(&mut self) -> Option<Item> {
         let mut state = self.tape.lock();
         if self.stage == Stage::Head
--- a/crates/entry/src/truth.rs
+++ b/crates/entry/src/truth.rs
@@ -1,18 +1,18 @@
-//! Whether "not run" may be said of a key.
+//! Checks whether a refusal may state that a request has not run.
 //!
 //! A caller whose first try broke off repeats its key at another instance. A
-//! refusal there is about the key, not only about the second try: told "not
-//! run", the caller files the request anew under another key, and what the
-//! first try did is done twice. So before an instance says "not run" of a key
-//! that somebody else may have used, it asks the key's home. What only the
-//! memory of an instance held is gone with it; a key made before the last loss
-//! of an instance may have run there.
+//! refusal there concerns the key, not only the second try: on "not run" the caller
+//! sends the request again under another key, and the work of the first try is
+//! done twice. So before an instance states "not run" for a key that may have been
+//! used elsewhere, it asks the key's home instance. State that an instance held only
+//! in memory is lost with it, so a key made before the last loss of an instance may
+//! have run there.
 //!
-//! An idempotent request runs without its home's word where the home does not
-//! answer in time. So the home cannot rule out a run of such a key, and neither
-//! can an instance that was the first to register it: "not run" is never said
-//! of the key of an idempotent request. Its caller loses nothing by that, since
-//! a repeat under the same key is safe whether it has run or not.
+//! An idempotent request runs without its home's response if the home does not
+//! answer in time. So neither the home nor an instance that was the first to register
+//! the key can rule out a run, and "not run" is never stated for the key of an
+//! idempotent request. This costs its caller nothing, since a repeat under the same
+//! key is safe whether the request has run or not.
 
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -31,20 +31,20 @@
     shared::Shared,
 };
 
-/// Longest wait for the home's word; a refusal is not held back for more.
+/// Longest wait for the home instance's response, which delays the refusal.
 const ASK_WITHIN: Duration = Duration::from_millis(300);
 
 impl Shared {
-    /// Notes that an instance was lost now.
+    /// Records that an instance was lost now.
     pub fn note_loss(&self) {
         self.lost.store(clock::now().0, Ordering::Release);
     }
 
-    /// Whether an instance was lost since a key was made, so that what it
-    /// held in memory about the key is gone.
+    /// Returns whether an instance was lost since a key was made, and with it what it
+    /// held in memory about the key.
     ///
-    /// The key's time is by the caller's clock, which may run ahead; a key
-    /// that does not tell its time may be of any age.
+    /// The key's timestamp is from the caller's clock, which may run ahead. A key
+    /// without a timestamp may be of any age.
     pub fn lost_since(&self, key: &Key) -> bool {
         let lost = Timestamp(self.lost.load(Ordering::Acquire));
         if lost.0 == 0 {
@@ -53,10 +53,11 @@
         key.made_at().is_none_or(|made_at| made_at <= lost.plus(KEY_SKEW))
     }
 
-    /// Makes a refusal's "not run" true of its key, not only of this try.
+    /// Corrects a refusal's "not run" so that it holds for the key, not only for this
+    /// try.
     pub async fn truthful(&self, mut problem: Problem, terms: &Terms, repeat: Repeat) -> Problem {
-        // With another body it is another request: nothing of it has run,
-        // whatever became of the one that had the key before.
+        // A reused key with another body is another request, which has not run,
+        // whatever the outcome of the request that used the key before.
         let about_key = terms.keyed && problem.kind != Kind::KeyReused;
         if problem.ran == Ran::No && about_key {
             problem.ran = self.ran_elsewhere(terms, repeat).await;
@@ -64,22 +65,22 @@
         problem
     }
 
-    /// Whether another try under this key has run.
+    /// Returns whether another try under this key has run.
     async fn ran_elsewhere(&self, terms: &Terms, repeat: Repeat) -> Ran {
         if repeat == Repeat::Idempotent {
             return Ran::Unknown;
         }
         let lost = self.lost_since(&terms.id.key);
         let known = self.links.journal.outcome(&terms.id, Instant::now() + ASK_WITHIN).await;
-        tracing::debug!(request = %terms.id, ?known, lost, "whether a refused key has run");
+        tracing::debug!(request = %terms.id, ?known, lost, "asked the home instance whether a refused request has run");
         match known {
             Ok(Some(Outcome::Answered)) => Ran::Yes,
-            // The home has proved that it is the home: a claim that is not
-            // there was never made.
+            // The home has proved that it is the home, so a claim that it does not
+            // have was never made.
             Ok(None | Some(Outcome::NotRun)) => Ran::No,
             Err(Error::NotRecorded(Reason::Unproved)) if !lost => Ran::No,
-            // The home was not reached, has no state yet, or went with what it
-            // knew: nobody can tell.
+            // The home was not reached, has no state yet, or was lost with its state,
+            // so the outcome is unknown.
             Ok(_) | Err(_) => Ran::Unknown,
         }
     }
--- a/crates/entry/tests/life.rs
+++ b/crates/entry/tests/life.rs
@@ -1,13 +1,16 @@
-//! The state machine: tables of whole lives, and promises under random events.
+//! Tests of the request state machine: tables of event sequences, and its guarantees
+//! under random events.
 
 use entry::life::{Command, Event, Life, Ran, State};
 use proptest::prelude::*;
 use world::request::Repeat::{self, Idempotent, Never};
 
+/// A refusal before any byte of the dispatch was sent.
 const NOT_SENT: Event = Event::Refused { arrived: false };
+/// A refusal by an endpoint that may have received bytes of the dispatch.
 const TURNED_AWAY: Event = Event::Refused { arrived: true };
 
-/// Runs a life through `events` and compares its last command and state.
+/// Feeds `events` to a state machine and compares its last command and state.
 fn check(repeat: Repeat, events: &[Event], last: Command, state: State) {
     let (mut life, mut command) = Life::begin(repeat);
     for event in events {
@@ -68,9 +71,9 @@
     hang_up_cancels_idempotent: Idempotent
         [Event::Admitted, Event::Chosen { steps: 1 }, Event::Started, Event::CallerGone]
         => Command::Abandon, Abandoned;
-    // The caller hangs up and nobody else waits: what may be repeated ends at
-    // once, before its first run, between its runs or amid its second, and no
-    // more is run or billed for nobody.
+    // When the last caller hangs up, an idempotent request ends at once: before its
+    // first run, between two runs or during the second. Otherwise work would be run
+    // and billed that nobody receives.
     caller_gone_at_choose: Idempotent [Event::Admitted, Event::CallerGone] => Command::Abandon, Abandoned;
     caller_gone_at_rate: Idempotent
         [Event::Admitted, Event::Chosen { steps: 2 }, Event::Started, Event::Whole, Event::CallerGone]
@@ -138,7 +141,7 @@
     ]
 }
 
-/// What an observer outside the machine saw happen.
+/// Facts recorded from the events and commands, independently of the state machine.
 #[derive(Default)]
 #[expect(clippy::struct_excessive_bools, reason = "independent facts, not a state")]
 struct Witness {
@@ -167,9 +170,11 @@
     }
 }
 
-/// The caller hangs up where its request goes on without it: one that must
-/// not be repeated from its claim on, any once its answer is being billed. The
-/// life stands where it stood, and asking later tells its true outcome.
+/// Checks that the request continues when its caller hangs up after `events`.
+///
+/// This holds for a request that must not be repeated from its claim on, and for any
+/// request whose answer is being billed. The state stays as it is, so that the caller
+/// can still learn the true outcome later.
 fn check_goes_on(repeat: Repeat, events: &[Event], state: State) {
     let (mut life, _) = Life::begin(repeat);
     for event in events {
@@ -194,10 +199,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(4_000))]
 
-    /// Events come in any order the machine takes. Whatever they are: no
-    /// dispatch of a non-idempotent request without its claim or after a byte
-    /// may have arrived, no last frame before the bill, no `ran: no` while a
-    /// dispatch is not certainly refused.
+    /// Events arrive in any order that the state machine accepts. In every order, a
+    /// non-idempotent request is not dispatched without its claim or after a byte may
+    /// have arrived, the last frame is not sent before the bill, and `ran: no` is not
+    /// reported while a dispatch is not certainly refused.
     #[test]
     fn promises_hold_whatever_happens(never: bool, events in prop::collection::vec(event(), 1..60)) {
         let repeat = if never { Never } else { Idempotent };
