--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -99,7 +99,7 @@
     /// Text of a cascade step that is held back until it is rated.
     unrated_text: String,
     /// Finish reason and usage from the last frame.
-    finish: Option<(endpoint::frame::Reason, Usage)>,
+    last_frame: Option<(endpoint::frame::Reason, Usage)>,
     /// Whole answer of a plain service.
     reply: Option<Arc<Reply>>,
     cost: Amount,
@@ -139,7 +139,7 @@
 
     /// Runs the request to its end.
     pub async fn drive(mut self) {
-        if !self.register().await {
+        if !self.register_key().await {
             return;
         }
         let (_, mut command) = Life::begin(self.request.repeat);
@@ -169,14 +169,14 @@
     async fn execute_interruptible(&mut self, command: Command) -> Event {
         let tape = self.tape.clone();
         let deadline = self.request.deadline;
-        let outlives_caller = self.life.outlives_caller();
+        let ignores_hang_up = self.life.outlives_caller();
         // A whole answer is billed even if the deadline passes meanwhile: the
         // work is done, and an answer without a bill cannot be delivered.
         let is_bounded = self.life.state() != State::Billing;
         tokio::select! {
             biased;
             event = self.execute(command) => event,
-            () = tape.wait_until_no_reader(), if !outlives_caller => Event::CallerGone,
+            () = tape.wait_until_no_reader(), if !ignores_hang_up => Event::CallerGone,
             () = sleep_until(deadline), if is_bounded => Event::TimeUp,
         }
     }
@@ -283,7 +283,7 @@
         self.count_outcome("answered");
         metrics::histogram!("entry_request_seconds", "customer" => self.request.customer().to_string())
             .record(self.request.received.elapsed().as_secs_f64());
-        let end = match (self.answer.reply.take(), self.answer.finish.take()) {
+        let end = match (self.answer.reply.take(), self.answer.last_frame.take()) {
             (Some(reply), _) => End::Reply(reply),
             (None, Some((reason, usage))) => End::Whole { reason, usage },
             (None, None) => return,
--- a/crates/entry/src/drive/account.rs
+++ b/crates/entry/src/drive/account.rs
@@ -76,7 +76,7 @@
     /// Moves on to the next step of the cascade.
     async fn escalate(&mut self, reason: &str) -> Event {
         self.answer.unrated_text.clear();
-        self.answer.finish = None;
+        self.answer.last_frame = None;
         self.excluded_endpoints.clear();
         let Some(from) = self.version() else { return Event::Fault };
         if let Some(chosen) = &mut self.chosen {
--- a/crates/entry/src/drive/enter.rs
+++ b/crates/entry/src/drive/enter.rs
@@ -36,7 +36,7 @@
     ///
     /// Returns whether the request has to run here. Otherwise another run gave its
     /// outcome, it was refused, or every caller has hung up.
-    pub(super) async fn register(&mut self) -> bool {
+    pub(super) async fn register_key(&mut self) -> bool {
         if self.request.repeat == Repeat::Never || !self.request.terms.keyed {
             return true;
         }
--- a/crates/entry/src/drive/read.rs
+++ b/crates/entry/src/drive/read.rs
@@ -39,7 +39,7 @@
                     }
                 }
                 Some(Ok(Frame::Finish { reason, usage, .. })) => {
-                    self.answer.finish = Some((reason, usage));
+                    self.answer.last_frame = Some((reason, usage));
                     return self.complete_attempt();
                 }
                 Some(Err(broken)) => return self.record_break(broken),
@@ -125,7 +125,7 @@
 
     /// Records the duration, tokens and cost of a whole answer.
     fn record_usage(&mut self, attempt: Attempt) {
-        let usage = self.answer.finish.as_ref().map(|(_, usage)| *usage).unwrap_or_default();
+        let usage = self.answer.last_frame.as_ref().map(|(_, usage)| *usage).unwrap_or_default();
         let tokens = u32::try_from(usage.completion_tokens).unwrap_or(u32::MAX).max(1);
         let first_frame = attempt.first_frame.unwrap_or_else(Instant::now);
         let first = first_frame - attempt.started;
--- a/crates/entry/src/drive/tell.rs
+++ b/crates/entry/src/drive/tell.rs
@@ -41,12 +41,12 @@
         let mut moved = choice.reason().moved.clone();
         let answering: Vec<_> = choice.steps().iter().map(Permit::version).collect();
         let mut lost = Vec::new();
-        for teller in reporting_answers(pins, &answering) {
-            if !self.has_reported_move(teller).await {
-                lost.push(teller);
+        for reporter in reporting_answers(pins, &answering) {
+            if !self.has_reported_move(reporter).await {
+                lost.push(reporter);
             }
         }
-        let is_alive = |teller: &Teller| !lost.contains(&teller);
+        let is_alive = |reporter: &Teller| !lost.contains(&reporter);
         for version in untold(pins, &answering, &self.request.id().key, is_alive) {
             if !moved.contains(version) {
                 moved.push(version.clone());
@@ -60,23 +60,23 @@
     ///
     /// The member list shows an instance as live for seconds after it is lost, so
     /// the instance itself is asked, once for each answer.
-    async fn has_reported_move(&self, teller: &Teller) -> bool {
+    async fn has_reported_move(&self, reporter: &Teller) -> bool {
         let links = &self.shared.links;
-        if !links.journal.knows(&teller.instance, teller.incarnation) {
+        if !links.journal.knows(&reporter.instance, reporter.incarnation) {
             return false;
         }
-        let answer = request::Id { customer: self.request.customer().clone(), key: teller.request.clone() };
-        if teller.instance == self.shared.settings.instance {
+        let answer = request::Id { customer: self.request.customer().clone(), key: reporter.request.clone() };
+        if reporter.instance == self.shared.settings.instance {
             return !self.shared.held.running(&answer);
         }
         if self.shared.is_confirmed(&answer) {
             return true;
         }
-        let has_ended = join::has_ended(&links.peer, &teller.instance, &answer, REPORT_TIMEOUT).await;
+        let has_ended = join::has_ended(&links.peer, &reporter.instance, &answer, REPORT_TIMEOUT).await;
         if has_ended {
             self.shared.confirm(answer);
         } else {
-            let (request, instance) = (self.request.id(), &teller.instance);
+            let (request, instance) = (self.request.id(), &reporter.instance);
             tracing::info!(%request, %instance, "session move report not confirmed, reporting it again");
         }
         has_ended
--- a/crates/entry/tests/life.rs
+++ b/crates/entry/tests/life.rs
@@ -148,7 +148,7 @@
     claimed: bool,
     billed: bool,
     /// A dispatch whose outcome is not a certain refusal.
-    has_unrefused_dispatch: bool,
+    open: bool,
     arrived: bool,
     delivered: bool,
 }
@@ -159,11 +159,11 @@
             Event::Claimed => self.claimed = true,
             Event::Billed => self.billed = true,
             Event::Refused { arrived } => {
-                self.has_unrefused_dispatch = false;
+                self.open = false;
                 self.arrived |= arrived;
             }
             // No endpoint was found, so no byte of this dispatch was sent.
-            Event::Declined => self.has_unrefused_dispatch = false,
+            Event::Declined => self.open = false,
             Event::Started | Event::Lost => self.arrived = true,
             _ => {}
         }
@@ -217,15 +217,13 @@
                 Command::Dispatch => {
                     prop_assert!(!never || observer.claimed, "dispatched without a claim");
                     prop_assert!(!never || !observer.arrived, "dispatched twice");
-                    observer.has_unrefused_dispatch = true;
+                    observer.open = true;
                 }
                 Command::Deliver => {
                     prop_assert!(observer.billed && !observer.delivered, "last frame before the bill");
                     observer.delivered = true;
                 }
-                Command::Fail { ran: Ran::No } => {
-                    prop_assert!(!observer.has_unrefused_dispatch && !unrefused, "`ran: no` is not true");
-                }
+                Command::Fail { ran: Ran::No } => prop_assert!(!observer.open && !unrefused, "`ran: no` is not true"),
                 Command::Rate => prop_assert!(!never, "a non-idempotent request was cascaded"),
                 _ => {}
             }
