--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,6 +1,6 @@
 //! Wall-clock time.
 //!
-//! It is read in this crate only and passed to deciding code as an argument.
+//! Code that makes decisions gets the time as an argument instead of reading the clock.
 
 use std::time::SystemTime;
 
