--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -1,9 +1,10 @@
-//! Drives one request through its life.
+//! The driver: the task that runs one request from admission to its end.
 //!
-//! One task per request. It carries out the state machine's commands, one at
-//! a time, and tells it what came of each; beside the command it watches the
-//! deadline and whether anybody still waits for the answer. What a caller
-//! sees is written to the request's tape.
+//! The driver executes the commands of the request's state machine ([`Life`])
+//! one at a time and feeds the resulting event back. While a command runs, the
+//! driver also watches the deadline and whether any caller still reads the
+//! answer. Everything that callers receive is written to the request's
+//! [`Tape`].
 
 mod account;
 mod choose;
@@ -33,46 +34,54 @@
     tape::{End, Head, Reply, Tape},
 };
 
-/// One request under way.
+/// Runs one request: executes the commands of its state machine.
 pub(crate) struct Driver {
     shared: Arc<Shared>,
     request: Request,
     tape: Tape,
     life: Life,
-    /// Its claim is durable: no other try of its key runs.
+    /// Whether the request's claim is durable, so that no other try under its key runs.
     is_claimed: bool,
+    /// Turn granted by the admission queue; dropping it lets the next request in.
     turn: Option<Turn>,
     chosen: Option<Chosen>,
+    /// Budget set aside for this request.
     reservation: Option<Reservation>,
-    /// Its bill, once it was made out.
+    /// The request's bill, once created.
     bill: Option<Bill>,
     attempt: Option<Attempt>,
+    /// Number of dispatches so far.
     tries: u32,
-    avoid: Vec<Key>,
-    /// Versions under roll-out that have failed this request.
-    shunned: Vec<Stop>,
+    /// Endpoints that failed this request; avoided by the next dispatch.
+    excluded_endpoints: Vec<Key>,
+    /// Versions under roll-out that failed this request.
+    excluded_versions: Vec<Stop>,
+    /// How the latest dispatch failed; input of the retry decision.
     failure: retry::Failure,
-    /// Time that another dispatch is expected to take, in milliseconds.
+    /// Expected duration of another dispatch, in milliseconds.
     expected_ms: Millis,
-    /// What a failure tells the caller, apart from what ran.
+    /// Problem to report if the request fails; its `ran` is filled in at the end.
     cause: Option<Problem>,
     answer: Answer,
     _in_flight: InFlight,
 }
 
-/// What was settled before the first dispatch.
+/// The versions, session and prices chosen before the first dispatch.
 struct Chosen {
     choice: Choice,
+    /// Index of the present cascade step in `choice`.
     step: usize,
+    /// Record of this request as an answer whose rating is pending.
     entered: Entered,
+    /// Session identifier returned to the caller.
     session: Option<String>,
-    /// Versions that the answer says the session left.
+    /// Versions that the session left and that the answer reports to the caller.
     moved: Vec<Version>,
-    /// Pins of a session that the caller named, as the journal has them.
+    /// Pins recorded in the journal for a session that the caller named.
     bound: Option<Vec<Pin>>,
 }
 
-/// One dispatch.
+/// One dispatch to an endpoint.
 struct Attempt {
     dispatch: Dispatch,
     place: Place,
@@ -81,24 +90,28 @@
     first_frame: Option<Instant>,
 }
 
-/// The answer so far.
+/// State of the answer, accumulated over all attempts.
 #[derive(Default)]
 struct Answer {
-    /// Text of the present attempt that matched what was sent before a break.
-    matched: usize,
-    /// Text of a step that is rated before any of it is shown.
-    buffer: String,
-    last: Option<(endpoint::frame::Reason, Usage)>,
+    /// Bytes of the present attempt's text that are accounted for: equal to text
+    /// already sent before a break, or newly sent.
+    matched_bytes: usize,
+    /// Text of a cascade step that is held back until it is rated.
+    unrated_text: String,
+    /// Finish reason and usage from the last frame.
+    last_frame: Option<(endpoint::frame::Reason, Usage)>,
+    /// Whole answer of a plain service.
     reply: Option<Arc<Reply>>,
     cost: Amount,
     input_tokens: u64,
     output_tokens: u64,
     frames: u64,
-    /// Whether its last step was rated while the caller waited.
-    rated: bool,
+    /// Whether the last step was rated before its answer was sent.
+    is_rated: bool,
 }
 
 impl Driver {
+    /// Creates the driver of a request and counts the request as in flight.
     pub fn new(shared: Arc<Shared>, request: Request, tape: Tape) -> Self {
         let (life, _) = Life::begin(request.repeat);
         let in_flight = shared.enter(request.customer());
@@ -114,8 +127,8 @@
             bill: None,
             attempt: None,
             tries: 0,
-            avoid: Vec::new(),
-            shunned: Vec::new(),
+            excluded_endpoints: Vec::new(),
+            excluded_versions: Vec::new(),
             failure: retry::Failure::NotRun { retry_after: None },
             expected_ms: 0,
             cause: None,
@@ -124,48 +137,52 @@
         }
     }
 
-    /// Drives the request to its end.
+    /// Runs the request to its end.
     pub async fn drive(mut self) {
-        if !self.enter().await {
+        if !self.register_key().await {
             return;
         }
         let (_, mut command) = Life::begin(self.request.repeat);
-        while !self.life.state().is_end() {
-            let event = self.carry_out(command).await;
+        while !self.life.state().is_final() {
+            let event = self.execute_interruptible(command).await;
             command = self.step(event);
         }
-        if let Some(leave) = self.late_bill() {
-            return self.bill_late(leave).await;
+        if let Some(permit) = self.late_billing_permit() {
+            return self.bill_in_background(permit).await;
         }
         self.finish(command).await;
     }
 
+    /// Feeds an event to the state machine; an illegal one fails the request.
     fn step(&mut self, event: Event) -> Command {
         match self.life.step(event) {
             Ok(command) => command,
             Err(illegal) => {
-                tracing::error!(request = %self.request.id(), %illegal, "fault in the driver");
+                tracing::error!(request = %self.request.id(), %illegal, "request driver produced an illegal event");
                 self.life.step(Event::Fault).unwrap_or(Command::Abandon)
             }
         }
     }
 
-    async fn carry_out(&mut self, command: Command) -> Event {
+    /// Executes a command until it completes, every caller has hung up or the
+    /// deadline passes.
+    async fn execute_interruptible(&mut self, command: Command) -> Event {
         let tape = self.tape.clone();
         let deadline = self.request.deadline;
-        let alone = self.life.outlives_caller();
-        // A whole answer is billed even when the deadline passes meanwhile:
-        // the work is done, and an unbilled answer is lost to everybody.
-        let bounded = self.life.state() != State::Billing;
+        let ignores_hang_up = self.life.outlives_caller();
+        // A whole answer is billed even if the deadline passes meanwhile: the
+        // work is done, and an answer without a bill cannot be delivered.
+        let is_bounded = self.life.state() != State::Billing;
         tokio::select! {
             biased;
-            event = self.act(command) => event,
-            () = tape.deserted(), if !alone => Event::CallerGone,
-            () = sleep_until(deadline), if bounded => Event::TimeUp,
+            event = self.execute(command) => event,
+            () = tape.wait_until_no_reader(), if !ignores_hang_up => Event::CallerGone,
+            () = sleep_until(deadline), if is_bounded => Event::TimeUp,
         }
     }
 
-    async fn act(&mut self, command: Command) -> Event {
+    /// Executes a command and returns the resulting event.
+    async fn execute(&mut self, command: Command) -> Event {
         match command {
             Command::Admit => self.admit().await,
             Command::Claim => self.claim().await,
@@ -180,7 +197,7 @@
         }
     }
 
-    /// Ends the request as its state machine has decided.
+    /// Executes the final command of the state machine.
     async fn finish(&mut self, command: Command) {
         self.turn = None;
         match command {
@@ -191,7 +208,8 @@
         }
     }
 
-    fn fail_cause(&self) -> Problem {
+    /// Returns the recorded cause of the failure, or one derived from the deadline.
+    fn failure_cause(&self) -> Problem {
         if let Some(cause) = &self.cause {
             return cause.clone();
         }
@@ -201,78 +219,83 @@
         Problem::not_run(Kind::Internal, "no cause was recorded")
     }
 
+    /// Ends the request without a whole answer.
     async fn fail(&mut self, ran: Ran) {
-        let mut problem = self.problem(ran);
+        let mut problem = self.failure_problem(ran);
         self.drop_attempt();
         if problem.kind == Kind::BillNotHeld {
-            // The bill's fate is unknown: it may count.
+            // Whether the bill was recorded is unknown, so its amount counts.
             self.end_reservation(None);
         }
-        self.settle(ran).await;
+        self.settle_unanswered(ran).await;
         if !self.is_claimed {
             problem = self.shared.truthful(problem, &self.request.terms, self.request.repeat).await;
         }
-        // From here on a repeat runs anew and does not join.
+        // From here on a repeat starts a new run instead of joining this one.
         self.shared.held.forget(self.request.id(), &self.tape);
-        // Of several callers with one key, the first to hear of a refusal may
-        // come back and start the run before the others have heard of it.
-        if problem.ran == Ran::No && self.tape.is_shared() {
+        // With several callers under one key, the first to receive this refusal
+        // may repeat the request and start a run before the others receive theirs.
+        if problem.ran == Ran::No && self.tape.had_several_readers() {
             problem.ran = Ran::Unknown;
         }
-        self.end_failed(problem);
+        self.end_with_problem(problem);
     }
 
-    /// What a failure tells the caller.
-    fn problem(&self, ran: Ran) -> Problem {
-        let mut problem = self.fail_cause().about(&self.request.id().key);
+    /// Returns the problem reported to the caller.
+    fn failure_problem(&self, ran: Ran) -> Problem {
+        let mut problem = self.failure_cause().about(&self.request.id().key);
         problem.ran = ran;
-        // The outcome of a request that must not be repeated is what its
-        // caller needs to know first.
+        // For a request that must not be repeated, the caller first needs to know
+        // that the outcome is unknown.
         if ran == Ran::Unknown && self.request.repeat == Repeat::Never {
             problem.kind = Kind::OutcomeUnknown;
         }
         problem
     }
 
-    fn end_failed(&self, problem: Problem) {
+    /// Records a failure in the timeline and the metrics and writes it as the answer's
+    /// end.
+    fn end_with_problem(&self, problem: Problem) {
         let step =
             Step::Refused { ran: problem.ran, problem: problem.kind.as_str().into(), detail: problem.detail.clone() };
         self.shared.note(self.request.id(), step);
-        self.count(problem.kind.as_str());
+        self.count_outcome(problem.kind.as_str());
         self.tape.end(End::Failed(Arc::new(problem)));
     }
 
+    /// Ends a request that no caller waits for.
     async fn abandon(&mut self) {
         self.drop_attempt();
-        self.settle(self.life.ran()).await;
+        self.settle_unanswered(self.life.ran()).await;
         self.shared.note(self.request.id(), Step::Abandoned { frames: self.answer.frames });
-        self.count("abandoned");
+        self.count_outcome("abandoned");
         self.shared.held.forget(self.request.id(), &self.tape);
         let problem = Problem::new(Kind::EndpointFailed, self.life.ran(), "every caller of it had hung up");
         self.tape.end(End::Failed(Arc::new(problem)));
     }
 
+    /// Writes the end of the whole, billed answer.
     async fn deliver(&mut self) {
-        self.note_told().await;
+        self.record_reported_moves().await;
         let frames = self.answer.frames;
         let took_ms = clock::millis(self.request.received.elapsed());
         self.shared.note(self.request.id(), Step::Finished { frames, took_ms });
-        self.count("answered");
+        self.count_outcome("answered");
         metrics::histogram!("entry_request_seconds", "customer" => self.request.customer().to_string())
             .record(self.request.received.elapsed().as_secs_f64());
-        let end = match (self.answer.reply.take(), self.answer.last.take()) {
+        let end = match (self.answer.reply.take(), self.answer.last_frame.take()) {
             (Some(reply), _) => End::Reply(reply),
             (None, Some((reason, usage))) => End::Whole { reason, usage },
             (None, None) => return,
         };
         if self.request.terms.keyed {
             let bytes = self.tape.len() + if let End::Reply(reply) = &end { reply.body.len() } else { 0 };
-            self.shared.held.keep(self.request.id(), &self.tape, bytes);
+            self.shared.held.keep_finished(self.request.id(), &self.tape, bytes);
         }
         self.tape.end(end);
     }
 
-    /// Writes the head once the version that answers is settled.
+    /// Writes the head; called once the answering version is final.
     fn write_head(&self) {
         let (session, moved) =
             self.chosen.as_ref().map(|chosen| (chosen.session.clone(), chosen.moved.clone())).unwrap_or_default();
@@ -280,18 +303,19 @@
         self.tape.head(Head { request, version: self.version(), session, moved });
     }
 
-    /// The version of the present step; nothing for a plain service.
+    /// Returns the version of the present cascade step; `None` for a plain service.
     fn version(&self) -> Option<Version> {
         let chosen = self.chosen.as_ref()?;
         Some(chosen.choice.steps()[chosen.step].version().clone())
     }
 
-    /// Cancels what runs.
+    /// Cancels the running dispatch, if any.
     fn drop_attempt(&mut self) {
         self.attempt = None;
     }
 
-    fn count(&self, outcome: &'static str) {
+    /// Counts the request under its outcome in the metrics.
+    fn count_outcome(&self, outcome: &'static str) {
         let version = self.version().map_or_else(|| "none".into(), |version| version.to_string());
         let customer = self.request.customer().to_string();
         metrics::counter!("entry_requests_total", "customer" => customer, "version" => version, "outcome" => outcome)
--- a/crates/entry/src/drive/choose.rs
+++ b/crates/entry/src/drive/choose.rs
@@ -1,4 +1,5 @@
-//! Settling versions, session and price before the first dispatch.
+//! Choosing versions, binding the session and reserving the budget before the
+//! first dispatch.
 
 use std::sync::Arc;
 
@@ -25,14 +26,15 @@
     session::{self, Named},
 };
 
-/// Longest wait for a caller-named session's binding.
-const BIND_WITHIN: std::time::Duration = std::time::Duration::from_secs(2);
-/// Bindings tried when others move the same session at the same time.
-const BIND_TRIES: usize = 3;
-/// When to come back when no version may run now.
+/// Longest wait for the journal to bind a caller-named session.
+const BIND_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
+/// Maximum number of binding attempts while other requests move the same session.
+const MAX_BIND_ATTEMPTS: usize = 3;
+/// Retry delay in milliseconds for callers whose request no version may run now.
 const NO_VERSION_RETRY_MS: u64 = 1_000;
 
 impl Driver {
+    /// Chooses the versions for a chat request and reserves the budget.
     pub(super) async fn choose(&mut self) -> Event {
         let steps = match self.request.work {
             Work::Call(_) => self.reserve(self.call_price()).await.map(|()| 1),
@@ -44,10 +46,10 @@
         }
     }
 
-    /// Sets the most it may cost aside.
+    /// Reserves the request's maximum cost from the customer's budget.
     ///
-    /// Before the run: after it the money may be gone, and the work would be
-    /// done for nobody's account.
+    /// This happens before the run: afterwards the budget may be spent, and
+    /// nobody could be billed for the work.
     async fn reserve(&mut self, ceiling: Amount) -> Result<(), Problem> {
         self.reservation = None;
         let catalog = self.shared.catalog();
@@ -64,10 +66,11 @@
                 self.reservation = Some(reservation);
                 Ok(())
             }
-            Err(error) => Err(unreserved(&error)),
+            Err(error) => Err(reservation_problem(&error)),
         }
     }
 
+    /// Returns the price of a plain service's call; zero if it has none.
     fn call_price(&self) -> Amount {
         let Work::Call(visit) = &self.request.work else {
             return Amount::ZERO;
@@ -77,21 +80,22 @@
         price.map_or(Amount::ZERO, |price| price.call)
     }
 
-    /// Chooses versions and binds the session to them; the number of steps.
+    /// Chooses the versions, binds the session to them and returns the number of
+    /// cascade steps.
     pub(super) async fn choose_versions(&mut self) -> Result<u8, Problem> {
         let (choice, entered, pins) = match self.request.session.clone() {
-            Some(Named::Caller(id)) => self.choose_bound(&id).await?,
-            Some(Named::Handle { session, .. }) => self.choose_pinned(Some(session)).await?,
-            None => self.choose_pinned(None).await?,
+            Some(Named::Caller(id)) => self.choose_for_named_session(&id).await?,
+            Some(Named::Handle { session, .. }) => self.choose_with_known_pins(Some(session)).await?,
+            None => self.choose_with_known_pins(None).await?,
         };
         if let Err(problem) = self.reserve(choice.ceiling()).await {
             self.shared.desk.void(entered);
             return Err(problem);
         }
         let start = choice.start();
-        let moved = self.moves(&choice, &pins).await;
+        let moved = self.unreported_moves(&choice, &pins).await;
         let bound = matches!(self.request.session, Some(Named::Caller(_))).then(|| pins.clone());
-        let session = self.session_text(pins);
+        let session = self.session_identifier(pins);
         self.shared.note(
             self.request.id(),
             Step::Chosen { version: start.version().clone(), tier: start.tier(), reason: choice.reason().to_string() },
@@ -105,49 +109,55 @@
         Ok(steps)
     }
 
-    /// The choice for a session whose pins are known, and its pins after it.
-    async fn choose_pinned(&mut self, session: Option<Session>) -> Result<(Choice, Entered, Vec<Pin>), Problem> {
-        let (choice, entered) = self.ask(session.clone()).await?;
+    /// Chooses for a request without a session or with a session whose pins are
+    /// known; returns the choice and the session's pins after it.
+    async fn choose_with_known_pins(
+        &mut self,
+        session: Option<Session>,
+    ) -> Result<(Choice, Entered, Vec<Pin>), Problem> {
+        let (choice, entered) = self.request_choice(session.clone()).await?;
         let pins = choice.pins(session.as_ref());
         Ok((choice, entered, pins))
     }
 
-    /// The choice for a session that the caller named: its pins are agreed
-    /// over the journal, so that the session keeps its version whichever
-    /// instances its requests reach.
-    async fn choose_bound(&mut self, id: &Id) -> Result<(Choice, Entered, Vec<Pin>), Problem> {
+    /// Chooses for a session that the caller named.
+    ///
+    /// The pins are agreed through the journal, so that the session keeps its
+    /// version no matter which instances its requests reach.
+    async fn choose_for_named_session(&mut self, id: &Id) -> Result<(Choice, Entered, Vec<Pin>), Problem> {
         let customer = self.request.customer().clone();
         let mut bound: Option<Vec<Pin>> = None;
-        for _ in 0..BIND_TRIES {
+        for _ in 0..MAX_BIND_ATTEMPTS {
             let session = bound.clone().map(|pins| Session { customer: customer.clone(), pins });
-            let (choice, entered) = self.ask(session.clone()).await?;
+            let (choice, entered) = self.request_choice(session.clone()).await?;
             let wanted = choice.pins(session.as_ref());
             let wanted = world::session::replace(wanted, bound.as_deref().unwrap_or_default(), &self.request.id().key);
             if bound.as_ref() == Some(&wanted) {
                 return Ok((choice, entered, wanted));
             }
-            let deadline = self.request.deadline.min(Instant::now() + BIND_WITHIN);
+            let deadline = self.request.deadline.min(Instant::now() + BIND_TIMEOUT);
             let journal = self.shared.links.journal.clone();
             let answer = journal.bind_session(&customer, id, &wanted, bound.as_deref(), deadline).await;
-            let won = match answer {
-                Ok(won) => won,
+            let current = match answer {
+                Ok(current) => current,
                 Err(error) => {
                     self.shared.desk.void(entered);
-                    return Err(unbound(error));
+                    return Err(binding_problem(error));
                 }
             };
-            if won == wanted {
+            if current == wanted {
                 return Ok((choice, entered, wanted));
             }
-            // The session was bound before, or another request moved it first.
+            // The session was already bound, or another request moved it first.
             self.shared.desk.void(entered);
-            bound = Some(won);
+            bound = Some(current);
         }
         let detail = "other requests keep moving this session";
         Err(Problem::not_run(Kind::Busy, detail).after(NO_VERSION_RETRY_MS))
     }
 
-    async fn ask(&mut self, session: Option<Session>) -> Result<(Choice, Entered), Problem> {
+    /// Requests a choice of versions from the routing state.
+    async fn request_choice(&mut self, session: Option<Session>) -> Result<(Choice, Entered), Problem> {
         let Work::Chat(chat) = &self.request.work else {
             return Err(Problem::not_run(Kind::Internal, "a plain service has no versions"));
         };
@@ -159,39 +169,40 @@
             class: self.request.terms.class.clone(),
             session,
             unit: self.request.unit(),
-            repeat: self.repeat(),
+            repeat: self.effective_repeat(),
             prompt_tokens: chat.prompt_tokens,
             max_tokens: chat.max_tokens,
             left_ms: clock::left(self.request.deadline),
-            ceiling: self.ceiling(&catalog),
+            ceiling: self.contract_budget(&catalog),
             catalog,
         };
         match self.shared.desk.choose(wish).await {
             Ok(Ok(chosen)) => Ok(chosen),
-            Ok(Err(refusal)) => Err(not_chosen(&refusal)),
+            Ok(Err(refusal)) => Err(choice_problem(&refusal)),
             Err(_) => Err(Problem::not_run(Kind::Leaving, "this instance is stopping")),
         }
     }
 
-    /// Versions that this request must not run on, whatever the catalog says.
+    /// Returns the versions that this request must not use, whatever the catalog
+    /// says: the stopped ones and those that failed this request.
     pub(super) fn stops(&self) -> Arc<Stops> {
         let stops = self.shared.links.control.stops();
-        if self.shunned.is_empty() {
+        if self.excluded_versions.is_empty() {
             return stops;
         }
         let mut stops = (*stops).clone();
-        for stop in &self.shunned {
+        for stop in &self.excluded_versions {
             stops.insert(stop.clone());
         }
         Arc::new(stops)
     }
 
-    /// Has the request leave a version under roll-out that failed it.
+    /// Excludes a version under roll-out that failed this request.
     ///
-    /// Until its guard has seen enough, a bad version fails everyone who meets
-    /// it, on every endpoint alike; its predecessor would answer. A session
-    /// that is on it already stays.
-    pub(super) fn shun(&mut self) {
+    /// Until the guard has enough observations, a bad version fails every request
+    /// on every endpoint, while its predecessor would answer. A session that is
+    /// already pinned to the version keeps it.
+    pub(super) fn exclude_failed_version(&mut self) {
         let named = matches!(self.request.session, Some(Named::Caller(_)));
         let Some(chosen) = self.chosen.as_ref().filter(|chosen| chosen.step == 0) else { return };
         let permit = chosen.choice.start();
@@ -203,23 +214,26 @@
         let rollout = catalog.rollouts().iter().find(|(_, rollout)| rollout.version == version);
         if let Some((rollout, _)) = rollout {
             let reason = "it failed this request".into();
-            self.shunned.push(Stop { version, rollout: rollout.clone(), reason });
-            self.avoid.clear();
+            self.excluded_versions.push(Stop { version, rollout: rollout.clone(), reason });
+            self.excluded_endpoints.clear();
         }
     }
 
-    /// Without a rating service no cascade can be decided, and a request that
-    /// must not be repeated never cascades.
-    fn repeat(&self) -> Repeat {
+    /// Returns the repeat policy for choosing versions.
+    ///
+    /// A request that must not be repeated never cascades. Without a rating service
+    /// no cascade can be decided, so every request is treated that way.
+    fn effective_repeat(&self) -> Repeat {
         if self.shared.settings.rated { self.request.repeat } else { Repeat::Never }
     }
 
-    fn ceiling(&self, catalog: &Catalog) -> Amount {
+    /// Returns the budget amount of the customer's contract.
+    fn contract_budget(&self, catalog: &Catalog) -> Amount {
         catalog.contract(self.request.customer()).map_or(Amount::ZERO, |contract| contract.budget.amount)
     }
 
-    /// What the caller names the session by from now on.
-    fn session_text(&self, pins: Vec<Pin>) -> Option<String> {
+    /// Returns the identifier by which the caller names the session from now on.
+    fn session_identifier(&self, pins: Vec<Pin>) -> Option<String> {
         if let Some(Named::Caller(id)) = &self.request.session {
             return Some(id.to_string());
         }
@@ -229,7 +243,8 @@
     }
 }
 
-fn unreserved(error: &budget::Error) -> Problem {
+/// Converts a failed budget reservation to a problem.
+fn reservation_problem(error: &budget::Error) -> Problem {
     match error {
         budget::Error::Exhausted { until } => {
             let until = until.since(clock::now());
@@ -241,9 +256,10 @@
     }
 }
 
-fn unbound(error: journal::Error) -> Problem {
+/// Converts a failed session binding to a problem.
+fn binding_problem(error: journal::Error) -> Problem {
     match error {
-        journal::Error::NotRecorded(reason) => enter::refusal(reason),
+        journal::Error::NotRecorded(reason) => enter::journal_problem(reason),
         journal::Error::Unknown => {
             Problem::not_run(Kind::PlatformDown, "the session could not be bound to its version")
                 .after(NO_VERSION_RETRY_MS)
@@ -251,7 +267,8 @@
     }
 }
 
-fn not_chosen(refusal: &Refusal) -> Problem {
+/// Converts a refused choice of versions to a problem.
+fn choice_problem(refusal: &Refusal) -> Problem {
     let (kind, after) = match refusal {
         Refusal::NoContract => (Kind::WrongKey, None),
         Refusal::ModelNotAllowed => (Kind::ModelNotAllowed, None),
