--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -1,9 +1,9 @@
-//! The desk: one task that owns what this instance knows for its decisions.
+//! A task that owns the state behind this instance's routing decisions.
 //!
-//! The decisions themselves are `route`'s, pure functions over state; this
-//! task holds that state (endpoints, queues, learned quality, retry budgets)
-//! and is asked by messages. Every request asks a few times, each answer a
-//! few microseconds' work.
+//! The decisions are pure functions of the `route` crate. This task holds the state
+//! that they need (endpoints, queues, learned quality, retry budgets) and answers
+//! messages. Every request sends it a few messages, each of which takes a few
+//! microseconds to answer.
 
 mod learn;
 mod state;
@@ -33,10 +33,11 @@
 
 pub use learn::Entered;
 
-/// Messages that may wait for the desk.
+/// Capacity of the task's message channel.
 const INBOX: usize = 4_096;
 
-/// What waits in one queue: everything that the same endpoints serve.
+/// Identifies an admission queue. Requests that the same endpoints can serve share
+/// a queue.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Line {
     /// Requests for a model.
@@ -45,74 +46,74 @@
     Service(service::Id),
 }
 
-/// A request that asks for its turn.
+/// A request to be admitted.
 #[derive(Debug)]
 pub struct Ticket {
-    /// Where it waits.
+    /// Queue in which the request waits.
     pub line: Line,
-    /// Whose.
+    /// Customer that sent the request.
     pub customer: Customer,
-    /// The contract's weight.
+    /// Weight of the customer's contract in fair queueing.
     pub weight: u32,
-    /// When it must be done.
+    /// Time by which the request must be complete.
     pub deadline: Timestamp,
-    /// A number drawn from the request.
+    /// Pseudo-random number derived from the request.
     pub draw: u64,
 }
 
-/// A request that asks for its versions.
+/// Inputs for choosing the model versions that may answer a request.
 #[derive(Debug)]
 pub struct Wish {
     /// The configuration in force.
     pub catalog: Arc<Catalog>,
-    /// Versions stopped ahead of it.
+    /// Versions stopped before the catalog says so.
     pub stops: Arc<Stops>,
-    /// Whose.
+    /// Customer that sent the request.
     pub customer: Customer,
-    /// The model it names.
+    /// Model named by the request.
     pub model: model::Id,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// Its session.
+    /// Session of the request, if it has one.
     pub session: Option<Session>,
-    /// Its session or itself, as roll-outs count.
+    /// Unit that a roll-out counts: the session, or the request if it has none.
     pub unit: Unit,
-    /// Whether it may be repeated.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens the caller takes.
+    /// Maximum number of output tokens that the caller accepts.
     pub max_tokens: Option<u32>,
-    /// Time left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub left_ms: Millis,
-    /// Most it may cost.
+    /// Maximum cost of the request.
     pub ceiling: Amount,
 }
 
-/// A dispatch that asks for its endpoint.
+/// Inputs for choosing the endpoint of a dispatch.
 #[derive(Debug)]
 pub struct Wanted {
-    /// What it runs on.
+    /// Version or service that the dispatch runs.
     pub target: Target,
-    /// Hash of the prompt's beginning.
+    /// Hash of the beginning of the prompt.
     pub prefix: Option<u64>,
-    /// Endpoints that have failed it.
+    /// Endpoints that already failed this request.
     pub avoid: Vec<Key>,
-    /// A number drawn for this dispatch.
+    /// Random number for this dispatch.
     pub draw: u64,
-    /// Whose, and of which class; how long runs take is learned by it.
+    /// Customer and request class, under which run times are learned.
     pub cell: Cell,
 }
 
-/// A request's turn; its place goes to the next one when this is dropped.
+/// Admission of a request. Dropping it frees the slot for the next waiting request.
 ///
-/// A guard, because a caller may hang up between the grant and its receipt:
-/// a place that nobody gives back would be lost until the next start.
+/// This is a guard because a caller may hang up between the grant and its receipt.
+/// A slot that is not released would be lost until the instance restarts.
 #[derive(Debug)]
 pub struct Turn {
-    /// For the engine: 0 highest to 9.
+    /// Priority for the engine, from 0 (highest) to 9.
     pub priority: u8,
-    /// Time it waited, in milliseconds.
+    /// Time spent in the queue, in milliseconds.
     pub waited_ms: Millis,
     line: Line,
     desk: Handle,
@@ -124,17 +125,17 @@
     }
 }
 
-/// An endpoint chosen for a dispatch, which counts there until this is ended
-/// or dropped.
+/// An endpoint chosen for a dispatch. The dispatch counts as load of the endpoint
+/// until this is ended or dropped.
 #[derive(Debug)]
 pub struct Place {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: world_endpoint::Id,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Why this one.
+    /// Reason for the choice, for the request's time line.
     pub reason: String,
-    /// Time a run is expected to take, in milliseconds.
+    /// Expected duration of a run, in milliseconds.
     pub expected_ms: Millis,
     key: Key,
     target: Target,
@@ -144,13 +145,13 @@
 }
 
 impl Place {
-    /// Its key in this instance's fleet.
+    /// Returns the endpoint's key in this instance's fleet.
     #[must_use]
     pub fn key(&self) -> Key {
         self.key
     }
 
-    /// Tells how the dispatch ended.
+    /// Reports how the dispatch ended.
     pub fn end(mut self, ending: Ending) {
         self.ended = true;
         self.desk.tell(Message::Ended(self.key, self.target.clone(), self.cell, ending));
@@ -168,29 +169,29 @@
 /// How a dispatch ended.
 #[derive(Debug, Clone, Copy)]
 pub enum Ending {
-    /// Well.
+    /// The run completed.
     Whole {
-        /// Time it took, in milliseconds.
+        /// Duration of the run, in milliseconds.
         millis: Millis,
-        /// Output tokens; 1 for a plain service.
+        /// Number of output tokens; 1 for a plain service.
         tokens: u32,
     },
-    /// Otherwise.
+    /// The endpoint failed or refused the dispatch.
     Failed(Failure),
-    /// Cancelled by us.
+    /// This instance cancelled the dispatch.
     Cancelled,
 }
 
-/// An answer that was handed over, to be rated.
+/// A delivered answer whose rating arrives later.
 #[derive(Debug, Clone)]
 pub struct Given {
-    /// Names the answer to the rating service.
+    /// Identifies the answer at the rating service.
     pub id: String,
-    /// The version that gave it.
+    /// Version that produced the answer.
     pub version: Version,
-    /// Where in the cascade.
+    /// Stage of the cascade that produced the answer.
     pub stage: Stage,
-    /// What was entered at its choice.
+    /// Record of the request made when its versions were chosen.
     pub entered: Entered,
 }
 
@@ -216,17 +217,17 @@
     Endpoints(oneshot::Sender<Vec<world::endpoint::Endpoint>>),
 }
 
-/// Asks the desk; cheap to clone.
+/// Handle that sends messages to the task. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     inbox: mpsc::Sender<Message>,
 }
 
-/// The desk is gone: the instance is stopping.
+/// The task has ended because the instance is stopping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closed;
 
-/// Opens the desk of the instance `me`.
+/// Spawns the task for the local instance.
 #[must_use]
 pub fn open(me: placing::Peer, policy: retry::Policy, control: control::Handle) -> Handle {
     let (inbox, messages) = mpsc::channel(INBOX);
@@ -236,38 +237,40 @@
 }
 
 impl Handle {
-    /// Waits for a request's turn.
+    /// Waits until a request is admitted.
     ///
     /// # Errors
     ///
-    /// A refusal, at once or when the deadline can no longer be met.
+    /// The inner error is a refusal, returned at once or as soon as the deadline can no
+    /// longer be met.
     pub async fn admit(&self, ticket: Ticket) -> Result<Result<Turn, admission::Refusal>, Closed> {
         self.ask(|reply| Message::Admit(ticket, reply)).await
     }
 
-    /// Chooses versions.
+    /// Chooses the versions that may answer a request.
     ///
     /// # Errors
     ///
-    /// A refusal: nothing may run.
+    /// The inner error is a refusal: no version may run.
     pub async fn choose(&self, wish: Wish) -> Result<Result<(Choice, Entered), route::model::Refusal>, Closed> {
         self.ask(|reply| Message::Choose(Box::new(wish), reply)).await
     }
 
-    /// Chooses an endpoint and counts the dispatch there.
+    /// Chooses an endpoint and counts the dispatch as load there.
     ///
     /// # Errors
     ///
-    /// A refusal: none takes it.
+    /// The inner error is a refusal: no endpoint can take the dispatch.
     pub async fn place(&self, wanted: Wanted) -> Result<Result<Place, placing::Refusal>, Closed> {
         self.ask(|reply| Message::Place(wanted, reply)).await
     }
 
-    /// Asks for leave to dispatch again, and pays for it.
+    /// Decides whether a failed request may be dispatched again. A granted retry is
+    /// charged to the customer's retry budget.
     ///
     /// # Errors
     ///
-    /// [`Closed`].
+    /// Returns [`Closed`] if the task has ended.
     pub async fn retry(
         &self,
         customer: &Customer,
@@ -277,70 +280,72 @@
         self.ask(|reply| Message::Retry(customer.clone(), request, failure, reply)).await
     }
 
-    /// Takes out a request that gave no answer.
+    /// Removes the record of a request that produced no answer.
     pub fn void(&self, entered: Entered) {
         self.tell(Message::Void(entered));
     }
 
-    /// Tells that an answer handed over will not be rated.
+    /// Reports that a delivered answer will not be rated.
     pub fn lapse(&self, entered: Entered) {
         self.tell(Message::Lapse(entered));
     }
 
-    /// Enters anew a request that goes a step up, now expected to pass at `rate`.
+    /// Updates the record of a request that escalates to a higher tier, where it is
+    /// expected to pass at `rate`.
     ///
     /// # Errors
     ///
-    /// [`Closed`].
+    /// Returns [`Closed`] if the task has ended.
     pub async fn escalated(&self, entered: Entered, rate: f64) -> Result<Entered, Closed> {
         self.ask(|reply| Message::Escalated(entered, rate, reply)).await
     }
 
-    /// Tells of an answer handed over that is rated later.
+    /// Reports a delivered answer whose rating arrives later.
     pub fn given(&self, given: Given) {
         self.tell(Message::Given(given));
     }
 
-    /// Tells of a rating had at once; `last` when its answer was handed over.
+    /// Reports a rating obtained while the caller waited. `last` says whether the rated
+    /// answer was delivered.
     pub fn judged(&self, entered: Entered, version: Version, stage: Stage, pass: bool, last: bool) {
         self.tell(Message::Judged { entered, version, stage, pass, last });
     }
 
-    /// Tells that no rating could be had at once.
+    /// Reports that the rating service failed to rate an answer at once.
     pub fn rater_down(&self) {
         self.tell(Message::RaterDown);
     }
 
-    /// Tells of ratings that came later.
+    /// Reports ratings that arrived after their answers were delivered.
     pub fn ratings(&self, ratings: Vec<Rating>) {
         self.tell(Message::Ratings(ratings));
     }
 
-    /// Tells of an engine's load report.
+    /// Reports an engine's load.
     pub fn report(&self, endpoint: world_endpoint::Id, load: endpoint::report::Load) {
         self.tell(Message::Report(endpoint, load));
     }
 
-    /// Tells of an engine's cache events.
+    /// Reports an engine's cache events.
     pub fn cache(&self, endpoint: world_endpoint::Id, events: Vec<endpoint::report::CacheEvent>) {
         self.tell(Message::Cache(endpoint, events));
     }
 
-    /// Tells which endpoints are leaving; all others are not.
+    /// Sets the endpoints that are leaving. All others are not.
     pub fn leaving(&self, endpoints: Vec<world_endpoint::Id>) {
         self.tell(Message::Leaving(endpoints));
     }
 
-    /// Tells of a new catalog or other live instances.
+    /// Sets the catalog and the live instances.
     pub fn world(&self, catalog: Arc<Catalog>, instances: Vec<placing::Peer>) {
         self.tell(Message::World(catalog, instances));
     }
 
-    /// Endpoints this instance works with.
+    /// Returns the endpoints that this instance uses.
     ///
     /// # Errors
     ///
-    /// [`Closed`].
+    /// Returns [`Closed`] if the task has ended.
     pub async fn endpoints(&self) -> Result<Vec<world::endpoint::Endpoint>, Closed> {
         self.ask(Message::Endpoints).await
     }
@@ -351,7 +356,8 @@
         answer.await.map_err(|_| Closed)
     }
 
-    /// Sends news that must not be lost and must not hold up the teller.
+    /// Sends a message without blocking the sender. If the channel is full, a spawned
+    /// task sends it so that it is not lost.
     fn tell(&self, message: Message) {
         let Err(mpsc::error::TrySendError::Full(message)) = self.inbox.try_send(message) else {
             return;
--- a/crates/entry/src/desk/learn.rs
+++ b/crates/entry/src/desk/learn.rs
@@ -1,4 +1,5 @@
-//! What ratings and runs teach: quality, speed, and the version guard.
+//! Learning from ratings and runs: quality and speed estimates and the version
+//! guard's observations.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,23 +14,24 @@
 
 use super::Given;
 
-/// Answers that may wait for their rating; the oldest go first.
+/// Maximum number of answers that wait for a rating. The oldest are dropped first.
 const MAX_GIVEN: usize = 65_536;
-/// Time without the rater after a call to it failed.
+/// Time for which the rating service is not used after a failed call, in
+/// milliseconds.
 const RATER_REST_MS: Millis = 5_000;
 
-/// A request as it was entered at its choice.
+/// Record of a request made when its versions were chosen.
 #[derive(Debug, Clone)]
 pub struct Entered {
-    /// Whose.
+    /// Customer that sent the request.
     pub customer: Customer,
-    /// Its session or itself.
+    /// Unit that a roll-out counts: the session, or the request if it has none.
     pub unit: Unit,
     pub(super) cell: Cell,
     pub(super) pending: Pending,
 }
 
-/// All that is learned, and the answers that wait for a rating.
+/// Learned estimates, and the answers that wait for a rating.
 #[derive(Debug)]
 pub(super) struct Learn {
     pub book: Book,
@@ -50,13 +52,13 @@
         }
     }
 
-    /// Whether a cascade can be decided now.
+    /// Returns whether the rating service can decide a cascade now.
     pub fn rater(&self, now: Timestamp) -> Rater {
         if now < self.rater_rests_until { Rater::Down } else { Rater::Up }
     }
 
-    /// The rating service failed: no cascades for a while, so that requests
-    /// do not each wait for it in vain.
+    /// Suspends cascades for a while after the rating service failed, so that requests
+    /// do not each wait for it until a timeout.
     pub fn rater_down(&mut self, now: Timestamp) {
         self.rater_rests_until = now.plus(RATER_REST_MS);
     }
@@ -74,7 +76,7 @@
         Entered { pending, ..entered }
     }
 
-    /// An answer was handed over and its rating comes later.
+    /// Stores a delivered answer until its rating arrives.
     pub fn given(&mut self, given: Given, now: Timestamp) {
         self.order.push_back((now, given.id.clone()));
         self.given.insert(given.id.clone(), (now, given));
@@ -90,7 +92,7 @@
         }
     }
 
-    /// An answer was rated while its caller waited.
+    /// Records the rating of an answer. `last` says whether the answer was delivered.
     pub fn judged(&mut self, entered: &Entered, version: &Version, stage: Stage, pass: bool, last: bool) {
         self.book.rate(entered.cell, version, stage, pass);
         if last {
@@ -99,17 +101,20 @@
         self.observe(entered, version, pass);
     }
 
-    /// Ratings that came later, our own answers' and other instances'.
+    /// Records ratings that arrived after delivery, of this instance's answers and of
+    /// others'.
     ///
-    /// Only our own close an account and count for the guard: evidence is
-    /// summed over instances, and a rating counted by each of them would weigh
-    /// as many times too much. Of the others' it is not said whether they gave
-    /// the first answer or one after another had failed; those are the harder
-    /// requests and would make a dear version look worse than it is. So only
-    /// the first tier's teach, which is never escalated to.
+    /// Only ratings of this instance's own answers close a pending account and count
+    /// for the guard: evidence is summed over instances, so a rating counted by every
+    /// instance would weigh that many times too much. A rating of another instance's
+    /// answer does not say whether the answer was the first or an escalation after a
+    /// failed one. Escalated requests are the harder ones and would make an expensive
+    /// version look worse than it is. So only first-tier ratings are learned from,
+    /// because no request escalates to the first tier.
     ///
-    /// An answer lapses when one given long after it has been rated: the
-    /// service has passed it by, and would keep its account waiting for ever.
+    /// An answer expires once an answer delivered more than `LAPSE_MS` later has been
+    /// rated. The rating service has skipped it, and its account would otherwise stay
+    /// pending forever.
     pub fn ratings(&mut self, ratings: Vec<Rating>, catalog: &Catalog) {
         for rating in ratings {
             let Some((at, given)) = self.given.remove(&rating.id) else {
--- a/crates/entry/src/desk/state.rs
+++ b/crates/entry/src/desk/state.rs
@@ -1,4 +1,4 @@
-//! The desk's state and its loop.
+//! State and message loop of the task that serves routing decisions.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -20,14 +20,16 @@
 use super::{Ending, Entered, Handle, Line, Message, Place, Ticket, Turn, Wanted, Wish, learn::Learn};
 use crate::clock;
 
-/// How often waiting requests are looked over for ones that come too late.
+/// Interval at which requests that can no longer meet their deadline are removed
+/// from the queues.
 const SHED_EVERY: Duration = Duration::from_millis(50);
-/// Customers whose retry budget is kept; all start anew when there are more.
+/// Maximum number of customers with a retry budget. All budgets are reset when it
+/// is reached.
 const MAX_BUDGETS: usize = 16_384;
 
 type Reply = oneshot::Sender<Result<Turn, Refusal>>;
 
-/// Everything the desk knows.
+/// The state owned by the task.
 pub(super) struct State {
     fleet: Fleet,
     catalog: Arc<Catalog>,
@@ -37,11 +39,11 @@
     learn: Learn,
     leaving: Vec<Id>,
     random: SmallRng,
-    /// Of this task's own inbox, for the guards it gives out.
+    /// Sender to this task's own channel, for the guards that the task hands out.
     inbox: mpsc::WeakSender<Message>,
 }
 
-/// One queue with those who wait in it.
+/// An admission queue and the reply channels of its waiting requests.
 struct Waiting {
     queue: Queue,
     replies: HashMap<route::admission::Key, Reply>,
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Tells those that can no longer be done in time, now and not at their
-    /// deadline, and frees places as endpoints report room.
+    /// Refuses requests that can no longer complete in time, now instead of at their
+    /// deadline, and admits others as endpoints report free capacity.
     fn shed(&mut self) {
         let now = clock::now();
         let lines: Vec<_> = self.lines.keys().cloned().collect();
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Runs that may go on at a time.
+    /// Returns the maximum number of concurrent runs.
     fn limit(&self, line: &Line, now: Timestamp) -> u32 {
         self.fleet.limit(&self.targets(line), now)
     }
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Time that the fastest version hardly beats, in milliseconds.
+    /// Returns a lower estimate of the fastest version's run time, in milliseconds.
     fn least_ms(&self, line: &Line, now: Timestamp) -> Millis {
         let least = self.targets(line).into_iter().filter_map(|target| match target {
             Target::Version(version) => Some(self.learn.book.speed(Cell::ANY, &version, now).least_ms()),
@@ -303,7 +305,7 @@
     fn world(&mut self, catalog: Arc<Catalog>, instances: &[Peer], now: Timestamp) {
         self.fleet.apply(&catalog, instances);
         self.catalog = catalog;
-        // An endpoint may be new in the catalog and leaving already.
+        // An endpoint that is new in the catalog may already be leaving.
         self.mark_leaving(now);
     }
 }
@@ -313,9 +315,9 @@
         Self { queue: Queue::new(1), replies: HashMap::new() }
     }
 
-    /// Gives out all free places.
+    /// Admits waiting requests while slots are free.
     ///
-    /// One whose caller hung up while it waited comes back by its guard.
+    /// If the caller hung up while it waited, dropping the guard frees the slot again.
     fn grant(&mut self, line: &Line, inbox: &mpsc::WeakSender<Message>, now: Timestamp) {
         while let Some(admitted) = self.queue.next(now) {
             let Some(inbox) = inbox.upgrade() else { return };
@@ -345,7 +347,8 @@
 }
 
 impl Line {
-    /// For metric labels; models and services are few.
+    /// Returns the value of the metric label. Models and services are few, so
+    /// cardinality is low.
     fn label(&self) -> String {
         match self {
             Self::Model(id) => id.to_string(),
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -1,4 +1,4 @@
-//! The callers' side as the daemon holds it.
+//! The daemon's handle to the server for callers.
 
 use std::{
     io,
@@ -22,10 +22,11 @@
     shared::{Links, Settings, Shared},
 };
 
-/// Least time for connections to close after their last answer.
+/// Minimum time allowed for connections to close after their last answer.
 const CLOSE_WITHIN: Duration = Duration::from_secs(2);
 
-/// Serves callers until it is dropped or drained; cheap to clone.
+/// Handle to the server, which runs until the last handle is dropped or the
+/// instance is drained. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     shared: Arc<Shared>,
@@ -33,7 +34,7 @@
     parts: Arc<Parts>,
 }
 
-/// What ends with the last handle.
+/// Tasks that end when the last handle is dropped.
 #[derive(Debug)]
 struct Parts {
     listener: Mutex<Listener>,
@@ -59,47 +60,47 @@
         Ok(Self { shared, address, parts: Arc::new(Parts { listener: Mutex::new(listener), feeds }) })
     }
 
-    /// Where callers connect.
+    /// Returns the address on which callers connect.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u64 {
         *self.shared.in_flight().borrow()
     }
 
-    /// Whether it refuses new work for good.
+    /// Returns whether new work is permanently refused.
     #[must_use]
     pub fn closed(&self) -> bool {
         self.shared.closed.load(Ordering::Acquire)
     }
 
-    /// Requests under way, and each change.
+    /// Returns a receiver that observes the number of requests in flight.
     #[must_use]
     pub fn watch_in_flight(&self) -> watch::Receiver<u64> {
         self.shared.in_flight()
     }
 
-    /// Answers a stream of [`peer::Topic::Request`]: a request that another
-    /// instance's caller joins. Ends when the answer does.
+    /// Serves a stream of [`peer::Topic::Request`], with which a caller of another
+    /// instance joins a request. Returns when the answer ends.
     pub async fn serve(&self, question: Bytes, sink: mpsc::Sender<Bytes>) {
         join::serve(&self.shared.held, &question, &sink).await;
     }
 
-    /// Leaves: out of the addresses at once, then no new work, then every
-    /// answer to its end. Returns when all are sent, false when `deadline`
-    /// came first.
+    /// Drains the instance: removes it from the address lists, then refuses new work,
+    /// then waits until every answer has ended. Returns true when all answers are sent,
+    /// and false when `deadline` passed first.
     ///
-    /// Bills and grants are the journal's to flush after this.
+    /// The journal flushes bills and grants after this.
     pub async fn drain(&self, deadline: Instant) -> bool {
         if let Err(error) = self.shared.links.peer.leave().await {
             tracing::warn!(%error, "others do not hear that this instance leaves");
         }
-        // Callers were told to keep their addresses for this long; work that
-        // they still send meanwhile is done.
+        // Callers may use their address lists for this long, so work that they still send meanwhile
+        // is served.
         let keep = Duration::from_millis(self.shared.settings.addresses.keep_ms);
         sleep(keep.min(deadline.saturating_duration_since(Instant::now()))).await;
         self.shared.closed.store(true, Ordering::Release);
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP.
+//! HTTP server for callers: listener, routes and request dispatch.
 
 mod addresses;
 mod answer;
@@ -22,11 +22,12 @@
     shared::Shared,
 };
 
-/// Most bytes of a request's head that are read before the connection is
-/// closed; the settings' limit lies below and answers with a problem.
+/// Size of the buffer for a request's head, in bytes. A larger head closes the
+/// connection. The limit in the settings is lower and is answered with a problem
+/// document.
 const HEAD_BUFFER: usize = 256 * 1024;
 
-/// The callers' listener; dropping it cuts every connection.
+/// The listener for callers. Dropping it closes every connection.
 #[derive(Debug)]
 pub(crate) struct Listener {
     pub address: SocketAddr,
@@ -35,7 +36,7 @@
 }
 
 impl Listener {
-    /// Serves callers on a bound socket.
+    /// Starts serving callers on a bound socket.
     pub fn spawn(listener: TcpListener, shared: &Arc<Shared>) -> std::io::Result<Self> {
         let address = listener.local_addr()?;
         no_delay(&listener)?;
@@ -52,7 +53,7 @@
         Ok(Self { address, server: handle, task })
     }
 
-    /// Takes no new connection and waits until all answers are sent.
+    /// Stops accepting connections and waits up to `within` until all answers are sent.
     pub async fn close(&mut self, within: Duration) {
         self.server.stop_graceful(within);
         drop(timeout(within, &mut self.task).await);
@@ -65,16 +66,16 @@
     }
 }
 
-/// Has every accepted connection send at once.
+/// Sets `TCP_NODELAY` on every connection that the listener accepts.
 ///
-/// With Nagle's algorithm on, the second event of a stream waits for the
-/// caller's delayed acknowledgement of the first: some 40 ms in the middle of
-/// every answer. The acceptor gives no access to its sockets, but on Linux
-/// they inherit the option from the listening one.
+/// With Nagle's algorithm, the second event of a stream waits for the caller's
+/// delayed acknowledgement of the first, which adds about 40 ms to every answer.
+/// The acceptor gives no access to its sockets, but on Linux they inherit the
+/// option from the listening socket.
 ///
 /// # Errors
 ///
-/// The socket takes no options.
+/// Returns an error if the option cannot be set.
 pub fn no_delay(listener: &TcpListener) -> std::io::Result<()> {
     socket2::SockRef::from(listener).set_tcp_nodelay(true)
 }
@@ -91,7 +92,7 @@
         .goal(entry(Call::Unknown))
 }
 
-/// What a path asks for.
+/// The operation that a path selects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Call {
     Addresses,
@@ -102,7 +103,8 @@
 }
 
 impl Call {
-    /// The one method a call takes; nothing when any will do.
+    /// Returns the HTTP method that the call requires, or `None` if any method is
+    /// allowed.
     fn method(self) -> Option<http::Method> {
         match self {
             Self::Addresses | Self::Outcome => Some(http::Method::GET),
@@ -112,7 +114,7 @@
     }
 }
 
-/// One path's handler.
+/// Handler for the paths of one call.
 struct Entry {
     shared: Arc<Shared>,
     call: Call,
@@ -125,7 +127,7 @@
             answer::problem(response, &problem);
         }
         if self.shared.closed.load(Ordering::Acquire) {
-            // Kept connections would be used for more requests here.
+            // On a kept-alive connection the caller would send more requests to this instance.
             response.headers_mut().insert(http::header::CONNECTION, http::HeaderValue::from_static("close"));
         }
     }
--- a/crates/entry/src/http/addresses.rs
+++ b/crates/entry/src/http/addresses.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/addresses`: which instances a caller uses.
+//! `GET /v1/addresses`: the instances that a caller should use.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     shared::Shared,
 };
 
-/// The answer's form.
+/// The response document.
 #[derive(Debug, Serialize)]
 struct List {
     addresses: Vec<Address>,
@@ -39,7 +39,8 @@
     Ok(())
 }
 
-/// The session's own name, from a handle or as the caller gave it.
+/// Returns the session's id, taken from a signed handle or from a name chosen by
+/// the caller.
 fn session_id(
     shared: &Shared,
     customer: &world::contract::Customer,
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Writing an answer: a stream of events, one whole document, or a problem.
+//! Writes an answer as a stream of events, a single document or a problem.
 
 use bytes::Bytes;
 use endpoint::frame::{Reason, Usage};
@@ -40,7 +40,8 @@
     response.replace_body(ResBody::Once(problem.to_json().into()));
 }
 
-/// Writes what a reader gives: streamed, or whole.
+/// Writes the answer that a reader yields, as a stream of events or as one
+/// document.
 pub(super) async fn write(response: &mut Response, mut reader: Reader, stream: bool) -> Result<(), Problem> {
     let head = match reader.next().await {
         Some(Item::Head(head)) => head,
@@ -87,11 +88,11 @@
     response.replace_body(ResBody::Once(reply.body.clone()));
 }
 
-/// The events of a streamed answer.
+/// Returns the events of a streamed answer.
 ///
-/// A failure after the first text cannot change the status any more: it is an
-/// `error` event with the problem, and there is no `[DONE]`, so that a part
-/// is never taken for the whole.
+/// After the first text the HTTP status can no longer change. A failure is then
+/// sent as an `error` event with the problem, and `[DONE]` is omitted, so that a
+/// partial answer is never taken for a complete one.
 fn events(head: Head, mut reader: Reader) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send {
     async_stream::stream! {
         let stamp = Stamp::new(&head);
@@ -149,7 +150,7 @@
     Problem::new(problem::Kind::Internal, timeline::Ran::Unknown, detail)
 }
 
-/// What every chunk of one answer repeats.
+/// Fields that are equal in all chunks of an answer.
 struct Stamp {
     id: String,
     created: u64,
@@ -239,7 +240,7 @@
     content: &'a str,
 }
 
-/// Token counts as callers expect them.
+/// Token counts in the format of the chat API.
 #[derive(Serialize)]
 #[expect(clippy::struct_field_names, reason = "the chat form's own names")]
 struct Tokens {
--- a/crates/entry/src/http/calls.rs
+++ b/crates/entry/src/http/calls.rs
@@ -1,4 +1,4 @@
-//! Chat requests, plain services' calls, and what became of a request.
+//! Chat requests, calls of plain services, and queries for a request's outcome.
 
 use std::sync::Arc;
 
@@ -27,12 +27,12 @@
     tape::{Reader, Tape},
 };
 
-/// Headers of a call that a plain service gets.
+/// Request headers that are forwarded to a plain service.
 const PASSED_ON: [HeaderName; 4] =
     [header::CONTENT_TYPE, header::ACCEPT, header::ACCEPT_LANGUAGE, header::CONTENT_LANGUAGE];
-/// Longest wait for the journal's word on a request.
+/// Maximum time to wait for the journal's record of a request.
 const OUTCOME_WITHIN: std::time::Duration = std::time::Duration::from_secs(2);
-/// When to ask again for an outcome that could not be had.
+/// Retry delay for an outcome that could not be read, in milliseconds.
 const OUTCOME_RETRY_MS: u64 = 500;
 
 pub(super) async fn chat(shared: &Arc<Shared>, http: &mut Http, response: &mut Response) -> Result<(), Problem> {
@@ -91,7 +91,7 @@
     answer::write(response, reader, false).await
 }
 
-/// What became of a request, as its customer is told.
+/// Outcome of a request as sent to its customer.
 #[derive(Debug, Serialize)]
 struct Became<'a> {
     request: &'a request::Key,
@@ -103,7 +103,8 @@
     let text: String = http.param("key").unwrap_or_default();
     let unknown = || Problem::new(Kind::UnknownRequest, Ran::Unknown, "no record of it under this customer");
     let key = request::Key::parse(&text).map_err(|_| unknown())?;
-    // The customer is part of the request's name: another's is not found.
+    // The customer is part of the request's id, so other customers' requests are not
+    // found.
     let id = request::Id { customer, key };
     let outcome = if shared.held.running(&id) {
         Some(Outcome::Running)
@@ -142,13 +143,13 @@
     Ok(())
 }
 
-/// The session that a call names.
+/// Returns the session that a call names, if any.
 fn session(shared: &Shared, terms: &Terms) -> Result<Option<session::Named>, Problem> {
     let read = |text: &String| session::read(&shared.settings.session_keys, &terms.customer, text);
     terms.session.as_ref().map(read).transpose()
 }
 
-/// Starts a request, or joins it where it runs here already.
+/// Starts a request, or joins it if it is already running on this instance.
 async fn start(shared: &Arc<Shared>, request: Request, contract: &Contract) -> Result<Reader, Problem> {
     if !request.terms.keyed {
         shared.may_start(request.customer(), contract)?;
@@ -184,15 +185,15 @@
     tokio::spawn(Driver::new(shared.clone(), request, tape).drive());
 }
 
-/// The service's name, and its path and query.
+/// Returns the service's name, and the path with its query.
 fn service_path(http: &Http) -> Result<(String, String), Problem> {
     let target = http.uri().path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
     let rest = target.strip_prefix("/v1/services/").unwrap_or_default();
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (name, path) = rest.split_at(end);
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
-    // A path that climbs could name a call that may not be repeated by
-    // another spelling, and would then be repeated.
+    // A path that is not normalized could name a call under another spelling. A call
+    // that must not be repeated would then be treated as repeatable.
     let climbs = path.split(['/', '?']).any(|part| part == ".." || part == "." || part.contains('%'));
     let doubled = path.split('?').next().is_some_and(|path| path.contains("//"));
     if climbs || doubled {
--- a/crates/entry/src/http/read.rs
+++ b/crates/entry/src/http/read.rs
@@ -1,4 +1,4 @@
-//! Reading a request, within its limits.
+//! Reads a request within its size and time limits.
 
 use std::{error::Error, time::Duration};
 
@@ -10,7 +10,7 @@
 
 use crate::problem::{Kind, Problem};
 
-/// Refuses headers past the limit.
+/// Returns an error if the headers are larger than the limit.
 pub(super) fn check_headers(headers: &HeaderMap, limit: usize) -> Result<(), Problem> {
     let size: usize = headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
     if size <= limit {
@@ -19,10 +19,10 @@
     Err(Problem::not_run(Kind::HeadersTooLarge, format!("{size} bytes of headers; the limit is {limit}")))
 }
 
-/// Reads the whole body.
+/// Reads the complete body.
 ///
-/// Limited in length and time: a caller that sends a byte a minute would
-/// otherwise hold memory and a connection for as long as it likes.
+/// Both length and time are limited: a caller that sends one byte a minute could
+/// otherwise hold memory and a connection for an unlimited time.
 pub(super) async fn body(request: &mut Request, limit: usize, within: Duration) -> Result<Bytes, Problem> {
     let large = || Problem::not_run(Kind::BodyTooLarge, format!("the limit is {limit} bytes"));
     let announced = request.headers().get(http::header::CONTENT_LENGTH).and_then(|value| value.to_str().ok());
--- a/crates/entry/src/join.rs
+++ b/crates/entry/src/join.rs
@@ -1,9 +1,9 @@
-//! Joining a request that runs at another instance.
+//! Joins a request that runs on another instance.
 //!
-//! The other instance streams its tape over a peer link, from the beginning;
-//! here it is written to a tape of our own, which our callers read. The link
-//! carries back-pressure, and an answer ends with an explicit last item: a
-//! stream that stops without one was cut.
+//! The other instance streams its tape over a peer link, from the beginning. This
+//! instance writes the items to a local tape, which its callers read. The link
+//! applies back-pressure, and an answer ends with an explicit last item: a stream
+//! that stops without one was cut.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,23 +23,23 @@
     tape::{End, Head, Item, Reply, Tape},
 };
 
-/// What is asked for.
+/// A request for another instance's answer or status.
 #[derive(Debug, Serialize, Deserialize)]
 struct Question {
     id: Id,
     fingerprint: u64,
-    /// Only whether it runs is asked, not its answer.
+    /// Asks only whether the request runs, not for its answer.
     #[serde(default)]
     status: bool,
 }
 
-/// One item of an answer on its way between instances.
+/// An item of an answer as it is sent between instances.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Wire {
-    /// No such request runs here.
+    /// The request does not run on the instance.
     Absent,
-    /// It runs here; told where only that is asked.
+    /// The request runs on the instance. Sent only in response to a status query.
     Running,
     Head(Head),
     Text(String),
@@ -69,8 +69,8 @@
     }
 }
 
-/// Copies an answer from the instance where it runs; false when it did not
-/// come to its end there and the request has to run here.
+/// Copies an answer from the instance where it runs. Returns false if the answer
+/// did not reach its end there, so that the request has to run on this instance.
 pub(crate) async fn follow(peer: &peer::Handle, at: &instance::Id, id: &Id, fingerprint: u64, tape: &Tape) -> bool {
     let question = serde_json::to_vec(&Question { id: id.clone(), fingerprint, status: false }).unwrap_or_default();
     let Ok(mut items) = peer.stream(at, Topic::Request, question.into()).await else {
@@ -87,7 +87,8 @@
     false
 }
 
-/// Whether an instance says that a request does not run there, or no longer.
+/// Returns whether an instance confirms that a request does not run there, or no
+/// longer does.
 pub(crate) async fn has_ended(peer: &peer::Handle, at: &instance::Id, id: &Id, within: Duration) -> bool {
     let question = Question { id: id.clone(), fingerprint: 0, status: true };
     let question = serde_json::to_vec(&question).unwrap_or_default();
@@ -117,7 +118,7 @@
     }
 }
 
-/// Streams an answer held here to the instance that asked for it.
+/// Streams an answer held by this instance to the instance that asked for it.
 pub(crate) async fn serve(held: &Held, question: &[u8], sink: &mpsc::Sender<Bytes>) {
     let question = serde_json::from_slice::<Question>(question).ok();
     if let Some(question) = question.as_ref().filter(|question| question.status) {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,10 +1,11 @@
-//! Callers' HTTP and one request's life.
+//! HTTP interface for callers and the life cycle of one request.
 //!
 //! [`bind`] serves callers on a bound socket. A request is read and checked
-//! ([`ask`]), then driven by one task (`drive`) through the state machine of
-//! [`life`]; what its caller sees is written to a [`tape`], which repeats of
-//! it read too, here or over a peer link (`join`). Decisions are asked of the
-//! [`desk`], which holds what `route` needs.
+//! ([`ask`]), then one task (`drive`) takes it through the state machine of
+//! [`life`]. The task writes everything that the caller receives to a [`tape`].
+//! Repeats of the request read the same tape, on this instance or over a peer link
+//! (`join`). Routing decisions are requested from the [`desk`], which owns the
+//! state that `route` needs.
 
 pub mod ask;
 pub mod clock;
@@ -31,11 +32,11 @@
 pub use http::no_delay;
 pub use shared::{Links, Settings};
 
-/// Serves callers; must run inside a tokio runtime.
+/// Starts serving callers. Must be called inside a tokio runtime.
 ///
 /// # Errors
 ///
-/// The socket cannot be served.
+/// Returns an error if the socket cannot be served.
 pub fn bind(listener: TcpListener, settings: Settings, links: Links) -> io::Result<Handle> {
     Handle::start(listener, settings, links)
 }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,8 +1,8 @@
-//! Problem documents: what a caller is told when there is no whole answer.
+//! Problem documents: the response when a request has no complete answer.
 //!
-//! The form is RFC 9457 with the members `ran`, `remedy`, `retry_after_ms`
-//! and `addresses`. `ran: no` is a promise: [`Problem::new`] takes what ran
-//! from the request's state machine and nowhere else.
+//! The format is RFC 9457 with the members `ran`, `remedy`, `retry_after_ms` and
+//! `addresses`. `ran: no` is a guarantee that the request did not run:
+//! [`Problem::new`] must be given `ran` only from the request's state machine.
 
 use std::net::SocketAddr;
 
@@ -13,10 +13,10 @@
 
 /// Media type of a problem document.
 pub const MEDIA_TYPE: &str = "application/problem+json";
-/// Start of every problem's `type`.
+/// Prefix of every problem's `type`.
 const TYPE_PREFIX: &str = "urn:arbutuslug:problem:";
 
-/// What went wrong.
+/// The type of a problem.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -28,62 +28,63 @@
     HeadersTooLarge,
     /// The body did not arrive in time.
     SlowBody,
-    /// No such call.
+    /// No call exists at this path.
     NoSuchCall,
-    /// The call exists with another method.
+    /// The call requires another HTTP method.
     WrongMethod,
-    /// No key, or one that no contract has.
+    /// The API key is missing or belongs to no contract.
     WrongKey,
-    /// No such model.
+    /// The model does not exist.
     UnknownModel,
     /// The contract does not allow the model.
     ModelNotAllowed,
-    /// No such plain service.
+    /// The plain service does not exist.
     UnknownService,
     /// The contract does not allow the service.
     ServiceNotAllowed,
-    /// No request with this key, or another customer's.
+    /// No request has this key, or it belongs to another customer.
     UnknownRequest,
-    /// The session handle is not ours or is another customer's.
+    /// The session handle is not signed by this deployment or belongs to another
+    /// customer.
     BadSession,
-    /// The idempotency key is older than keys are remembered.
+    /// The idempotency key is older than the period for which keys are stored.
     KeyExpired,
     /// The idempotency key was used for another request.
     KeyReused,
-    /// The budget has too little left.
+    /// The remaining budget is too small.
     BudgetSpent,
-    /// Every allowed version is withdrawn or held back.
+    /// Every allowed version is withdrawn or not yet released to this request.
     NoVersion,
-    /// No endpoint takes the work now.
+    /// No endpoint accepts the request now.
     NoEndpoint,
-    /// Too much work waits.
+    /// Too many requests are waiting.
     Busy,
     /// The deadline has passed or cannot be met.
     Deadline,
-    /// This instance is leaving.
+    /// This instance is leaving and accepts no new work.
     Leaving,
     /// This instance's configuration is too old to start new work.
     StaleConfiguration,
-    /// The platform cannot be reached and the work needs it.
+    /// The platform is unreachable and the request needs it.
     PlatformDown,
     /// The endpoint failed.
     EndpointFailed,
-    /// The answer's stream broke and could not be continued.
+    /// The answer's stream broke and could not be resumed.
     BrokenStream,
-    /// The bill could not be made safe, so the answer's end is held back.
+    /// The bill could not be stored durably, so the end of the answer is held back.
     BillNotHeld,
-    /// The request with this key ran before; its answer is no longer held.
+    /// The request with this key ran before, and its answer is no longer held.
     AnsweredBefore,
-    /// The request with this key is running.
+    /// The request with this key is still running.
     StillRunning,
-    /// It may have run.
+    /// The request may or may not have run.
     OutcomeUnknown,
-    /// Our own fault.
+    /// An internal error.
     Internal,
 }
 
 impl Kind {
-    /// The kind as `type` spells it.
+    /// Returns the kind as it appears in `type`.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Its HTTP status.
+    /// Returns the HTTP status of the kind.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// What it is, in a few words.
+    /// Returns a short title.
     #[must_use]
     pub fn title(self) -> &'static str {
         match self {
@@ -187,7 +188,7 @@
         }
     }
 
-    /// What the caller can do.
+    /// Returns what the caller can do about the problem.
     #[must_use]
     pub fn remedy(self) -> &'static str {
         match self {
@@ -227,26 +228,26 @@
 /// A problem document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// What went wrong.
+    /// The type of the problem.
     pub kind: Kind,
-    /// Whether it ran; `No` is a promise.
+    /// Whether the request ran. `No` is a guarantee.
     pub ran: Ran,
-    /// What exactly, for people.
+    /// Description of this occurrence, for people.
     pub detail: String,
-    /// When to come back.
+    /// Delay after which the caller may retry, in milliseconds.
     pub retry_after_ms: Option<Millis>,
-    /// Other instances to use.
+    /// Other instances that the caller can use.
     pub addresses: Vec<Address>,
-    /// The request's key.
+    /// Key of the request, if it is known.
     pub request: Option<request::Key>,
 }
 
-/// Where an instance takes callers.
+/// Address on which an instance serves callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Address {
-    /// IP and port.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: world::domain::Domain,
 }
 
@@ -257,47 +258,47 @@
 }
 
 impl Problem {
-    /// A problem of a request that ran as `ran` says.
+    /// Creates a problem for a request that ran as `ran` says.
     #[must_use]
     pub fn new(kind: Kind, ran: Ran, detail: impl Into<String>) -> Self {
         Self { kind, ran, detail: detail.into(), retry_after_ms: None, addresses: Vec::new(), request: None }
     }
 
-    /// A problem found before anything could have run.
+    /// Creates a problem that was found before anything could have run.
     #[must_use]
     pub fn not_run(kind: Kind, detail: impl Into<String>) -> Self {
         Self::new(kind, Ran::No, detail)
     }
 
-    /// The same, with the time to come back.
+    /// Sets the delay after which the caller may retry.
     #[must_use]
     pub fn after(mut self, retry_after_ms: Millis) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// The same, with other instances to use.
+    /// Sets other instances that the caller can use.
     #[must_use]
     pub fn elsewhere(mut self, addresses: Vec<Address>) -> Self {
         self.addresses = addresses;
         self
     }
 
-    /// The same, about a known request.
+    /// Sets the key of the request.
     #[must_use]
     pub fn about(mut self, key: &request::Key) -> Self {
         self.request = Some(key.clone());
         self
     }
 
-    /// The document as JSON.
+    /// Returns the document as JSON.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(&Document::from(self)).unwrap_or_default()
     }
 }
 
-/// The document as it is sent.
+/// The serialized form of a problem.
 #[derive(Debug, Serialize)]
 struct Document<'a> {
     r#type: String,
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of this instance share.
+//! State shared by all requests of this instance.
 
 use std::{
     collections::{HashMap, HashSet, hash_map::Entry},
@@ -26,43 +26,44 @@
     session::Keys,
 };
 
-/// Milliseconds after which an instance with old configuration is asked again.
+/// Retry delay sent to callers while the configuration is stale or the platform is
+/// down.
 const STALE_RETRY_MS: Millis = 1_000;
-/// Most requests that go on after their callers were told how they ended.
+/// Maximum number of requests that continue after their final response was sent.
 const MOST_LATE: usize = 256;
-/// Most answers remembered as having told of a move; past it they are asked for
-/// again.
+/// Maximum number of answers remembered as having reported a session's move. The
+/// set is cleared when it is full, and the answers are then checked again.
 const MOST_CONFIRMED: usize = 4_096;
 
-/// How callers are served.
+/// Settings for serving callers.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// This instance.
+    /// Id of this instance.
     pub instance: instance::Id,
-    /// Where it stands.
+    /// Failure domain of this instance.
     pub domain: Domain,
-    /// Keys that session handles are signed with.
+    /// Keys that sign session handles.
     pub session_keys: Keys,
-    /// Most bytes of a body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body: usize,
-    /// Most bytes of a request's headers.
+    /// Maximum size of a request's headers, in bytes.
     pub max_headers: usize,
-    /// Longest time for a body to arrive.
+    /// Maximum time for a body to arrive.
     pub body_timeout: Duration,
-    /// Most connections at a time.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// How address lists are cut, and how long callers may keep them.
+    /// Policy for the length and the validity of address lists.
     pub addresses: route::address::Policy,
-    /// What retries may cost.
+    /// Policy for retry budgets.
     pub retry: route::retry::Policy,
-    /// Whether there is a rating service.
+    /// Whether a rating service is configured.
     pub rated: bool,
-    /// Time without a word from the platform that counts as its outage.
+    /// Time without a response from the platform after which it counts as down.
     pub outage_after: Duration,
 }
 
 impl Settings {
-    /// The defaults for one instance.
+    /// Returns the default settings of an instance.
     #[must_use]
     pub fn new(instance: instance::Id, domain: Domain, session_keys: Keys) -> Self {
         Self {
@@ -81,43 +82,45 @@
     }
 }
 
-/// What a request is served with.
+/// Handles of the components that serve a request.
 #[derive(Debug, Clone)]
 pub struct Links {
     /// The configuration in force.
     pub config: config::Handle,
-    /// Claims, bills, sessions.
+    /// Journal of claims, bills and sessions.
     pub journal: journal::Handle,
     /// Budget grants.
     pub budget: budget::Handle,
-    /// The other instances.
+    /// Links to the other instances.
     pub peer: peer::Handle,
-    /// Engines, plain services, the rating service.
+    /// Client of engines, plain services and the rating service.
     pub endpoint: endpoint::Handle,
     /// The version guard.
     pub control: control::Handle,
-    /// Endpoints that the platform's list calls leaving.
+    /// Endpoints that are leaving according to the platform's list.
     pub leaving: watch::Receiver<Vec<world_endpoint::Id>>,
-    /// The time line.
+    /// Recorder of the time line.
     pub recorder: Recorder,
 }
 
-/// Shared by all requests.
+/// State shared by all requests.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub settings: Settings,
     pub links: Links,
     pub desk: desk::Handle,
     pub held: Held,
-    /// Set once callers have had time to hear that this instance leaves.
+    /// Set while leaving, once callers have had time to refresh their addresses. New
+    /// work is then refused.
     pub closed: AtomicBool,
-    /// When an instance was last seen to be lost; 0 for never.
+    /// Time at which the loss of an instance was last noticed; 0 if never.
     pub lost: AtomicU64,
-    /// Leaves to go on with a request after its caller was told how it ended.
+    /// Permits to continue a request after its final response was sent.
     pub late: Arc<Semaphore>,
     in_flight: watch::Sender<u64>,
     loads: Mutex<HashMap<Customer, u32>>,
-    /// Answers that told of a session's move and whose instance was there later.
+    /// Answers that reported a session's move and ended while their instance was known
+    /// to be alive.
     confirmed: Mutex<HashSet<request::Id>>,
 }
 
@@ -138,17 +141,17 @@
         })
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn catalog(&self) -> Arc<Catalog> {
         self.links.config.current()
     }
 
-    /// Whether an answer is known to have told of its session's move.
+    /// Returns whether an answer that reported a session's move is known to have ended.
     pub fn is_confirmed(&self, answer: &request::Id) -> bool {
         self.confirmed.lock().unwrap_or_else(PoisonError::into_inner).contains(answer)
     }
 
-    /// Notes that an answer has told of its session's move.
+    /// Remembers that an answer that reported a session's move has ended.
     pub fn confirm(&self, answer: request::Id) {
         let mut confirmed = self.confirmed.lock().unwrap_or_else(PoisonError::into_inner);
         if confirmed.len() >= MOST_CONFIRMED {
@@ -162,14 +165,14 @@
         self.links.recorder.record(Event::Request { request: request.clone(), step });
     }
 
-    /// Refuses new work that must not start here now.
+    /// Returns an error if new work must not start on this instance now.
     pub fn may_start(&self, customer: &Customer, contract: &Contract) -> Result<(), Problem> {
         if self.closed.load(Ordering::Acquire) {
             let detail = "this instance finishes its work and takes no more";
             return Err(Problem::not_run(Kind::Leaving, detail).elsewhere(self.elsewhere(customer)).after(0));
         }
-        // With a configuration that may be old a withdrawal could be missed,
-        // and a version that harms people would go on answering here.
+        // A stale configuration could lack a withdrawal, and a harmful version would continue to
+        // answer on this instance.
         if !self.links.config.fresh() {
             let detail = "neither the platform nor another instance has confirmed it lately";
             let problem = Problem::not_run(Kind::StaleConfiguration, detail);
@@ -178,7 +181,8 @@
         self.check_outage(contract)
     }
 
-    /// Refuses work whose contract does not want it run during an outage.
+    /// Returns an error if the platform is down and the contract refuses work during an
+    /// outage.
     fn check_outage(&self, contract: &Contract) -> Result<(), Problem> {
         let age = self.links.config.platform_age();
         let down = age.is_none_or(|age| age > self.settings.outage_after);
@@ -189,7 +193,7 @@
         Err(Problem::not_run(Kind::PlatformDown, detail).after(STALE_RETRY_MS))
     }
 
-    /// The other instances that a customer's callers may use.
+    /// Returns the other instances that a customer's callers may use.
     fn elsewhere(&self, customer: &Customer) -> Vec<Address> {
         let members = self.links.peer.members().borrow().clone();
         let others: Vec<_> = members.others.values().cloned().collect();
@@ -197,15 +201,15 @@
         address::list(&self.settings.addresses, &others, &caller).instances.into_iter().map(Address::from).collect()
     }
 
-    /// A customer's requests in flight over all instances, as far as it can
-    /// be told from here: as many at each instance of its smallest set.
+    /// Estimates a customer's requests in flight over all instances: the local count,
+    /// multiplied by the smallest number of instances that the customer uses.
     pub fn load(&self, customer: &Customer) -> f64 {
         let here = self.loads().get(customer).copied().unwrap_or_default();
         let instances = u32::try_from(self.settings.addresses.min).unwrap_or(u32::MAX);
         f64::from(here) * f64::from(instances)
     }
 
-    /// Counts a request in flight until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn enter(self: &Arc<Self>, customer: &Customer) -> InFlight {
         self.in_flight.send_modify(|count| *count += 1);
         *self.loads().entry(customer.clone()).or_default() += 1;
@@ -221,7 +225,7 @@
     }
 }
 
-/// One request in flight.
+/// Guard that counts one request as in flight.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
--- a/crates/entry/tests/path/bad_input.rs
+++ b/crates/entry/tests/path/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input: a clear problem document, nothing run, nothing billed.
+//! Invalid input is answered with a problem document; nothing runs and nothing is
+//! billed.
 
 use http::Method;
 use tokio::{
@@ -14,7 +15,7 @@
 const CHAT: &str = "/v1/chat/completions";
 const KEYED: (&str, &str) = ("authorization", "Bearer club-key");
 
-/// One bad call, and what it is told.
+/// An invalid call and the problem expected for it.
 struct Case {
     name: &'static str,
     method: Method,
@@ -47,7 +48,7 @@
 const MALFORMED: (u16, &str) = (400, "malformed");
 
 fn cases() -> Vec<Case> {
-    // Made in 1970 and in 2106, by their first 48 bits.
+    // Time-ordered keys created in 1970 and in 2106, according to their first 48 bits.
     let old = "00000000-0001-7000-8000-000000000000";
     let ahead = "03e8ffff-ffff-7000-8000-000000000000";
     vec![
@@ -128,7 +129,7 @@
     site.client(0).chat(CLUB, &[], "still serves").await.content();
 }
 
-/// Sends raw bytes and reads what comes until the connection closes or pauses.
+/// Sends raw bytes and returns the first part of the response.
 async fn raw(site: &Site, node: usize, bytes: &[u8]) -> String {
     let mut socket = TcpStream::connect(site.nodes[node].entry.address()).await.expect("listens");
     socket.write_all(bytes).await.expect("sent");
@@ -137,8 +138,8 @@
     String::from_utf8_lossy(&answer[..read]).into_owned()
 }
 
-// A caller announces a body and sends it a byte at a time, or not at all. Its
-// connection is not held for ever.
+// A caller announces a body and sends it too slowly or not at all. The connection
+// must not be held forever.
 #[tokio::test]
 async fn slow_body_is_told() {
     let site = Site::open(Plan::default()).await;
@@ -149,8 +150,8 @@
     assert!(answer.contains("slow-body"), "{answer}");
 }
 
-/// Repeats a request that was answered at one instance at another, where its
-/// body does not arrive.
+/// Repeats an answered request at another instance, where the body of the repeat
+/// does not arrive in time.
 async fn check_slow_repeat(idempotent: &str) {
     let site = Site::open(Plan { instances: 2, ..Plan::default() }).await;
     let headers = [("idempotency-key", "season-7"), ("arbutuslug-idempotent", idempotent)];
@@ -163,8 +164,8 @@
     assert!(!answer.contains("\"ran\":\"no\""), "{answer}");
 }
 
-// A caller's first try was answered, and its repeat breaks off at another
-// instance before it is read. The refusal is about a key that has run.
+// The caller's first try was answered, and the body of its repeat at another
+// instance never arrives. The key has run, so the refusal must not say "not run".
 #[tokio::test]
 async fn repeat_that_is_not_read_is_not_called_not_run() {
     check_slow_repeat("true").await;
--- a/crates/entry/tests/path/breaks.rs
+++ b/crates/entry/tests/path/breaks.rs
@@ -14,23 +14,24 @@
 };
 
 const CONTENT: &str = "launch sheet of the day";
-/// A request that must not be repeated.
+/// Headers of a request that must not be repeated.
 const NEVER: Headers<'_> = &[("arbutuslug-idempotent", "false")];
 
-/// Which engine takes `CONTENT` first; the choice is by its prefix.
+/// Returns the index of the engine that takes `CONTENT` first; the choice depends
+/// on its prefix.
 async fn first_engine(site: &Site) -> usize {
     let reply = site.client(0).chat(CLUB, &[], CONTENT).await;
     reply.content();
     site.engines.iter().position(|engine| !engine.records().is_empty()).expect("one ran it")
 }
 
-/// What came of a run under a fault.
+/// Numbers of runs and bills of a request under a fault.
 struct Came {
     runs: usize,
     bills: usize,
 }
 
-/// Strikes the engine that takes the run, and expects a whole answer.
+/// Applies faults to the engine that takes the run, and expects a complete answer.
 async fn check_mended(faults: &[Switch], headers: Headers<'_>, runs: usize) {
     let site = Site::open(Plan::default()).await;
     let first = first_engine(&site).await;
@@ -56,7 +57,8 @@
 const SILENT: Switch = Switch::Stall { after: 2, odds: Odds::next(1) };
 const FORGET: Switch = Switch::Forget(Odds::ALWAYS);
 
-// The engine's stream breaks; the caller sees one answer without a seam.
+// The engine's stream breaks or is disturbed. The caller receives one answer
+// without gaps or repeated text.
 mended! {
     cut_stream_is_resumed_on_its_engine: [CUT] &[] => 1;
     cut_stream_of_a_non_idempotent_request_is_resumed: [CUT] NEVER => 1;
@@ -70,7 +72,8 @@
         [Switch::Duplicate(Odds::ALWAYS), Switch::Foreign(Odds::ALWAYS)] &[] => 1;
 }
 
-/// Strikes every engine, and expects a problem document or error event.
+/// Applies faults to every engine, and expects a problem document or an error
+/// event.
 async fn check_failed(faults: &[Switch], headers: Headers<'_>, expected: (&str, &str), runs: usize) {
     let site = Site::open(Plan::default()).await;
     for fault in faults {
@@ -104,8 +107,8 @@
 const ALL_LOST: Switch = Switch::LoseAnswers(Odds::ALWAYS);
 const ALL_CUT: Switch = Switch::BreakStreams { after: 2, odds: Odds::ALWAYS };
 
-// The fault stays. The caller gets its final answer at once, with the truth
-// about what ran; nothing short ever looks whole.
+// The fault persists. The caller receives its final response at once, which states
+// correctly whether the request ran. A partial answer never looks complete.
 failed! {
     refusals_everywhere_are_not_run: [ALL_FULL] &[] => ("no-endpoint", "no"), 0;
     refused_non_idempotent_request_is_not_run: [ALL_FULL] NEVER => ("no-endpoint", "no"), 0;
@@ -113,9 +116,9 @@
     cut_and_forgotten_non_idempotent_stream_has_run: [ALL_CUT, FORGET] NEVER => ("broken-stream", "yes"), 1;
 }
 
-// The stream breaks, its engine has forgotten it, and the only other engine
-// has the version turned bad. Its answer does not go on from the part that
-// the caller has: the stream ends with an error, not with a mix of both.
+// The stream breaks, its engine no longer holds it, and the only other engine runs
+// a bad version. That engine's answer does not continue the part that the caller
+// has, so the stream ends with an error instead of a mix of both answers.
 #[tokio::test]
 async fn diverging_restart_fails_openly() {
     let site = Site::open(Plan::default()).await;
@@ -130,8 +133,8 @@
     assert_eq!(site.bills_when(1).await.len(), 1, "only the first request's bill");
 }
 
-// A whole answer is asked for without streaming, and the stream behind it
-// breaks for good: the caller gets a problem and no part of the answer.
+// The caller asks for an answer without streaming, and the engine's stream breaks
+// for good. The caller receives a problem and no part of the answer.
 #[tokio::test]
 async fn broken_whole_answer_is_a_problem() {
     let site = Site::open(Plan::default()).await;
@@ -141,8 +144,8 @@
     assert_eq!(reply.problem(), (502, "broken-stream".into(), "yes".into()));
 }
 
-// The engine takes longer than the caller can wait. The final answer comes at
-// the deadline, and the engine's slot is free again.
+// The engine takes longer than the caller's deadline. The final response comes at
+// the deadline, and the engine's slot is freed.
 #[tokio::test]
 async fn deadline_ends_the_run() {
     let engine = engine::Options { first_token_ms: 60_000, ..engine::Options::default() };
@@ -175,8 +178,8 @@
     };
 }
 
-// A call that must not be repeated loses its answer. The caller is told that
-// it may have run, and a repeat with the same key asks and does not run.
+// A call that must not be repeated loses its answer. The caller is told that it may
+// have run, and a repeat with the same key does not run it again.
 services! {
     service_answer_lost_after_the_effect_is_unknown:
         service::Switch::BreakAfter(Odds::ALWAYS) => ("outcome-unknown", "unknown"), 1;
@@ -185,7 +188,7 @@
     service_refusal_is_not_run: service::Switch::Refuse(Odds::ALWAYS) => ("no-endpoint", "no"), 0;
 }
 
-// A refused call is not run, so the same key may run later, once.
+// A refused call has not run, so the same key may run later, once.
 #[tokio::test]
 async fn refused_call_may_run_under_its_key_later() {
     let site = Site::open(Plan::default()).await;
@@ -200,8 +203,8 @@
     assert_eq!(site.bills_when(1).await.len(), 1);
 }
 
-// A version answers every request with an error. Its endpoints are well, so
-// only the version's guard can stop it, and the caller hears "not run".
+// A version answers every request with an error. Its endpoints are healthy, so only
+// the version guard can stop it, and the caller is told "not run".
 #[tokio::test]
 async fn erring_version_is_not_run_and_not_billed() {
     let site = Site::open(Plan::default()).await;
@@ -214,8 +217,8 @@
     assert!(site.bills().is_empty());
 }
 
-// A new version errs on every endpoint. Sessions that would meet it are
-// answered by its predecessor, before its guard has seen enough to stop it.
+// A new version fails on every endpoint. New sessions assigned to it are answered
+// by its predecessor, before the version guard has seen enough failures to stop it.
 #[tokio::test]
 async fn erring_version_under_roll_out_gives_way_to_its_predecessor() {
     let site = exposing().await;
@@ -231,7 +234,7 @@
 /// The version under roll-out.
 const NEW: &str = "summary@2";
 
-/// A site whose new sessions all meet `NEW`.
+/// Opens a site that assigns all new sessions to `NEW`.
 async fn exposing() -> Site {
     let site = Site::open(Plan::default()).await;
     let two = "    - { version: \"2\", tier: 0, price: { input: \"1\", output: \"2\", currency: EUR } }\n";
@@ -243,9 +246,9 @@
     site
 }
 
-// One of two engines is lost while new sessions meet a new version. They get
-// its whole answers from the other: a lost engine is no fault of the version,
-// and nobody is given its predecessor for it.
+// One of two engines is lost while new sessions are assigned to a new version. They
+// receive complete answers of that version from the other engine: a lost engine is
+// not a fault of the version, so no session falls back to the predecessor.
 #[tokio::test]
 async fn endpoint_lost_at_expose() {
     let site = exposing().await;
@@ -257,9 +260,9 @@
     assert!(!site.engines[0].records().is_empty(), "none was sent to the lost engine");
 }
 
-// All engines are full while new sessions meet a new version. Callers are told
-// "not run" and when to come back; when there is room they meet the version
-// as before: a full engine says nothing about what it would have run.
+// All engines are full while new sessions are assigned to a new version. Callers
+// are told "not run" and when to retry. Once there is capacity, sessions get the
+// new version as before: a full engine is no evidence about the version.
 #[tokio::test]
 async fn pool_full_at_expose() {
     let site = exposing().await;
--- a/crates/entry/tests/path/cascades.rs
+++ b/crates/entry/tests/path/cascades.rs
@@ -1,4 +1,4 @@
-//! Cascades: a cheap answer is rated before any of it is shown.
+//! Cascades: a cheap answer is rated before any of it is shown to the caller.
 
 use std::collections::BTreeMap;
 
@@ -24,15 +24,16 @@
     Plan { rating: Some(rating), contract: "quality: { target: 0.95 }", ..Plan::default() }
 }
 
-/// Versions that ran, in order.
+/// Returns the versions that ran, in order.
 pub fn ran(site: &Site) -> Vec<String> {
     let mut runs = site.runs();
     runs.sort_by_key(|run| run.received);
     runs.into_iter().map(|run| run.version).collect()
 }
 
-/// The first request that starts on the cheap version: nothing is known of
-/// either, so that the choice may start anywhere.
+/// Sends requests until one starts on the cheap version. Nothing has been learned
+/// about either version, so the first choice may be any of them. Returns the
+/// answering version, the request's content and the number of its runs.
 async fn first_cascade(site: &Site) -> (String, String, usize) {
     for n in 0..60 {
         let before = site.runs().len();
@@ -49,7 +50,7 @@
     panic!("no request started on the cheap version");
 }
 
-// The cheap answer passes its rating: it is delivered, and no other runs.
+// The cheap answer passes its rating: it is delivered, and no other version runs.
 #[tokio::test]
 async fn cheap_answer_that_passes_is_kept() {
     let site = Site::open(plan(1.0)).await;
@@ -57,8 +58,8 @@
     assert_eq!((version.as_str(), runs), (CHEAP, 1));
 }
 
-// The cheap answer fails its rating. The caller gets the dear version's whole
-// answer and nothing of the cheap one; one bill covers both runs.
+// The cheap answer fails its rating. The caller receives the expensive version's
+// complete answer and nothing of the cheap one; one bill covers both runs.
 #[tokio::test]
 async fn cheap_answer_that_fails_is_escalated() {
     let site = Site::open(plan(0.0)).await;
@@ -73,8 +74,8 @@
     assert!(dear_alone.is_none_or(|alone| cascade.amount > alone), "both runs are billed");
 }
 
-// The rating service is down: no cheap answer is shown unrated, and no
-// request waits for it in vain for long.
+// The rating service is down: no cheap answer is shown unrated, and requests do not
+// wait long for the service.
 #[tokio::test]
 async fn no_unrated_cheap_answer_while_the_rater_is_down() {
     let site = Site::open(plan(1.0)).await;
@@ -88,7 +89,7 @@
     assert!(cheap <= 1, "{cheap} cascades started without a rater");
 }
 
-// A request that must not be repeated never cascades: one dispatch.
+// A request that must not be repeated is dispatched once and never cascades.
 #[tokio::test]
 async fn non_idempotent_request_never_cascades() {
     let site = Site::open(plan(0.0)).await;
@@ -100,8 +101,8 @@
     assert!(site.bills_when(20).await.iter().all(|bill| bill.attempts == 1));
 }
 
-// Answers that were not rated at once are submitted, and their ratings teach
-// which version is good: in the end the cheap, bad version is left alone.
+// Answers that were not rated at once are submitted, and their later ratings show
+// which version is good: in the end the cheap, bad version is hardly used.
 #[tokio::test]
 async fn delayed_ratings_are_learned() {
     let site = Site::open(plan(0.0)).await;
@@ -119,8 +120,8 @@
         if lately.len() < 60 {
             continue;
         }
-        // What the good version passes beyond the target may be spent on the
-        // cheap one: a twentieth of the answers, and not more.
+        // The pass rate of the good version above the target may be spent on the cheap one: at most
+        // a twentieth of the answers.
         if lately.iter().filter(|cheap| **cheap).count() <= 6 {
             return;
         }
@@ -129,10 +130,10 @@
     panic!("the bad version goes on answering");
 }
 
-// A rated answer stands on the tape and waits for its bill when the instance
-// that ran it is lost. A repeat elsewhere has copied the text and runs the
-// request anew; the text that is rated there was sent already. Sent once
-// more, the caller would hold the answer twice in one.
+// A rated answer is on the tape and waits for its bill when the instance that ran
+// it is lost. A repeat at another instance has copied the text and runs the request
+// again. The text rated there was already sent, so sending it again would give the
+// caller the answer twice.
 #[tokio::test]
 async fn copied_answer_is_not_sent_again_after_its_rating() {
     for n in 0..20 {
@@ -147,7 +148,7 @@
         site.until(|site| site.runs().len() == 1).await;
         let repeat = call(1);
         site.until(joined).await;
-        // From here on no bill is recorded: the text stands without its end.
+        // From here on no bill is recorded, so the text is not followed by the end of the answer.
         site.objects.switch(objects::Switch::Slow { ms: 60_000 });
         let mut repeat = repeat.await.expect("no panic");
         while repeat.so_far().text.is_empty() {
@@ -169,13 +170,14 @@
     panic!("no answer was copied and run anew on the cheap version");
 }
 
-/// Whether a request at the second instance has joined one at the first.
+/// Returns whether a request at the second instance has joined one at the first.
 fn joined(site: &Site) -> bool {
     let records = site.nodes[1].links.recorder.query(&Filter::default()).records;
     records.iter().any(|record| matches!(&record.event, Event::Request { step: Step::Joined { .. }, .. }))
 }
 
-/// Each frame comes twice, with frames of other attempts among them.
+/// Checks a cascade in which every frame arrives twice, mixed with frames of other
+/// attempts.
 async fn check_odd_frames(cheap: f64, expected: (&str, usize)) {
     let site = Site::open(plan(cheap)).await;
     site.switch(&engine::Switch::Duplicate(Odds::ALWAYS));
@@ -184,23 +186,24 @@
     assert_eq!((version.as_str(), runs), expected);
 }
 
-// The rated answer came with repeated and foreign frames. It passes as it
-// would have without: what is rated and shown is put together from the run's
-// own frames, each once.
+// The rated answer arrives with repeated and foreign frames. It passes as it would
+// without them: the text that is rated and shown consists of the run's own frames,
+// each once.
 #[tokio::test]
 async fn answer_late_at_rate() {
     check_odd_frames(1.0, (CHEAP, 1)).await;
 }
 
-// The same with an answer that fails: the caller gets the dear version's
-// whole answer, and no frame of the cheap run among it.
+// The answer with repeated and foreign frames fails its rating. The caller receives
+// the expensive version's complete answer and no frame of the cheap run.
 #[tokio::test]
 async fn answer_late_at_escalate() {
     check_odd_frames(0.0, (DEAR, 2)).await;
 }
 
-/// A key's first call at instance 0 and its repeat at instance 1, which has
-/// joined while the dear version runs after the cheap answer failed.
+/// Returns a key's first call at instance 0 and its repeat at instance 1. The
+/// repeat has joined while the expensive version runs, after the cheap answer
+/// failed.
 async fn escalating() -> (Site, String, [crate::client::Stream; 2]) {
     for n in 0..20 {
         let engine = engine::Options { first_token_ms: 300, per_token_ms: 20, ..engine::Options::default() };
@@ -219,7 +222,7 @@
         let repeat = call(1);
         site.until(|site| joined(site) || !site.bills().is_empty()).await;
         if !joined(&site) {
-            // The first was answered before the repeat came.
+            // The first call was answered before the repeat arrived.
             continue;
         }
         let streams = [first.await.expect("no panic"), repeat.await.expect("no panic")];
@@ -228,9 +231,10 @@
     panic!("no repeat joined a request that started on the cheap version");
 }
 
-// The cheap answer failed its rating and the dear version runs when the
-// caller repeats its key elsewhere. Both calls get the dear answer whole; the
-// repeat starts no cascade of its own, and one bill covers both runs.
+// The cheap answer failed its rating and the expensive version is running when the
+// caller repeats its key at another instance. Both calls receive the complete
+// expensive answer. The repeat starts no cascade of its own, and one bill covers
+// both runs.
 #[tokio::test]
 async fn caller_repeats_at_escalate() {
     let (site, content, [first, repeat]) = escalating().await;
@@ -241,9 +245,10 @@
     assert_eq!(site.bills_when(1).await.len(), 1);
 }
 
-// The instance that escalates is lost amid the dear run. The repeat at the
-// other goes on: it gets one whole answer, from a run there, or an error
-// event; never two answers in one, and never a part that looks whole.
+// The instance that escalates is lost during the expensive run. The repeat at the
+// other instance continues: it receives one complete answer, from a run there, or
+// an error event. It never receives two answers in one, nor a partial answer that
+// looks complete.
 #[tokio::test]
 async fn instance_lost_at_escalate() {
     let (mut site, content, [first, repeat]) = escalating().await;
--- a/crates/entry/tests/path/client.rs
+++ b/crates/entry/tests/path/client.rs
@@ -1,4 +1,4 @@
-//! A caller: plain HTTP/1.1 over one connection a call.
+//! An HTTP/1.1 client that opens one connection for each call.
 
 use std::net::SocketAddr;
 
@@ -10,13 +10,13 @@
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 
-/// Calls one instance.
+/// A client of one instance.
 #[derive(Debug, Clone, Copy)]
 pub struct Client {
     address: SocketAddr,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
@@ -24,7 +24,7 @@
     pub text: String,
 }
 
-/// A streamed answer under way; dropping it hangs up.
+/// A response that is being streamed. Dropping it closes the connection.
 pub struct Stream {
     pub status: StatusCode,
     pub headers: HeaderMap,
@@ -32,7 +32,7 @@
     read: String,
 }
 
-/// Headers of a call.
+/// Headers of a call, as names and values.
 pub type Headers<'a> = &'a [(&'a str, &'a str)];
 
 impl Client {
@@ -40,14 +40,14 @@
         Self { address }
     }
 
-    /// Makes a call and reads its whole answer.
+    /// Makes a call and reads the complete response.
     pub async fn call(&self, method: Method, path: &str, headers: Headers<'_>, body: impl Into<Bytes>) -> Reply {
         let mut stream = self.open(method, path, headers, body).await;
         let text = stream.rest().await;
         Reply { status: stream.status, headers: stream.headers.clone(), text }
     }
 
-    /// Makes a call and reads its head.
+    /// Makes a call and reads the head of the response.
     pub async fn open(&self, method: Method, path: &str, headers: Headers<'_>, body: impl Into<Bytes>) -> Stream {
         let socket = TcpStream::connect(self.address).await.expect("the instance listens");
         let (mut sender, connection) = http1::handshake(TokioIo::new(socket)).await.expect("HTTP");
@@ -66,14 +66,14 @@
         self.call(Method::GET, path, &[("authorization", &format!("Bearer {key}"))], "").await
     }
 
-    /// A whole chat answer.
+    /// Sends a chat request that is not streamed.
     pub async fn chat(&self, key: &str, headers: Headers<'_>, content: &str) -> Reply {
         let bearer = format!("Bearer {key}");
         let headers: Vec<_> = [("authorization", bearer.as_str())].into_iter().chain(headers.iter().copied()).collect();
         self.call(Method::POST, "/v1/chat/completions", &headers, ask(content, false)).await
     }
 
-    /// A streamed chat answer.
+    /// Sends a chat request whose answer is streamed.
     pub async fn stream(&self, key: &str, headers: Headers<'_>, content: &str) -> Stream {
         let bearer = format!("Bearer {key}");
         let headers: Vec<_> = [("authorization", bearer.as_str())].into_iter().chain(headers.iter().copied()).collect();
@@ -81,7 +81,7 @@
     }
 }
 
-/// A chat request's body.
+/// Returns the body of a chat request.
 pub fn ask(content: &str, stream: bool) -> String {
     json!({ "model": "summary", "messages": [{ "role": "user", "content": content }], "stream": stream }).to_string()
 }
@@ -95,13 +95,13 @@
         self.headers.get(name).map_or("", |value| value.to_str().expect("text"))
     }
 
-    /// The text of a whole chat answer.
+    /// Returns the text of a complete chat answer.
     pub fn content(&self) -> String {
         assert_eq!(self.status, StatusCode::OK, "{}", self.text);
         self.json()["choices"][0]["message"]["content"].as_str().expect("content").to_owned()
     }
 
-    /// Status, kind and `ran` of a problem document.
+    /// Returns the status, kind and `ran` of a problem document.
     pub fn problem(&self) -> (u16, String, String) {
         assert_eq!(self.header("content-type"), "application/problem+json", "{} {}", self.status, self.text);
         let json = self.json();
@@ -111,18 +111,18 @@
     }
 }
 
-/// A streamed answer as its events tell it.
+/// The content of a streamed answer's events.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Told {
     pub text: String,
     pub finish: Option<String>,
     pub done: bool,
-    /// Kind and `ran` of an error event.
+    /// Kind and `ran` of the error event, if there was one.
     pub error: Option<(String, String)>,
 }
 
 impl Stream {
-    /// Reads more; false at the end.
+    /// Reads the next frame. Returns false at the end.
     pub async fn more(&mut self) -> bool {
         match self.body.frame().await {
             Some(Ok(frame)) => {
@@ -135,20 +135,20 @@
         }
     }
 
-    /// Reads to the end.
+    /// Reads to the end and returns the text of the body.
     pub async fn rest(&mut self) -> String {
         while self.more().await {}
         self.read.clone()
     }
 
-    /// Reads to the end and takes the events apart.
+    /// Reads to the end and parses the events.
     pub async fn told(mut self) -> Told {
         let text = self.rest().await;
         assert_eq!(self.status, StatusCode::OK, "{text}");
         told(&self.read)
     }
 
-    /// What was told so far.
+    /// Parses the events received so far.
     pub fn so_far(&self) -> Told {
         told(&self.read)
     }
--- a/crates/entry/tests/path/escalation.rs
+++ b/crates/entry/tests/path/escalation.rs
@@ -1,4 +1,4 @@
-//! Faults that strike a cascade while its cheap answer runs.
+//! Faults that occur in a cascade while its cheap answer runs.
 
 use std::time::Duration;
 
@@ -16,18 +16,19 @@
     whole::answer_of,
 };
 
-/// Tries until a request has started on the cheap version.
+/// Maximum number of tries until a request starts on the cheap version.
 const TRIES: usize = 40;
 
-/// A request that was struck while the cheap version ran it.
+/// A request during whose run on the cheap version a fault was injected.
 struct Struck {
     site: Site,
     content: String,
     stream: Stream,
 }
 
-/// Strikes a request's cascade; nothing is known of either version, so that
-/// the choice may start anywhere.
+/// Injects a fault while a request runs on the cheap version. Nothing has been
+/// learned about either version, so the first choice may be any of them and several
+/// tries may be needed.
 async fn strike(cheap: f64, blow: impl Fn(&Site)) -> Struck {
     for n in 0..TRIES {
         let engine = engine::Options { first_token_ms: 500, ..engine::Options::default() };
@@ -47,7 +48,7 @@
     panic!("no request started on the cheap version");
 }
 
-/// The caller gets one version's whole answer, and it is billed once.
+/// Checks that the caller receives the complete answer of one version, billed once.
 async fn check_whole(struck: Struck, version: &str) -> Site {
     let Struck { site, content, stream } = struck;
     assert_eq!(stream.status, 200);
@@ -67,37 +68,38 @@
     tokio::spawn(async move { entry.drain(Instant::now() + Duration::from_secs(20)).await });
 }
 
-// The platform goes down before the cheap answer is rated. It passes and the
-// caller gets it: rating needs no platform, and two instances hold the bill
-// until it is back.
+// The platform goes down before the cheap answer is rated. The answer passes and is
+// delivered: rating does not need the platform, and two instances hold the bill
+// until the platform is back.
 #[tokio::test]
 async fn platform_down_at_rate() {
     check_whole(strike(1.0, platform_down).await, CHEAP).await;
 }
 
-// The same with an answer that fails: the dear version runs during the outage.
+// The platform goes down and the cheap answer fails its rating. The expensive
+// version runs during the outage.
 #[tokio::test]
 async fn platform_down_at_escalate() {
     check_whole(strike(0.0, platform_down).await, DEAR).await;
 }
 
-// The instance is told to leave before the cheap answer is rated. The request
-// is in flight, so the rating and the answer still go their way.
+// The instance is told to leave before the cheap answer is rated. The request is in
+// flight, so it is still rated and answered.
 #[tokio::test]
 async fn instance_leaving_at_rate() {
     check_whole(strike(1.0, leave).await, CHEAP).await;
 }
 
-// The same with an answer that fails: the dear run is part of the request
-// that was taken, and no new work.
+// The instance is told to leave and the cheap answer fails its rating. The run of
+// the expensive version belongs to the accepted request and is not new work.
 #[tokio::test]
 async fn instance_leaving_at_escalate() {
     check_whole(strike(0.0, leave).await, DEAR).await;
 }
 
-// An engine takes the dear run and answers nothing. The caller gets the dear
-// version's whole answer from the other: an escalation is dispatched again
-// like any idempotent run.
+// An engine accepts the expensive run and does not answer. The caller receives the
+// expensive version's complete answer from the other engine: an escalation is
+// dispatched again like any idempotent run.
 #[tokio::test]
 async fn endpoint_lost_at_escalate() {
     let lose = |site: &Site| site.engines[0].switch(Switch::LoseAnswers(Odds::ALWAYS));
@@ -110,8 +112,9 @@
     panic!("no dear run went to the lost engine");
 }
 
-// The list says that an engine leaves before the cheap answer is rated. The
-// dear run goes to the other one: the endpoint is chosen when it is needed.
+// The platform's list marks an engine as leaving before the cheap answer is rated.
+// The expensive run goes to the other engine, because an endpoint is chosen only
+// when it is needed.
 #[tokio::test]
 async fn endpoint_leaving_at_escalate() {
     let leaving = |site: &Site| {
@@ -121,9 +124,9 @@
     assert!(site.engines[0].records().iter().all(|run| run.version != DEAR));
 }
 
-// Every engine is full when the cheap answer fails its rating. The caller gets
-// its final answer: the request has run and there is no whole answer, nothing
-// of the failed one is shown, and nothing is billed.
+// Every engine is full when the cheap answer fails its rating. The caller receives
+// a final response: the request has run without a complete answer, no part of the
+// failed answer is shown, and nothing is billed.
 #[tokio::test]
 async fn pool_full_at_escalate() {
     let full = |site: &Site| site.switch(&Switch::Refuse(Odds::ALWAYS));
--- a/crates/entry/tests/path/gone.rs
+++ b/crates/entry/tests/path/gone.rs
@@ -1,4 +1,4 @@
-//! Callers that hang up, and callers that are slow.
+//! Callers that hang up, and callers that read slowly.
 
 use standin::engine::{self, End};
 
@@ -12,8 +12,8 @@
     Plan { engine, ..Plan::default() }
 }
 
-// The caller hangs up amid its answer. Its run is cancelled at the engine,
-// the slot is free, and nothing is billed.
+// The caller hangs up in the middle of its answer. The run is cancelled at the
+// engine, its slot is freed, and nothing is billed.
 #[tokio::test]
 async fn hang_up_cancels_the_run() {
     let site = Site::open(slow()).await;
@@ -26,8 +26,8 @@
     assert!(site.bills().is_empty());
 }
 
-// The caller hangs up while it waits for the first word. The run is cancelled
-// before it has made one.
+// The caller hangs up while it waits for the first token. The run is cancelled
+// before the engine has produced a token.
 #[tokio::test]
 async fn hang_up_before_the_first_frame_cancels_the_run() {
     let engine = engine::Options { first_token_ms: 600_000, ..engine::Options::default() };
@@ -40,7 +40,8 @@
     assert_eq!((site.runs()[0].end, site.runs()[0].tokens), (Some(End::Cancelled), 0));
 }
 
-// One of two callers with the same key hangs up. The other's answer goes on.
+// One of two callers with the same key hangs up. The other still receives its
+// complete answer.
 #[tokio::test]
 async fn hang_up_leaves_joined_callers_their_answer() {
     let site = Site::open(slow()).await;
@@ -53,8 +54,8 @@
     assert_eq!(site.runs().len(), 1);
 }
 
-// The caller of a request that must not be repeated hangs up. It runs to its
-// end, is billed, and its outcome can be asked for.
+// The caller of a non-idempotent request hangs up. The request runs to its end, is
+// billed, and its outcome can be queried.
 #[tokio::test]
 async fn hang_up_does_not_cut_a_non_idempotent_run() {
     let site = Site::open(slow()).await;
@@ -68,8 +69,9 @@
     assert_eq!(site.runs()[0].end, Some(End::Completed));
 }
 
-// A caller does not read. The engine's frames wait in bounded memory and the
-// engine is not read any faster; when the caller reads, its answer is whole.
+// A caller does not read for a while. The engine's frames wait in bounded memory
+// and the engine is read no faster than the caller. When the caller reads, its
+// answer is complete.
 #[tokio::test]
 async fn slow_reader_gets_its_whole_answer() {
     let site = Site::open(Plan::default()).await;
--- a/crates/entry/tests/path/leaving.rs
+++ b/crates/entry/tests/path/leaving.rs
@@ -1,4 +1,4 @@
-//! An instance leaves under load; endpoints leave.
+//! Instances that leave under load, and endpoints that leave.
 
 use std::time::Duration;
 
@@ -10,14 +10,15 @@
     whole::answer_of,
 };
 
-// Instance 0 is told to leave while it streams answers. Other instances leave
-// it out of the addresses at once; callers that still hold its address are
-// served as long as they were told to keep it; then new work is refused with
-// other addresses. Every stream under way ends whole, and is billed.
+// Instance 0 is told to leave while it streams answers. Other instances remove it
+// from the address lists at once. Callers that still have its address are served
+// for as long as they may keep it; then new work is refused with other addresses.
+// Every open stream ends complete and is billed.
 #[tokio::test]
 async fn drain_cuts_off_no_request() {
-    // Far apart, so that a busy machine does not change the order: the keep
-    // time ends well after the first steps, the streams well after it.
+    // The times are far apart so that a busy machine does not change the order: the
+    // keep time ends well after the first steps, and the streams end well after the
+    // keep time.
     let engine = engine::Options { per_token_ms: 120, ..engine::Options::default() };
     let site = Site::open(Plan { instances: 2, engine, keep_ms: 1_500, ..Plan::default() }).await;
     let mut streams = Vec::new();
@@ -43,8 +44,8 @@
     assert_eq!(site.bills_when(13).await.len(), 13);
 }
 
-// While it finishes its work a leaving instance refuses new work truthfully
-// and names the others.
+// While it finishes its work, a leaving instance refuses new work as not run and
+// names the other instances.
 #[tokio::test]
 async fn leaving_instance_refuses_new_work_with_other_addresses() {
     let engine = engine::Options { per_token_ms: 150, ..engine::Options::default() };
@@ -61,8 +62,8 @@
     assert!(drain.await.expect("no panic"));
 }
 
-// The daemon has read that an endpoint is leaving. It gets no new work from
-// then on, although its pool still names it.
+// The daemon has read that an endpoint is leaving. From then on the endpoint gets
+// no new work, although its pool still lists it.
 #[tokio::test]
 async fn leaving_endpoint_gets_no_new_work() {
     let site = Site::open(Plan::default()).await;
@@ -76,10 +77,10 @@
     assert_eq!(site.engines[1].records().len(), 20);
 }
 
-// The caller's first try runs at instance 0 when it repeats its key at
-// instance 1, which takes no more work. Told "not run", it would file the
-// request anew under another key and have it twice. The key's home knows the
-// run, so the refusal does not say so.
+// The caller's first try runs at instance 0 when it repeats its key at instance 1,
+// which takes no more work. If it were told "not run", the caller would send the
+// request again with another key and have it run twice. The key's home instance has
+// the run on record, so the refusal does not say "not run".
 #[tokio::test]
 async fn refusal_is_true_of_the_key_and_not_of_the_second_try_alone() {
     let engine = engine::Options { per_token_ms: 60, ..engine::Options::default() };
--- a/crates/entry/tests/path/limits.rs
+++ b/crates/entry/tests/path/limits.rs
@@ -1,4 +1,5 @@
-//! Budgets, queues and retry budgets: refusals are at once and true.
+//! Budgets, queues and retry budgets: refusals are immediate and state correctly
+//! whether the request ran.
 
 use standin::{
     engine::{self, Switch},
@@ -7,8 +8,8 @@
 
 use crate::site::{CLUB, Plan, Site, WATER};
 
-// The budget covers a few requests. The rest are refused before they run, and
-// what was billed stays within the budget.
+// The budget covers a few requests. The others are refused before they run, and the
+// billed amount stays within the budget.
 #[tokio::test]
 async fn spent_budget_refuses_before_the_run() {
     let site = Site::open(Plan::default()).await;
@@ -30,8 +31,8 @@
     site.client(0).chat(WATER, &[], "another customer").await.content();
 }
 
-// All engines refuse. Each request gets its final answer at once, with the
-// time to come back, and retries stay within the customer's budget.
+// All engines lose their answers. Each request receives its final response at once,
+// and retries stay within the customer's retry budget.
 #[tokio::test]
 async fn retries_stay_within_their_budget() {
     let site = Site::open(Plan::default()).await;
@@ -44,8 +45,8 @@
     assert!(runs <= 40 + 4 + 5 + 1, "{runs} dispatches for 40 requests at a share of a tenth and a burst of five");
 }
 
-// More requests come than can be done by their deadlines. Those in excess are
-// refused as not run, long before their deadline; the others are answered.
+// More requests arrive than can complete by their deadlines. The excess is refused
+// as not run, long before its deadline; the others are answered.
 #[tokio::test]
 async fn overload_refuses_early_and_truly() {
     let engine =
@@ -70,9 +71,9 @@
     assert_eq!(site.bills_when(4 + answered.len()).await.len(), 4 + answered.len());
 }
 
-// Half of the engines are lost while requests wait for their turn. None waits
-// for the lost one's places until its deadline in vain: each is answered whole,
-// or told the truth of its run, and what was answered is billed.
+// Half of the engines are lost while requests wait for admission. No request waits
+// until its deadline for the lost engine's slots: each receives a complete answer
+// or a correct statement of whether it ran, and every answer is billed.
 #[tokio::test]
 async fn endpoint_lost_at_admit() {
     let engine =
@@ -100,9 +101,9 @@
     assert_eq!(site.bills_when(1 + answered.len()).await.len(), 1 + answered.len());
 }
 
-// An instance is lost while most of its requests wait for their turn. Their
-// callers see the connections break and repeat the keys at the other one: each
-// gets its whole answer there, and each key is billed once.
+// An instance is lost while most of its requests wait for admission. Their callers
+// see the connections break and repeat the keys at the other instance. Each
+// receives its complete answer there, and each key is billed once.
 #[tokio::test]
 async fn instance_lost_at_admit() {
     let engine =
--- a/crates/entry/tests/path/main.rs
+++ b/crates/entry/tests/path/main.rs
@@ -1,5 +1,5 @@
-//! The callers' side end to end, against the stand-ins: what callers see, and
-//! what the stand-ins' own records say.
+//! End-to-end tests of the interface for callers, against stand-in engines and
+//! services: they check what callers receive and what the stand-ins recorded.
 
 mod bad_input;
 mod breaks;
--- a/crates/entry/tests/path/outage.rs
+++ b/crates/entry/tests/path/outage.rs
@@ -1,4 +1,4 @@
-//! The platform is down.
+//! Requests during an outage of the platform.
 
 use std::sync::atomic::Ordering;
 
@@ -11,7 +11,7 @@
 
 const NEVER: (&str, &str) = ("arbutuslug-idempotent", "false");
 
-/// Three instances, each of which has served a request before the outage.
+/// Opens three instances, each of which serves a request before the outage begins.
 async fn down(contract: &'static str) -> Site {
     let site = Site::open(Plan { instances: 3, contract, ..Plan::default() }).await;
     for node in 0..3 {
@@ -24,9 +24,8 @@
     site
 }
 
-// An idempotent request comes during an outage. Its bill is held by two
-// instances in different failure domains, and recorded when the platform is
-// back.
+// An idempotent request arrives during an outage. Its bill is held by two instances
+// in different failure domains, and recorded when the platform is back.
 #[tokio::test]
 async fn outage_serves_idempotent_requests_and_bills_them_later() {
     let site = down("").await;
@@ -36,18 +35,19 @@
     assert_eq!(site.bills_when(4).await.len(), 4);
 }
 
-// Without a durable claim a request that must not be repeated does not run.
+// Without a durable claim, a request that must not be repeated does not run.
 #[tokio::test]
 async fn outage_refuses_non_idempotent_requests_as_not_run() {
     let site = down("").await;
     let runs = site.runs().len();
-    // Given up on it is answered at once: at its deadline this test would hang.
+    // The refusal must come at once: if it came only at the deadline of one hour, this
+    // test would hang.
     let reply = site.client(0).chat(CLUB, &[NEVER, ("arbutuslug-deadline-ms", "3600000")], "during").await;
     assert_eq!(reply.problem(), (503, "platform-down".into(), "no".into()));
     assert_eq!(site.runs().len(), runs);
 }
 
-// A contract may want work refused rather than billed late.
+// A contract may require that work is refused rather than billed late.
 #[tokio::test]
 async fn outage_refuses_where_the_contract_says_so() {
     let site = down("outage: refuse").await;
@@ -59,8 +59,8 @@
     site.client(0).chat(CLUB, &[], "after").await.content();
 }
 
-// An instance that has no fresh word from platform or peers could miss a
-// withdrawal, so it takes no new work.
+// An instance without a recent response from the platform or peers could miss a
+// withdrawal, so it accepts no new work.
 #[tokio::test]
 async fn stale_configuration_takes_no_new_work() {
     let site = Site::open(Plan::default()).await;
@@ -71,9 +71,10 @@
     assert!(site.runs().is_empty());
 }
 
-// A request that must not run twice is answered whole, and neither the platform nor
-// a second instance takes its bill: the end of its answer is held back. Once the bill
-// is held, a repeat at either instance gets the answer that is paid for.
+// A request that must not run twice is answered in full, but neither the platform
+// nor a second instance takes its bill, so the end of the answer is held back. Once
+// the bill is stored, a repeat at either instance receives the answer that was
+// billed.
 async fn check_late_bill(node: usize) {
     let engine = engine::Options { per_token_ms: 20, ..engine::Options::default() };
     let site = Site::open(Plan { instances: 2, engine, ..Plan::default() }).await;
--- a/crates/entry/tests/path/repeats.rs
+++ b/crates/entry/tests/path/repeats.rs
@@ -1,4 +1,4 @@
-//! Repeats of a request, here and at other instances.
+//! Repeats of a request at the same and at other instances.
 
 use http::Method;
 use standin::{engine, objects};
@@ -18,8 +18,8 @@
     Plan { instances: 2, engine, ..Plan::default() }
 }
 
-/// Sends a request, repeats it at `node` while it runs, and expects one run,
-/// one bill, and the same answer to both.
+/// Sends a request, repeats it at `node` while it runs, and expects one run, one
+/// bill, and the same answer for both.
 async fn check_join(headers: &[(&str, &str)], node: usize) {
     let site = Site::open(slow()).await;
     let mut first = site.client(0).stream(CLUB, headers, CONTENT).await;
@@ -49,8 +49,8 @@
     non_idempotent_repeat_elsewhere_joins_the_running_one: &[KEY, NEVER], 1;
 }
 
-// The answer was whole, but its caller lost the connection at the last frame
-// and asks again. Here the answer is still held and sent again.
+// The answer was complete, but its caller lost the connection at the last frame and
+// sends the request again. The instance still holds the answer and sends it again.
 #[tokio::test]
 async fn answered_request_is_answered_again_from_memory() {
     let site = Site::open(Plan::default()).await;
@@ -60,9 +60,9 @@
     assert_eq!(site.bills_when(1).await.len(), 1);
 }
 
-// The caller's first answer got lost on its way, and it repeats a request that
-// must not run twice at another instance. The home names who answered, and the
-// answer held there is given again; nothing runs.
+// The caller's first answer was lost on its way, and the caller repeats a request
+// that must not run twice at another instance. The key's home instance names the
+// instance that answered, and the answer held there is sent again; nothing runs.
 #[tokio::test]
 async fn answered_non_idempotent_request_is_answered_elsewhere_without_a_run() {
     let site = Site::open(Plan { instances: 2, ..Plan::default() }).await;
@@ -72,8 +72,8 @@
     assert_eq!(site.runs().len(), 1);
 }
 
-// An idempotent one may run again elsewhere so that its caller gets an
-// answer; it is billed once all the same.
+// An idempotent request may run again at another instance so that its caller
+// receives an answer. It is still billed once.
 #[tokio::test]
 async fn answered_idempotent_request_is_billed_once_wherever_repeated() {
     let site = Site::open(Plan { instances: 2, ..Plan::default() }).await;
@@ -113,7 +113,7 @@
     check_outcome(WATER, None).await;
 }
 
-// Two customers use the same key. Each gets its own answer and its own bill.
+// Two customers use the same key. Each receives its own answer and its own bill.
 #[tokio::test]
 async fn customers_do_not_share_keys() {
     let site = Site::open(Plan::default()).await;
@@ -124,8 +124,8 @@
     assert_eq!(site.bills_when(2).await.len(), 2);
 }
 
-// A call that may not be repeated is sent to both instances at once. One runs
-// it; the other joins or refuses. There is one effect.
+// A call that must not be repeated is sent to both instances at once. One runs it;
+// the other joins or refuses. There is one effect.
 #[tokio::test]
 async fn simultaneous_calls_have_one_effect() {
     let site = Site::open(Plan { instances: 2, ..Plan::default() }).await;
@@ -141,7 +141,8 @@
     assert_eq!(site.bills_when(1).await.len(), 1);
 }
 
-/// What the key's home told a node of each request, in the order of the requests.
+/// Returns what the key's home instance answered when the node registered the
+/// request.
 fn found(site: &Site, node: usize, key: &str) -> Option<Found> {
     let records = site.nodes[node].links.recorder.query(&Filter::default()).records;
     records.into_iter().find_map(|record| match record.event {
@@ -150,9 +151,10 @@
     })
 }
 
-// One key comes at two instances. The first is registered at the key's home, and
-// refused once its session cannot be bound. Meanwhile the second, whose calls to
-// the home are lost, runs the request without the home's word.
+// One key arrives at two instances. The first instance registers it at the key's
+// home instance and refuses it because its session cannot be bound. Meanwhile the
+// second, whose calls to the home are lost, runs the request without a response
+// from the home.
 #[tokio::test]
 async fn refusal_beside_a_run_that_the_keys_home_has_not_heard_of_is_no_promise() {
     let site = Site::open(Plan { instances: 3, ..Plan::default() }).await;
@@ -195,9 +197,9 @@
     site.runs().iter().any(|run| run.prompt.contains(&content))
 }
 
-// Two callers with one key wait for one claim; then no engine takes the request. One
-// of them comes back at once and starts the run while the other's refusal is still on
-// its way.
+// Two callers with one key wait for one claim; then no engine accepts the request.
+// One of them may retry at once and start the run while the other's refusal is
+// still on its way.
 #[tokio::test]
 async fn refusal_that_two_callers_hear_is_no_promise() {
     let site = Site::open(Plan::default()).await;
@@ -213,7 +215,8 @@
     }
 }
 
-// The same, of one caller: nobody else can have started a run.
+// With a single caller, nobody else can have started a run, so the refusal can say
+// "not run".
 #[tokio::test]
 async fn refusal_that_one_caller_hears_is_a_promise() {
     let site = Site::open(Plan::default()).await;
--- a/crates/entry/tests/path/sessions.rs
+++ b/crates/entry/tests/path/sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions keep their version; a withdrawal moves one once and says so.
+//! Sessions keep their version. A withdrawal moves a session once and is reported
+//! to its caller.
 
 use std::sync::atomic::Ordering;
 
@@ -10,7 +11,7 @@
 const SESSION: &str = "arbutuslug-session";
 const MOVED: &str = "arbutuslug-session-moved";
 
-/// The model with a further version of tier 0, and who serves it.
+/// Returns the objects with a further version of tier 0, and a pool that serves it.
 fn with_second_version(site: &Site, first: &str) -> String {
     let file = site.file("").replace("versions: [\"1\", \"9\"]", "versions: [\"1\", \"2\", \"9\"]");
     let release = |number: &str, tier: u8, state: &str| {
@@ -33,9 +34,9 @@
     reply.header("arbutuslug-version")
 }
 
-// A session starts on version 1; version 2 then takes new sessions. The old
-// session stays. Version 1 is withdrawn: the session moves with its next
-// request, is told so once, and stays on version 2 from then on.
+// A session starts on version 1; version 2 then takes new sessions. The old session
+// keeps version 1. When version 1 is withdrawn, the session moves with its next
+// request. The move is reported once, and the session stays on version 2.
 async fn check_session(named: Option<&str>, instances: usize) {
     let site = Site::open(Plan { instances, ..Plan::default() }).await;
     let ask = async |node: usize, session: &str| {
@@ -81,9 +82,9 @@
 }
 
 // Version 1 is withdrawn. The request that moves a caller-named session is lost
-// before its answer: the caller never hears of the move. The next request, at
-// another instance, finds the session moved already, and has to tell all the
-// same; the one after it need not.
+// before its answer, so the caller does not learn of the move. The next request, at
+// another instance, finds the session already moved and must still report the move;
+// the one after it must not.
 #[tokio::test]
 async fn move_whose_answer_was_lost_is_told_with_the_next() {
     let engine = standin::engine::Options { per_token_ms: 20, ..standin::engine::Options::default() };
@@ -108,8 +109,8 @@
     assert_eq!((version(&after), after.header(MOVED)), ("summary@2", ""));
 }
 
-/// The model with two versions of each tier; of those that a session starts on,
-/// the named ones are withdrawn.
+/// Returns the objects with two versions in each tier. The versions in `withdrawn`
+/// are withdrawn.
 fn two_tiers(site: &Site, withdrawn: &[&str]) -> String {
     let file = site.file("").replace("versions: [\"1\", \"9\"]", "versions: [\"1\", \"2\", \"8\", \"9\"]");
     let release = |number: &str, tier: u8| {
@@ -125,8 +126,8 @@
     format!("{model}---\n{rest}").replace("[summary@1, summary@9]", "[summary@1, summary@2, summary@8, summary@9]")
 }
 
-/// A caller-named session on versions 2 and 9, and a deployment whose answers of
-/// tier 0 all fail their rating.
+/// Returns a caller-named session on versions 2 and 9, and a site where every
+/// tier-0 answer fails its rating.
 async fn on_two_tiers() -> (Site, String) {
     let quality = [("summary@1", 0.0), ("summary@2", 0.0), ("summary@8", 1.0), ("summary@9", 1.0)];
     let quality = quality.map(|(version, quality)| (version.to_owned(), quality)).into();
@@ -143,9 +144,9 @@
     panic!("no request went through both tiers: {:?}", super::cascades::ran(&site));
 }
 
-// Both versions that a session is on are withdrawn at once. Its next answer that
-// needs both tiers comes from the later one; it tells of both moves, or the caller
-// would find the session on a version that it was never told of.
+// Both versions of a session are withdrawn at once. Its next answer that needs both
+// tiers comes from the higher one and must report both moves. Otherwise the session
+// would be on a version that its caller was never told of.
 #[tokio::test]
 async fn moves_of_two_tiers_are_told_together() {
     let (site, session) = on_two_tiers().await;
@@ -170,9 +171,9 @@
     panic!("never told of {left:?}");
 }
 
-// An answer tells of a move and is noted as having told; then it is lost with its
-// instance. The request must not run twice, so its repeat is only told that it
-// ran. The session's next answer has to tell again.
+// An answer reports a move, is recorded as having reported it, and is then lost
+// with its instance. The request must not run twice, so its repeat is only told
+// that it ran. The session's next answer must report the move again.
 #[tokio::test]
 async fn move_told_by_a_lost_answer_is_told_again() {
     let mut site = Site::open(Plan { instances: 2, ..Plan::default() }).await;
@@ -190,7 +191,7 @@
     drop(site.nodes.remove(0));
     let refused = async || {
         loop {
-            // Until the shard of its key has a new home, it is not known here.
+            // The key is unknown here until its shard has a new home instance.
             let repeat = survivor.chat(CLUB, &once, "moves it").await;
             let (_, kind, ran) = repeat.problem();
             if kind == "answered-before" {
@@ -214,7 +215,8 @@
     assert_eq!(told().await, ("summary@2".to_owned(), String::new()));
 }
 
-/// Three instances; caller-named sessions on version 1, which is then withdrawn.
+/// Opens a site of three instances with caller-named sessions on version 1, and
+/// then withdraws version 1.
 async fn withdrawn_under(sessions: &[&str]) -> Site {
     let site = Site::open(Plan { instances: 3, ..Plan::default() }).await;
     let only_one =
@@ -229,9 +231,10 @@
 
 const DESKS: [&str; 4] = ["desk-1", "desk-2", "desk-3", "desk-4"];
 
-// An answer tells of a move and is lost; its instance lives. The request must not
-// run twice, and its repeat at another instance, whose calls to the sessions' homes
-// take long, can only be told that it ran. The session's next answer tells again.
+// An answer that reports a move is lost, but its instance is alive. The request
+// must not run twice. Its repeat at another instance, whose calls to the sessions'
+// home instances are slow, is only told that the request ran. The session's next
+// answer must report the move again.
 #[tokio::test]
 async fn move_told_by_an_answer_that_its_repeat_cannot_fetch_is_told_again() {
     let site = withdrawn_under(&DESKS).await;
@@ -253,8 +256,8 @@
     }
 }
 
-// An answer tells of a move and is lost with its instance. The session's next
-// request comes before the others have noticed that the instance is gone.
+// An answer that reports a move is lost with its instance. The session's next
+// request arrives before the other instances have detected the loss.
 #[tokio::test]
 async fn move_told_by_an_instance_that_is_just_lost_is_told_again() {
     let mut site = withdrawn_under(&DESKS).await;
@@ -267,7 +270,7 @@
         let survivor = site.client(0);
         async move {
             loop {
-                // Until its home is known to be lost, a session cannot be confirmed.
+                // Until its home instance is known to be lost, a session cannot be confirmed.
                 let next = survivor.chat(CLUB, &[(SESSION, session)], "next").await;
                 if next.status == 200 {
                     return (version(&next).to_owned(), next.header(MOVED).to_owned());
@@ -291,7 +294,8 @@
     assert_eq!(site.runs().len(), 1);
 }
 
-// A handle is made up, changed, or another customer's: nothing is run with it.
+// A handle is invented, altered or belongs to another customer: nothing runs with
+// it.
 #[tokio::test]
 async fn changed_handle_is_refused() {
     check_handle(CLUB, |handle| format!("{handle}A"), "bad-session").await;
--- a/crates/entry/tests/path/site.rs
+++ b/crates/entry/tests/path/site.rs
@@ -1,5 +1,5 @@
-//! A small site: stand-ins of the outside, and instances wired as the daemon
-//! wires them, as tasks of this process.
+//! A small deployment: stand-ins for the platform, engines and services, and
+//! instances wired as in the daemon, all as tasks of this process.
 
 use std::{
     net::SocketAddr,
@@ -32,21 +32,21 @@
 use crate::client::Client;
 
 pub const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// What the callers of the two customers send.
+/// API keys of the two customers.
 pub const CLUB: &str = "club-key";
 pub const WATER: &str = "water-key";
-/// Versions of the model `summary`, one a tier.
+/// Versions of the model `summary`, one for each tier.
 pub const CHEAP: &str = "summary@1";
 pub const DEAR: &str = "summary@9";
 
-/// What a site is made of.
+/// Configuration of a site.
 pub struct Plan {
     pub instances: usize,
     pub engine: engine::Options,
     pub rating: Option<rating::Options>,
-    /// Lines added to the customers' contracts.
+    /// Lines added to each customer's contract.
     pub contract: &'static str,
-    /// Time that callers may keep addresses.
+    /// Time for which callers may keep addresses.
     pub keep_ms: u64,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// The outside and the instances.
+/// The stand-ins and the instances.
 pub struct Site {
     pub objects: objects::Handle,
     pub engines: Vec<engine::Handle>,
@@ -65,24 +65,25 @@
     pub nodes: Vec<Node>,
 }
 
-/// What befalls an instance's links to others.
+/// Faults on an instance's links to other instances.
 #[derive(Debug, Default)]
 pub struct LinksFault {
-    /// Calls of its journal are lost.
+    /// Drops the journal's outgoing calls.
     pub deaf: AtomicBool,
-    /// Calls of its journal are late by so many milliseconds.
+    /// Delay of the journal's outgoing calls, in milliseconds.
     pub lag_ms: AtomicU64,
-    /// Answers held here cannot be fetched.
+    /// Drops incoming requests for answers that this instance holds.
     pub mute: AtomicBool,
 }
 
-/// One instance.
+/// An instance.
 pub struct Node {
     pub entry: entry::Handle,
     pub links: Links,
-    /// What the platform's list says, as the daemon reads it.
+    /// Sets the endpoints that are leaving, which the daemon reads from the platform's
+    /// list.
     pub leaving: tokio::sync::watch::Sender<Vec<world::endpoint::Id>>,
-    /// What befalls this node's links.
+    /// Faults on this instance's links.
     pub links_fault: Arc<LinksFault>,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -118,7 +119,7 @@
         site
     }
 
-    /// Makes a change and waits until every instance has it.
+    /// Applies a change and waits until it is in force at every instance.
     pub async fn apply(&self, file: &str) {
         let objects = Object::parse_file(file).expect("objects are well formed");
         let edits = objects.into_iter().map(|object| Edit::Put(object, Expected::Any)).collect();
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Waits until all instances know each other and their endpoints.
+    /// Waits until all instances are connected to each other and have a fresh
+    /// configuration, and a moment longer for their endpoints.
     async fn settle(&self, instances: usize) {
         for node in &self.nodes {
             let mut members = node.links.peer.members();
@@ -150,14 +152,15 @@
         Client::new(self.nodes[node].entry.address())
     }
 
-    /// Bills as the stand-in platform holds them, each once.
+    /// Returns the bills recorded by the stand-in platform, without duplicates.
     pub fn bills(&self) -> Vec<Bill> {
         let objects = self.objects.dump(journal::object::PREFIX);
         let values: Vec<_> = objects.iter().map(|object| (object.key.as_str(), object.value.to_string())).collect();
         journal::audit::bills(values.iter().map(|(key, value)| (*key, value.as_bytes()))).expect("segments")
     }
 
-    /// Bills once there are `count`; they are recorded behind the answers.
+    /// Returns the bills once there are `count` of them, because bills are recorded
+    /// after their answers. Gives up after 30 seconds.
     pub async fn bills_when(&self, count: usize) -> Vec<Bill> {
         for _ in 0..3_000 {
             if self.bills().len() >= count {
@@ -168,14 +171,14 @@
         self.bills()
     }
 
-    /// Waits until something is so.
+    /// Waits until a condition holds.
     pub async fn until(&self, so: impl Fn(&Self) -> bool) {
         while !so(self) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Dispatches that any engine took.
+    /// Returns the dispatches that the engines accepted.
     pub fn runs(&self) -> Vec<engine::Record> {
         self.engines.iter().flat_map(engine::Handle::records).collect()
     }
@@ -184,7 +187,7 @@
         self.engines.iter().for_each(|engine| engine.switch(switch.clone()));
     }
 
-    /// The objects that the site starts with.
+    /// Returns the objects that the site starts with.
     pub fn file(&self, contract: &str) -> String {
         let customer = |name: &str, secret: &str| {
             format!(
@@ -220,7 +223,7 @@
         (platform.writes_per_s, platform.reads_per_s) = (5_000.0, 5_000.0);
         let platform = store::open(platform);
         let mut config = config::Settings::new(id.clone(), domain.clone());
-        // Alone, an instance has nobody else to be in step with.
+        // A single instance has no other failure domain to synchronize with.
         let domains = if plan.instances > 1 { plan.instances } else { 0 };
         config.domains = (0..domains).map(domain_of).collect();
         config.freshness = Duration::from_secs(1);
@@ -330,7 +333,7 @@
     fault: Arc<LinksFault>,
     mut inbound: mpsc::Receiver<Inbound>,
 ) {
-    // What it serves ends with the node, as when an instance is lost.
+    // The streams being served end with the node, as when an instance is lost.
     let mut serving = tokio::task::JoinSet::new();
     while let Some(message) = inbound.recv().await {
         if matches!(message, Inbound::Stream { .. }) && fault.mute.load(Ordering::Acquire) {
--- a/crates/entry/tests/path/whole.rs
+++ b/crates/entry/tests/path/whole.rs
@@ -1,11 +1,11 @@
-//! Whole answers, billed once.
+//! Complete answers, each billed once.
 
 use http::Method;
 use standin::answer::{self, Message};
 
 use crate::site::{CLUB, Plan, Site};
 
-/// What a version answers to one message.
+/// Returns a version's answer to a single message.
 pub fn answer_of(version: &str, content: &str) -> String {
     let messages = [Message { role: "user".into(), content: content.into() }];
     answer::text(version, &answer::prompt(&messages), None)
--- a/crates/entry/tests/sockets.rs
+++ b/crates/entry/tests/sockets.rs
@@ -1,13 +1,13 @@
-//! Options of the callers' sockets.
+//! Tests the options of the sockets that serve callers.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// The caller sees its first token at once and every later one 40 ms late.
-/// The instance writes event after event; Nagle's algorithm holds the second
-/// back until the first is acknowledged, and the caller's kernel delays that
-/// acknowledgement. Measured as 22 streams a second for one caller.
+/// Guards against tokens that arrive late after the first one. The instance writes
+/// event after event; Nagle's algorithm holds the second back until the first is
+/// acknowledged, and the caller's kernel delays that acknowledgement by 40 ms. This
+/// limited one caller to 22 streams a second.
 #[tokio::test]
 async fn accepted_sockets_send_at_once() {
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
