--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -34,7 +34,7 @@
 pub use learn::Entered;
 
 /// Capacity of the task's message channel.
-const INBOX: usize = 4_096;
+const CHANNEL_CAPACITY: usize = 4_096;
 
 /// Identifies an admission queue. Requests that the same endpoints can serve share
 /// a queue.
@@ -121,7 +121,7 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        self.desk.tell(Message::Leave(self.line.clone()));
+        self.desk.notify(Message::Release(self.line.clone()));
     }
 }
 
@@ -154,14 +154,14 @@
     /// Reports how the dispatch ended.
     pub fn end(mut self, ending: Ending) {
         self.ended = true;
-        self.desk.tell(Message::Ended(self.key, self.target.clone(), self.cell, ending));
+        self.desk.notify(Message::Ended(self.key, self.target.clone(), self.cell, ending));
     }
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
         if !self.ended {
-            self.desk.tell(Message::Ended(self.key, self.target.clone(), self.cell, Ending::Cancelled));
+            self.desk.notify(Message::Ended(self.key, self.target.clone(), self.cell, Ending::Cancelled));
         }
     }
 }
@@ -198,22 +198,22 @@
 #[derive(Debug)]
 pub(crate) enum Message {
     Admit(Ticket, oneshot::Sender<Result<Turn, admission::Refusal>>),
-    Leave(Line),
+    Release(Line),
     Choose(Box<Wish>, oneshot::Sender<Result<(Choice, Entered), route::model::Refusal>>),
     Place(Wanted, oneshot::Sender<Result<Place, placing::Refusal>>),
     Ended(Key, Target, Cell, Ending),
     Retry(Customer, retry::Request, retry::Failure, oneshot::Sender<retry::Decision>),
-    Void(Entered),
-    Lapse(Entered),
+    Discard(Entered),
+    Expire(Entered),
     Escalated(Entered, f64, oneshot::Sender<Entered>),
-    Given(Given),
-    Judged { entered: Entered, version: Version, stage: Stage, pass: bool, last: bool },
+    AwaitRating(Given),
+    Rated { entered: Entered, version: Version, stage: Stage, pass: bool, last: bool },
     RaterDown,
     Ratings(Vec<Rating>),
     Report(world_endpoint::Id, endpoint::report::Load),
     Cache(world_endpoint::Id, Vec<endpoint::report::CacheEvent>),
     Leaving(Vec<world_endpoint::Id>),
-    World(Arc<Catalog>, Vec<placing::Peer>),
+    SetCatalog(Arc<Catalog>, Vec<placing::Peer>),
     Endpoints(oneshot::Sender<Vec<world::endpoint::Endpoint>>),
 }
 
@@ -229,10 +229,10 @@
 
 /// Spawns the task for the local instance.
 #[must_use]
-pub fn open(me: placing::Peer, policy: retry::Policy, control: control::Handle) -> Handle {
-    let (inbox, messages) = mpsc::channel(INBOX);
+pub fn open(local: placing::Peer, policy: retry::Policy, control: control::Handle) -> Handle {
+    let (inbox, messages) = mpsc::channel(CHANNEL_CAPACITY);
     let weak = inbox.downgrade();
-    tokio::spawn(state::State::new(me, policy, control, weak).run(messages));
+    tokio::spawn(state::State::new(local, policy, control, weak).run(messages));
     Handle { inbox }
 }
 
@@ -244,7 +244,7 @@
     /// The inner error is a refusal, returned at once or as soon as the deadline can no
     /// longer be met.
     pub async fn admit(&self, ticket: Ticket) -> Result<Result<Turn, admission::Refusal>, Closed> {
-        self.ask(|reply| Message::Admit(ticket, reply)).await
+        self.call(|reply| Message::Admit(ticket, reply)).await
     }
 
     /// Chooses the versions that may answer a request.
@@ -253,7 +253,7 @@
     ///
     /// The inner error is a refusal: no version may run.
     pub async fn choose(&self, wish: Wish) -> Result<Result<(Choice, Entered), route::model::Refusal>, Closed> {
-        self.ask(|reply| Message::Choose(Box::new(wish), reply)).await
+        self.call(|reply| Message::Choose(Box::new(wish), reply)).await
     }
 
     /// Chooses an endpoint and counts the dispatch as load there.
@@ -262,7 +262,7 @@
     ///
     /// The inner error is a refusal: no endpoint can take the dispatch.
     pub async fn place(&self, wanted: Wanted) -> Result<Result<Place, placing::Refusal>, Closed> {
-        self.ask(|reply| Message::Place(wanted, reply)).await
+        self.call(|reply| Message::Place(wanted, reply)).await
     }
 
     /// Decides whether a failed request may be dispatched again. A granted retry is
@@ -277,17 +277,17 @@
         request: retry::Request,
         failure: retry::Failure,
     ) -> Result<retry::Decision, Closed> {
-        self.ask(|reply| Message::Retry(customer.clone(), request, failure, reply)).await
+        self.call(|reply| Message::Retry(customer.clone(), request, failure, reply)).await
     }
 
     /// Removes the record of a request that produced no answer.
     pub fn void(&self, entered: Entered) {
-        self.tell(Message::Void(entered));
+        self.notify(Message::Discard(entered));
     }
 
     /// Reports that a delivered answer will not be rated.
     pub fn lapse(&self, entered: Entered) {
-        self.tell(Message::Lapse(entered));
+        self.notify(Message::Expire(entered));
     }
 
     /// Updates the record of a request that escalates to a higher tier, where it is
@@ -297,48 +297,48 @@
     ///
     /// Returns [`Closed`] if the task has ended.
     pub async fn escalated(&self, entered: Entered, rate: f64) -> Result<Entered, Closed> {
-        self.ask(|reply| Message::Escalated(entered, rate, reply)).await
+        self.call(|reply| Message::Escalated(entered, rate, reply)).await
     }
 
     /// Reports a delivered answer whose rating arrives later.
     pub fn given(&self, given: Given) {
-        self.tell(Message::Given(given));
+        self.notify(Message::AwaitRating(given));
     }
 
     /// Reports a rating obtained while the caller waited. `last` says whether the rated
     /// answer was delivered.
     pub fn judged(&self, entered: Entered, version: Version, stage: Stage, pass: bool, last: bool) {
-        self.tell(Message::Judged { entered, version, stage, pass, last });
+        self.notify(Message::Rated { entered, version, stage, pass, last });
     }
 
     /// Reports that the rating service failed to rate an answer at once.
     pub fn rater_down(&self) {
-        self.tell(Message::RaterDown);
+        self.notify(Message::RaterDown);
     }
 
     /// Reports ratings that arrived after their answers were delivered.
     pub fn ratings(&self, ratings: Vec<Rating>) {
-        self.tell(Message::Ratings(ratings));
+        self.notify(Message::Ratings(ratings));
     }
 
     /// Reports an engine's load.
     pub fn report(&self, endpoint: world_endpoint::Id, load: endpoint::report::Load) {
-        self.tell(Message::Report(endpoint, load));
+        self.notify(Message::Report(endpoint, load));
     }
 
     /// Reports an engine's cache events.
     pub fn cache(&self, endpoint: world_endpoint::Id, events: Vec<endpoint::report::CacheEvent>) {
-        self.tell(Message::Cache(endpoint, events));
+        self.notify(Message::Cache(endpoint, events));
     }
 
     /// Sets the endpoints that are leaving. All others are not.
     pub fn leaving(&self, endpoints: Vec<world_endpoint::Id>) {
-        self.tell(Message::Leaving(endpoints));
+        self.notify(Message::Leaving(endpoints));
     }
 
     /// Sets the catalog and the live instances.
     pub fn world(&self, catalog: Arc<Catalog>, instances: Vec<placing::Peer>) {
-        self.tell(Message::World(catalog, instances));
+        self.notify(Message::SetCatalog(catalog, instances));
     }
 
     /// Returns the endpoints that this instance uses.
@@ -347,10 +347,10 @@
     ///
     /// Returns [`Closed`] if the task has ended.
     pub async fn endpoints(&self) -> Result<Vec<world::endpoint::Endpoint>, Closed> {
-        self.ask(Message::Endpoints).await
+        self.call(Message::Endpoints).await
     }
 
-    async fn ask<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> Message) -> Result<T, Closed> {
+    async fn call<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> Message) -> Result<T, Closed> {
         let (reply, answer) = oneshot::channel();
         self.inbox.send(message(reply)).await.map_err(|_| Closed)?;
         answer.await.map_err(|_| Closed)
@@ -358,7 +358,7 @@
 
     /// Sends a message without blocking the sender. If the channel is full, a spawned
     /// task sends it so that it is not lost.
-    fn tell(&self, message: Message) {
+    fn notify(&self, message: Message) {
         let Err(mpsc::error::TrySendError::Full(message)) = self.inbox.try_send(message) else {
             return;
         };
--- a/crates/entry/src/desk/learn.rs
+++ b/crates/entry/src/desk/learn.rs
@@ -15,10 +15,10 @@
 use super::Given;
 
 /// Maximum number of answers that wait for a rating. The oldest are dropped first.
-const MAX_GIVEN: usize = 65_536;
+const MAX_UNRATED_ANSWERS: usize = 65_536;
 /// Time for which the rating service is not used after a failed call, in
 /// milliseconds.
-const RATER_REST_MS: Millis = 5_000;
+const RATER_BACKOFF_MS: Millis = 5_000;
 
 /// Record of a request made when its versions were chosen.
 #[derive(Debug, Clone)]
@@ -33,67 +33,67 @@
 
 /// Learned estimates, and the answers that wait for a rating.
 #[derive(Debug)]
-pub(super) struct Learn {
+pub(super) struct Learner {
     pub book: Book,
     control: control::Handle,
-    given: HashMap<String, (Timestamp, Given)>,
-    order: VecDeque<(Timestamp, String)>,
-    rater_rests_until: Timestamp,
+    unrated: HashMap<String, (Timestamp, Given)>,
+    delivery_order: VecDeque<(Timestamp, String)>,
+    rater_backoff_until: Timestamp,
 }
 
-impl Learn {
+impl Learner {
     pub fn new(control: control::Handle) -> Self {
         Self {
             book: Book::default(),
             control,
-            given: HashMap::new(),
-            order: VecDeque::new(),
-            rater_rests_until: Timestamp(0),
+            unrated: HashMap::new(),
+            delivery_order: VecDeque::new(),
+            rater_backoff_until: Timestamp(0),
         }
     }
 
     /// Returns whether the rating service can decide a cascade now.
     pub fn rater(&self, now: Timestamp) -> Rater {
-        if now < self.rater_rests_until { Rater::Down } else { Rater::Up }
+        if now < self.rater_backoff_until { Rater::Down } else { Rater::Up }
     }
 
     /// Suspends cascades for a while after the rating service failed, so that requests
     /// do not each wait for it until a timeout.
     pub fn rater_down(&mut self, now: Timestamp) {
-        self.rater_rests_until = now.plus(RATER_REST_MS);
+        self.rater_backoff_until = now.plus(RATER_BACKOFF_MS);
     }
 
-    pub fn void(&mut self, entered: &Entered) {
+    pub fn discard(&mut self, entered: &Entered) {
         self.book.void(entered.cell, entered.pending);
     }
 
-    pub fn lapse(&mut self, entered: &Entered) {
+    pub fn expire(&mut self, entered: &Entered) {
         self.book.lapse(entered.cell, entered.pending);
     }
 
-    pub fn escalated(&mut self, entered: Entered, rate: f64) -> Entered {
+    pub fn escalate(&mut self, entered: Entered, rate: f64) -> Entered {
         let pending = self.book.escalated(entered.cell, entered.pending, rate);
         Entered { pending, ..entered }
     }
 
     /// Stores a delivered answer until its rating arrives.
-    pub fn given(&mut self, given: Given, now: Timestamp) {
-        self.order.push_back((now, given.id.clone()));
-        self.given.insert(given.id.clone(), (now, given));
-        while self.order.len() > MAX_GIVEN {
-            self.lapse_oldest();
+    pub fn await_rating(&mut self, given: Given, now: Timestamp) {
+        self.delivery_order.push_back((now, given.id.clone()));
+        self.unrated.insert(given.id.clone(), (now, given));
+        while self.delivery_order.len() > MAX_UNRATED_ANSWERS {
+            self.expire_oldest();
         }
     }
 
-    fn lapse_oldest(&mut self) {
-        let Some((_, oldest)) = self.order.pop_front() else { return };
-        if let Some((_, given)) = self.given.remove(&oldest) {
-            self.lapse(&given.entered);
+    fn expire_oldest(&mut self) {
+        let Some((_, oldest)) = self.delivery_order.pop_front() else { return };
+        if let Some((_, given)) = self.unrated.remove(&oldest) {
+            self.expire(&given.entered);
         }
     }
 
     /// Records the rating of an answer. `last` says whether the answer was delivered.
-    pub fn judged(&mut self, entered: &Entered, version: &Version, stage: Stage, pass: bool, last: bool) {
+    pub fn record_rating(&mut self, entered: &Entered, version: &Version, stage: Stage, pass: bool, last: bool) {
         self.book.rate(entered.cell, version, stage, pass);
         if last {
             self.book.close(entered.cell, entered.pending, pass);
@@ -115,18 +115,18 @@
     /// An answer expires once an answer delivered more than `LAPSE_MS` later has been
     /// rated. The rating service has skipped it, and its account would otherwise stay
     /// pending forever.
-    pub fn ratings(&mut self, ratings: Vec<Rating>, catalog: &Catalog) {
+    pub fn record_late_ratings(&mut self, ratings: Vec<Rating>, catalog: &Catalog) {
         for rating in ratings {
-            let Some((at, given)) = self.given.remove(&rating.id) else {
+            let Some((at, given)) = self.unrated.remove(&rating.id) else {
                 if is_first_tier(catalog, &rating.version) {
                     let cell = Cell::new(&rating.customer, &rating.class);
                     self.book.rate(cell, &rating.version, Stage::First, rating.pass);
                 }
                 continue;
             };
-            self.judged(&given.entered, &given.version, given.stage, rating.pass, true);
-            while self.order.front().is_some_and(|(oldest, _)| at.since(*oldest) > LAPSE_MS) {
-                self.lapse_oldest();
+            self.record_rating(&given.entered, &given.version, given.stage, rating.pass, true);
+            while self.delivery_order.front().is_some_and(|(oldest, _)| at.since(*oldest) > LAPSE_MS) {
+                self.expire_oldest();
             }
         }
     }
--- a/crates/entry/src/desk/state.rs
+++ b/crates/entry/src/desk/state.rs
@@ -5,7 +5,7 @@
 use endpoint::report::{CacheChange, CacheEvent, Load};
 use rand::{SeedableRng, rngs::SmallRng};
 use route::{
-    admission::{Queue, Refusal, Ticket as Asked},
+    admission::{Queue, Refusal, Ticket as QueueTicket},
     endpoint::{self as placing, Event, Fleet, Key, Peer, Report, Rule, Target},
     model::{self, Choice, Inputs},
     quality::Cell,
@@ -17,15 +17,15 @@
 };
 use world::{Catalog, Millis, Timestamp, contract::Customer, endpoint::Id, model::Version};
 
-use super::{Ending, Entered, Handle, Line, Message, Place, Ticket, Turn, Wanted, Wish, learn::Learn};
+use super::{Ending, Entered, Handle, Line, Message, Place, Ticket, Turn, Wanted, Wish, learn::Learner};
 use crate::clock;
 
 /// Interval at which requests that can no longer meet their deadline are removed
 /// from the queues.
-const SHED_EVERY: Duration = Duration::from_millis(50);
+const SHED_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of customers with a retry budget. All budgets are reset when it
 /// is reached.
-const MAX_BUDGETS: usize = 16_384;
+const MAX_RETRY_BUDGETS: usize = 16_384;
 
 type Reply = oneshot::Sender<Result<Turn, Refusal>>;
 
@@ -33,10 +33,10 @@
 pub(super) struct State {
     fleet: Fleet,
     catalog: Arc<Catalog>,
-    lines: HashMap<Line, Waiting>,
+    queues: HashMap<Line, WaitQueue>,
     policy: retry::Policy,
     budgets: HashMap<Customer, retry::Budget>,
-    learn: Learn,
+    learner: Learner,
     leaving: Vec<Id>,
     random: SmallRng,
     /// Sender to this task's own channel, for the guards that the task hands out.
@@ -44,20 +44,20 @@
 }
 
 /// An admission queue and the reply channels of its waiting requests.
-struct Waiting {
+struct WaitQueue {
     queue: Queue,
     replies: HashMap<route::admission::Key, Reply>,
 }
 
 impl State {
-    pub fn new(me: Peer, policy: retry::Policy, control: control::Handle, inbox: mpsc::WeakSender<Message>) -> Self {
+    pub fn new(local: Peer, policy: retry::Policy, control: control::Handle, inbox: mpsc::WeakSender<Message>) -> Self {
         Self {
-            fleet: Fleet::new(me),
+            fleet: Fleet::new(local),
             catalog: Arc::default(),
-            lines: HashMap::new(),
+            queues: HashMap::new(),
             policy,
             budgets: HashMap::new(),
-            learn: Learn::new(control),
+            learner: Learner::new(control),
             leaving: Vec::new(),
             random: SmallRng::from_os_rng(),
             inbox,
@@ -65,7 +65,7 @@
     }
 
     pub async fn run(mut self, mut inbox: mpsc::Receiver<Message>) {
-        let mut shed = tokio::time::interval(SHED_EVERY);
+        let mut shed = tokio::time::interval(SHED_INTERVAL);
         shed.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -82,26 +82,26 @@
         let now = clock::now();
         match message {
             Message::Admit(ticket, reply) => self.admit(&ticket, reply, now),
-            Message::Leave(line) => self.left(&line, now),
+            Message::Release(line) => self.release_slot(&line, now),
             Message::Choose(wish, reply) => drop(reply.send(self.choose(&wish, now))),
             Message::Place(wanted, reply) => self.place(&wanted, reply, now),
-            Message::Ended(key, target, cell, ending) => self.ended(key, &target, cell, ending, now),
+            Message::Ended(key, target, cell, ending) => self.on_ended(key, &target, cell, ending, now),
             Message::Retry(customer, request, failure, reply) => {
                 let _ = reply.send(self.retry(&customer, &request, failure, now));
             }
-            Message::Void(entered) => self.learn.void(&entered),
-            Message::Lapse(entered) => self.learn.lapse(&entered),
-            Message::Escalated(entered, rate, reply) => drop(reply.send(self.learn.escalated(entered, rate))),
-            Message::Given(given) => self.learn.given(given, now),
-            Message::Judged { entered, version, stage, pass, last } => {
-                self.learn.judged(&entered, &version, stage, pass, last);
+            Message::Discard(entered) => self.learner.discard(&entered),
+            Message::Expire(entered) => self.learner.expire(&entered),
+            Message::Escalated(entered, rate, reply) => drop(reply.send(self.learner.escalate(entered, rate))),
+            Message::AwaitRating(given) => self.learner.await_rating(given, now),
+            Message::Rated { entered, version, stage, pass, last } => {
+                self.learner.record_rating(&entered, &version, stage, pass, last);
             }
-            Message::RaterDown => self.learn.rater_down(now),
-            Message::Ratings(ratings) => self.learn.ratings(ratings, &self.catalog),
+            Message::RaterDown => self.learner.rater_down(now),
+            Message::Ratings(ratings) => self.learner.record_late_ratings(ratings, &self.catalog),
             Message::Report(endpoint, load) => self.report(&endpoint, &load, now),
             Message::Cache(endpoint, events) => self.cache(&endpoint, &events, now),
-            Message::Leaving(endpoints) => self.set_leaving(endpoints, now),
-            Message::World(catalog, instances) => self.world(catalog, &instances, now),
+            Message::Leaving(endpoints) => self.update_leaving(endpoints, now),
+            Message::SetCatalog(catalog, instances) => self.set_catalog(catalog, &instances, now),
             Message::Endpoints(reply) => {
                 drop(reply.send(self.fleet.endpoints().map(|(_, endpoint)| endpoint.clone()).collect()));
             }
@@ -109,35 +109,35 @@
     }
 
     fn admit(&mut self, ticket: &Ticket, reply: Reply, now: Timestamp) {
-        let run_ms = self.least_ms(&ticket.line, now);
-        let limit = self.limit(&ticket.line, now);
-        let line = self.lines.entry(ticket.line.clone()).or_insert_with(Waiting::new);
-        line.queue.set_limit(limit);
-        let asked = Asked {
+        let run_ms = self.min_run_ms(&ticket.line, now);
+        let limit = self.concurrency_limit(&ticket.line, now);
+        let waiting = self.queues.entry(ticket.line.clone()).or_insert_with(WaitQueue::new);
+        waiting.queue.set_limit(limit);
+        let criteria = QueueTicket {
             customer: &ticket.customer,
             weight: ticket.weight,
             deadline: ticket.deadline,
             run_ms,
             draw: ticket.draw,
         };
-        match line.queue.offer(&asked, now) {
-            Ok(key) => drop(line.replies.insert(key, reply)),
+        match waiting.queue.offer(&criteria, now) {
+            Ok(key) => drop(waiting.replies.insert(key, reply)),
             Err(refusal) => drop(reply.send(Err(refusal))),
         }
-        line.grant(&ticket.line, &self.inbox, now);
+        waiting.grant(&ticket.line, &self.inbox, now);
         let budgets = &mut self.budgets;
-        if budgets.len() >= MAX_BUDGETS && !budgets.contains_key(&ticket.customer) {
+        if budgets.len() >= MAX_RETRY_BUDGETS && !budgets.contains_key(&ticket.customer) {
             budgets.clear();
         }
         budgets.entry(ticket.customer.clone()).or_insert_with(|| retry::Budget::new(&self.policy)).earn(&self.policy);
     }
 
-    fn left(&mut self, line: &Line, now: Timestamp) {
-        if let Some(waiting) = self.lines.get_mut(line) {
+    fn release_slot(&mut self, line: &Line, now: Timestamp) {
+        if let Some(waiting) = self.queues.get_mut(line) {
             waiting.queue.finished(now);
         }
-        let limit = self.limit(line, now);
-        if let Some(waiting) = self.lines.get_mut(line) {
+        let limit = self.concurrency_limit(line, now);
+        if let Some(waiting) = self.queues.get_mut(line) {
             waiting.queue.set_limit(limit);
             waiting.grant(line, &self.inbox, now);
         }
@@ -147,10 +147,10 @@
     /// deadline, and admits others as endpoints report free capacity.
     fn shed(&mut self) {
         let now = clock::now();
-        let lines: Vec<_> = self.lines.keys().cloned().collect();
-        for line in lines {
-            let limit = self.limit(&line, now);
-            let Some(waiting) = self.lines.get_mut(&line) else { continue };
+        let queue_keys: Vec<_> = self.queues.keys().cloned().collect();
+        for line in queue_keys {
+            let limit = self.concurrency_limit(&line, now);
+            let Some(waiting) = self.queues.get_mut(&line) else { continue };
             waiting.queue.set_limit(limit);
             waiting.shed(now);
             waiting.grant(&line, &self.inbox, now);
@@ -160,7 +160,7 @@
     }
 
     /// Returns the maximum number of concurrent runs.
-    fn limit(&self, line: &Line, now: Timestamp) -> u32 {
+    fn concurrency_limit(&self, line: &Line, now: Timestamp) -> u32 {
         self.fleet.limit(&self.targets(line), now)
     }
 
@@ -176,12 +176,12 @@
     }
 
     /// Returns a lower estimate of the fastest version's run time, in milliseconds.
-    fn least_ms(&self, line: &Line, now: Timestamp) -> Millis {
+    fn min_run_ms(&self, line: &Line, now: Timestamp) -> Millis {
         let least = self.targets(line).into_iter().filter_map(|target| match target {
-            Target::Version(version) => Some(self.learn.book.speed(Cell::ANY, &version, now).least_ms()),
+            Target::Version(version) => Some(self.learner.book.speed(Cell::ANY, &version, now).least_ms()),
             Target::Service(_) => None,
         });
-        whole(least.fold(f64::INFINITY, f64::min)).max(1)
+        to_millis(least.fold(f64::INFINITY, f64::min)).max(1)
     }
 
     fn choose(&mut self, wish: &Wish, now: Timestamp) -> Result<(Choice, Entered), model::Refusal> {
@@ -199,19 +199,19 @@
             now,
             left_ms: wish.left_ms,
             ceiling: wish.ceiling,
-            rater: self.learn.rater(now),
-            book: &self.learn.book,
+            rater: self.learner.rater(now),
+            book: &self.learner.book,
         };
         let choice = model::choose(&inputs)?;
         let cell = Cell::new(&wish.customer, &wish.class);
-        let pending = self.learn.book.open(cell, choice.expected(0), choice.reason().target);
+        let pending = self.learner.book.open(cell, choice.expected(0), choice.reason().target);
         Ok((choice, Entered { customer: wish.customer.clone(), unit: wish.unit, cell, pending }))
     }
 
     fn place(&mut self, wanted: &Wanted, reply: oneshot::Sender<Result<Place, placing::Refusal>>, now: Timestamp) {
-        let asked =
+        let criteria =
             placing::Wanted { target: &wanted.target, prefix: wanted.prefix, avoid: &wanted.avoid, draw: wanted.draw };
-        let placed = self.fleet.choose(&asked, now).and_then(|choice| {
+        let placed = self.fleet.choose(&criteria, now).and_then(|choice| {
             let refused = placing::Refusal::NoneLeft;
             let endpoint = self.fleet.endpoint(choice.key).ok_or(refused)?;
             Ok(Place {
@@ -234,16 +234,16 @@
 
     fn expected_ms(&self, target: &Target, cell: Cell, now: Timestamp) -> Millis {
         match target {
-            Target::Version(version) => whole(self.learn.book.speed(cell, version, now).least_ms()),
+            Target::Version(version) => to_millis(self.learner.book.speed(cell, version, now).least_ms()),
             Target::Service(_) => 0,
         }
     }
 
-    fn ended(&mut self, key: Key, target: &Target, cell: Cell, ending: Ending, now: Timestamp) {
+    fn on_ended(&mut self, key: Key, target: &Target, cell: Cell, ending: Ending, now: Timestamp) {
         match ending {
             Ending::Whole { millis, tokens } => {
                 if let Target::Version(version) = target {
-                    self.learn.book.ran(cell, version, millis, tokens, now);
+                    self.learner.book.ran(cell, version, millis, tokens, now);
                 }
                 self.fleet.on(Event::Finished { key, target, millis, tokens }, now);
             }
@@ -287,9 +287,9 @@
         }
     }
 
-    fn set_leaving(&mut self, endpoints: Vec<Id>, now: Timestamp) {
-        let back: Vec<_> = self.leaving.iter().filter(|id| !endpoints.contains(id)).cloned().collect();
-        for endpoint in &back {
+    fn update_leaving(&mut self, endpoints: Vec<Id>, now: Timestamp) {
+        let returned: Vec<_> = self.leaving.iter().filter(|id| !endpoints.contains(id)).cloned().collect();
+        for endpoint in &returned {
             self.fleet.on(Event::Leaving { endpoint, leaving: false }, now);
         }
         self.leaving = endpoints;
@@ -302,7 +302,7 @@
         }
     }
 
-    fn world(&mut self, catalog: Arc<Catalog>, instances: &[Peer], now: Timestamp) {
+    fn set_catalog(&mut self, catalog: Arc<Catalog>, instances: &[Peer], now: Timestamp) {
         self.fleet.apply(&catalog, instances);
         self.catalog = catalog;
         // An endpoint that is new in the catalog may already be leaving.
@@ -310,7 +310,7 @@
     }
 }
 
-impl Waiting {
+impl WaitQueue {
     fn new() -> Self {
         Self { queue: Queue::new(1), replies: HashMap::new() }
     }
@@ -338,8 +338,9 @@
                 drop(reply.send(Err(refusal)));
             }
         }
-        let gone: Vec<_> = self.replies.iter().filter(|(_, reply)| reply.is_closed()).map(|(key, _)| *key).collect();
-        for key in gone {
+        let abandoned: Vec<_> =
+            self.replies.iter().filter(|(_, reply)| reply.is_closed()).map(|(key, _)| *key).collect();
+        for key in abandoned {
             self.queue.cancel(key);
             self.replies.remove(&key);
         }
@@ -367,11 +368,11 @@
     format!("{rule}; load {:.2}, mean {:.2}, {} weighed", choice.load, choice.mean, choice.considered)
 }
 
-fn whole(millis: f64) -> Millis {
+fn to_millis(millis: f64) -> Millis {
     if !millis.is_finite() {
         return 0;
     }
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "finite and clamped")]
-    let whole = millis.clamp(0.0, 1e15) as Millis;
-    whole
+    let rounded = millis.clamp(0.0, 1e15) as Millis;
+    rounded
 }
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -23,7 +23,7 @@
 };
 
 /// Minimum time allowed for connections to close after their last answer.
-const CLOSE_WITHIN: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Handle to the server, which runs until the last handle is dropped or the
 /// instance is drained. Cheap to clone.
@@ -31,17 +31,17 @@
 pub struct Handle {
     shared: Arc<Shared>,
     address: SocketAddr,
-    parts: Arc<Parts>,
+    tasks: Arc<Tasks>,
 }
 
 /// Tasks that end when the last handle is dropped.
 #[derive(Debug)]
-struct Parts {
+struct Tasks {
     listener: Mutex<Listener>,
     feeds: Vec<JoinHandle<()>>,
 }
 
-impl Drop for Parts {
+impl Drop for Tasks {
     fn drop(&mut self) {
         for feed in &self.feeds {
             feed.abort();
@@ -51,13 +51,13 @@
 
 impl Handle {
     pub(crate) fn start(listener: TcpListener, settings: Settings, links: Links) -> io::Result<Self> {
-        let me = route::endpoint::Peer { id: settings.instance.clone(), domain: settings.domain.clone() };
-        let desk = desk::open(me, settings.retry, links.control.clone());
+        let local = route::endpoint::Peer { id: settings.instance.clone(), domain: settings.domain.clone() };
+        let desk = desk::open(local, settings.retry, links.control.clone());
         let shared = Shared::new(settings, links, desk);
         let listener = Listener::spawn(listener, &shared)?;
         let address = listener.address;
         let feeds = feed::spawn(&shared);
-        Ok(Self { shared, address, parts: Arc::new(Parts { listener: Mutex::new(listener), feeds }) })
+        Ok(Self { shared, address, tasks: Arc::new(Tasks { listener: Mutex::new(listener), feeds }) })
     }
 
     /// Returns the address on which callers connect.
@@ -86,8 +86,8 @@
 
     /// Serves a stream of [`peer::Topic::Request`], with which a caller of another
     /// instance joins a request. Returns when the answer ends.
-    pub async fn serve(&self, question: Bytes, sink: mpsc::Sender<Bytes>) {
-        join::serve(&self.shared.held, &question, &sink).await;
+    pub async fn serve(&self, request: Bytes, sink: mpsc::Sender<Bytes>) {
+        join::serve(&self.shared.held, &request, &sink).await;
     }
 
     /// Drains the instance: removes it from the address lists, then refuses new work,
@@ -97,19 +97,19 @@
     /// The journal flushes bills and grants after this.
     pub async fn drain(&self, deadline: Instant) -> bool {
         if let Err(error) = self.shared.links.peer.leave().await {
-            tracing::warn!(%error, "others do not hear that this instance leaves");
+            tracing::warn!(%error, "could not announce that this instance is leaving");
         }
         // Callers may use their address lists for this long, so work that they still send meanwhile
         // is served.
-        let keep = Duration::from_millis(self.shared.settings.addresses.keep_ms);
-        sleep(keep.min(deadline.saturating_duration_since(Instant::now()))).await;
+        let keep_time = Duration::from_millis(self.shared.settings.addresses.keep_ms);
+        sleep(keep_time.min(deadline.saturating_duration_since(Instant::now()))).await;
         self.shared.closed.store(true, Ordering::Release);
         let mut in_flight = self.shared.in_flight();
         let empty = in_flight.wait_for(|count| *count == 0);
         let drained = tokio::time::timeout_at(deadline, empty).await.is_ok();
         // A slow caller may still be reading the end of its answer.
-        let rest = deadline.saturating_duration_since(Instant::now()).max(CLOSE_WITHIN);
-        self.parts.listener.lock().await.close(rest).await;
+        let close_timeout = deadline.saturating_duration_since(Instant::now()).max(CLOSE_TIMEOUT);
+        self.tasks.listener.lock().await.close(close_timeout).await;
         drained
     }
 }
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -25,7 +25,7 @@
 /// Size of the buffer for a request's head, in bytes. A larger head closes the
 /// connection. The limit in the settings is lower and is answered with a problem
 /// document.
-const HEAD_BUFFER: usize = 256 * 1024;
+const HEAD_BUFFER_BYTES: usize = 256 * 1024;
 
 /// The listener for callers. Dropping it closes every connection.
 #[derive(Debug)]
@@ -42,12 +42,12 @@
         no_delay(&listener)?;
         let acceptor = TcpAcceptor::try_from(listener).map_err(std::io::Error::other)?;
         let mut server = Server::new(acceptor).max_connections(shared.settings.max_connections);
-        server.http1_mut().max_buf_size(HEAD_BUFFER);
+        server.http1_mut().max_buf_size(HEAD_BUFFER_BYTES);
         let handle = server.handle();
         let service = Service::new(router(shared));
         let task = tokio::spawn(async move {
             if let Err(error) = server.try_serve(service).await {
-                tracing::error!(%error, "callers' listener ended");
+                tracing::error!(%error, "listener for callers failed");
             }
         });
         Ok(Self { address, server: handle, task })
@@ -81,15 +81,15 @@
 }
 
 fn router(shared: &Arc<Shared>) -> Router {
-    let entry = |call| Entry { shared: shared.clone(), call };
+    let handler = |call| CallHandler { shared: shared.clone(), call };
     Router::new()
-        .push(Router::with_path("v1/addresses").goal(entry(Call::Addresses)))
-        .push(Router::with_path("v1/chat/completions").goal(entry(Call::Chat)))
-        .push(Router::with_path("v1/requests/{key}").goal(entry(Call::Outcome)))
-        .push(Router::with_path("v1/services/{service}").goal(entry(Call::Service)))
-        .push(Router::with_path("v1/services/{service}/{**rest}").goal(entry(Call::Service)))
-        .push(Router::with_path("{**rest}").goal(entry(Call::Unknown)))
-        .goal(entry(Call::Unknown))
+        .push(Router::with_path("v1/addresses").goal(handler(Call::Addresses)))
+        .push(Router::with_path("v1/chat/completions").goal(handler(Call::Chat)))
+        .push(Router::with_path("v1/requests/{key}").goal(handler(Call::Outcome)))
+        .push(Router::with_path("v1/services/{service}").goal(handler(Call::Service)))
+        .push(Router::with_path("v1/services/{service}/{**rest}").goal(handler(Call::Service)))
+        .push(Router::with_path("{**rest}").goal(handler(Call::Unknown)))
+        .goal(handler(Call::Unknown))
 }
 
 /// The operation that a path selects.
@@ -115,13 +115,13 @@
 }
 
 /// Handler for the paths of one call.
-struct Entry {
+struct CallHandler {
     shared: Arc<Shared>,
     call: Call,
 }
 
 #[async_trait]
-impl Handler for Entry {
+impl Handler for CallHandler {
     async fn handle(&self, request: &mut Request, _: &mut Depot, response: &mut Response, _: &mut FlowCtrl) {
         if let Err(problem) = self.answer(request, response).await {
             answer::problem(response, &problem);
@@ -133,7 +133,7 @@
     }
 }
 
-impl Entry {
+impl CallHandler {
     async fn answer(&self, request: &mut Request, response: &mut Response) -> Result<(), Problem> {
         read::check_headers(request.headers(), self.shared.settings.max_headers)?;
         if let Some(method) = self.call.method()
--- a/crates/entry/src/http/addresses.rs
+++ b/crates/entry/src/http/addresses.rs
@@ -16,15 +16,17 @@
 
 /// The response document.
 #[derive(Debug, Serialize)]
-struct List {
+struct AddressList {
     addresses: Vec<Address>,
     keep_ms: Millis,
 }
 
 pub(super) fn answer(shared: &Arc<Shared>, request: &Request, response: &mut Response) -> Result<(), Problem> {
     let customer = ask::customer(&shared.catalog(), request.headers())?;
-    let domain =
-        query(request, "domain")?.map(|text| Domain::parse(&text)).transpose().map_err(|e| bad("domain", &e))?;
+    let domain = query(request, "domain")?
+        .map(|text| Domain::parse(&text))
+        .transpose()
+        .map_err(|e| malformed_query("domain", &e))?;
     let session = match query(request, "session")? {
         Some(text) => session_id(shared, &customer, &text)?,
         None => None,
@@ -34,7 +36,8 @@
     let load = shared.load(&customer);
     let caller = Caller { customer: &customer, session: session.as_ref(), domain: domain.as_ref(), load };
     let list = address::list(&shared.settings.addresses, &instances, &caller);
-    let list = List { addresses: list.instances.into_iter().map(Address::from).collect(), keep_ms: list.keep_ms };
+    let list =
+        AddressList { addresses: list.instances.into_iter().map(Address::from).collect(), keep_ms: list.keep_ms };
     answer::json(response, http::StatusCode::OK, &list);
     Ok(())
 }
@@ -59,6 +62,6 @@
     }
 }
 
-fn bad(name: &str, invalid: &world::Invalid) -> Problem {
+fn malformed_query(name: &str, invalid: &world::Invalid) -> Problem {
     Problem::not_run(Kind::Malformed, format!("query `{name}`: {invalid}"))
 }
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -16,7 +16,7 @@
 
 const REQUEST: HeaderName = HeaderName::from_static("arbutuslug-request");
 const VERSION: HeaderName = HeaderName::from_static("arbutuslug-version");
-const MOVED: HeaderName = HeaderName::from_static("arbutuslug-session-moved");
+const SESSION_MOVED: HeaderName = HeaderName::from_static("arbutuslug-session-moved");
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 
 /// Writes a JSON document.
@@ -55,10 +55,10 @@
         response.stream(events(head, reader));
         return Ok(());
     }
-    whole(response, &head, reader).await
+    write_document(response, &head, reader).await
 }
 
-async fn whole(response: &mut Response, head: &Head, mut reader: Reader) -> Result<(), Problem> {
+async fn write_document(response: &mut Response, head: &Head, mut reader: Reader) -> Result<(), Problem> {
     let mut text = String::new();
     loop {
         match reader.next().await {
@@ -95,13 +95,13 @@
 /// partial answer is never taken for a complete one.
 fn events(head: Head, mut reader: Reader) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send {
     async_stream::stream! {
-        let stamp = Stamp::new(&head);
+        let chunk_header = ChunkHeader::new(&head);
         while let Some(item) = reader.next().await {
             match item {
                 Item::Head(_) => {}
-                Item::Text(text) => yield Ok(data(&stamp.chunk(Some(&text), None, None))),
+                Item::Text(text) => yield Ok(data(&chunk_header.chunk(Some(&text), None, None))),
                 Item::End(End::Whole { reason, usage }) => {
-                    yield Ok(data(&stamp.chunk(None, Some(&reason), Some(usage))));
+                    yield Ok(data(&chunk_header.chunk(None, Some(&reason), Some(usage))));
                     yield Ok(Bytes::from_static(b"data: [DONE]\n\n"));
                 }
                 Item::End(End::Failed(failed)) => yield Ok(error(&failed)),
@@ -134,8 +134,8 @@
         set(response, ask::SESSION, session);
     }
     if !head.moved.is_empty() {
-        let left: Vec<String> = head.moved.iter().map(ToString::to_string).collect();
-        set(response, MOVED, &left.join(", "));
+        let moved_from: Vec<String> = head.moved.iter().map(ToString::to_string).collect();
+        set(response, SESSION_MOVED, &moved_from.join(", "));
     }
 }
 
@@ -151,13 +151,13 @@
 }
 
 /// Fields that are equal in all chunks of an answer.
-struct Stamp {
+struct ChunkHeader {
     id: String,
     created: u64,
     model: String,
 }
 
-impl Stamp {
+impl ChunkHeader {
     fn new(head: &Head) -> Self {
         Self {
             id: head.request.to_string(),
@@ -242,7 +242,7 @@
 
 /// Token counts in the format of the chat API.
 #[derive(Serialize)]
-#[expect(clippy::struct_field_names, reason = "the chat form's own names")]
+#[expect(clippy::struct_field_names, reason = "field names of the chat API")]
 struct Tokens {
     prompt_tokens: u64,
     completion_tokens: u64,
--- a/crates/entry/src/http/calls.rs
+++ b/crates/entry/src/http/calls.rs
@@ -28,10 +28,10 @@
 };
 
 /// Request headers that are forwarded to a plain service.
-const PASSED_ON: [HeaderName; 4] =
+const FORWARDED_HEADERS: [HeaderName; 4] =
     [header::CONTENT_TYPE, header::ACCEPT, header::ACCEPT_LANGUAGE, header::CONTENT_LANGUAGE];
 /// Maximum time to wait for the journal's record of a request.
-const OUTCOME_WITHIN: std::time::Duration = std::time::Duration::from_secs(2);
+const OUTCOME_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 /// Retry delay for an outcome that could not be read, in milliseconds.
 const OUTCOME_RETRY_MS: u64 = 500;
 
@@ -80,7 +80,7 @@
     let plain = path.split('?').next().unwrap_or_default();
     let repeat = if spec.repeatable(http.method().as_str(), plain) { terms.repeat() } else { Repeat::Never };
     let method = http.method().clone();
-    let headers = ask::only(http.headers(), &PASSED_ON);
+    let headers = ask::only(http.headers(), &FORWARDED_HEADERS);
     let body = match body(shared, http).await {
         Ok(body) => body,
         Err(problem) => return Err(shared.truthful(problem, &terms, repeat).await),
@@ -93,7 +93,7 @@
 
 /// Outcome of a request as sent to its customer.
 #[derive(Debug, Serialize)]
-struct Became<'a> {
+struct OutcomeDocument<'a> {
     request: &'a request::Key,
     outcome: Outcome,
 }
@@ -109,13 +109,13 @@
     let outcome = if shared.held.running(&id) {
         Some(Outcome::Running)
     } else {
-        shared.links.journal.outcome(&id, Instant::now() + OUTCOME_WITHIN).await.map_err(|error| {
+        shared.links.journal.outcome(&id, Instant::now() + OUTCOME_TIMEOUT).await.map_err(|error| {
             let problem = Problem::new(Kind::PlatformDown, Ran::Unknown, error.to_string());
             problem.after(OUTCOME_RETRY_MS).about(&id.key)
         })?
     };
     let outcome = outcome.ok_or_else(unknown)?;
-    answer::json(response, StatusCode::OK, &Became { request: &id.key, outcome });
+    answer::json(response, StatusCode::OK, &OutcomeDocument { request: &id.key, outcome });
     Ok(())
 }
 
@@ -194,9 +194,9 @@
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
     // A path that is not normalized could name a call under another spelling. A call
     // that must not be repeated would then be treated as repeatable.
-    let climbs = path.split(['/', '?']).any(|part| part == ".." || part == "." || part.contains('%'));
-    let doubled = path.split('?').next().is_some_and(|path| path.contains("//"));
-    if climbs || doubled {
+    let has_unsafe_segment = path.split(['/', '?']).any(|part| part == ".." || part == "." || part.contains('%'));
+    let has_double_slash = path.split('?').next().is_some_and(|path| path.contains("//"));
+    if has_unsafe_segment || has_double_slash {
         return Err(Problem::not_run(Kind::Malformed, "the path must be plain: no `..`, `.`, `//` or `%` escapes"));
     }
     Ok((name.to_owned(), path))
--- a/crates/entry/src/http/read.rs
+++ b/crates/entry/src/http/read.rs
@@ -24,17 +24,17 @@
 /// Both length and time are limited: a caller that sends one byte a minute could
 /// otherwise hold memory and a connection for an unlimited time.
 pub(super) async fn body(request: &mut Request, limit: usize, within: Duration) -> Result<Bytes, Problem> {
-    let large = || Problem::not_run(Kind::BodyTooLarge, format!("the limit is {limit} bytes"));
-    let announced = request.headers().get(http::header::CONTENT_LENGTH).and_then(|value| value.to_str().ok());
-    if announced.and_then(|digits| digits.parse::<usize>().ok()).is_some_and(|length| length > limit) {
-        return Err(large());
+    let too_large = || Problem::not_run(Kind::BodyTooLarge, format!("the limit is {limit} bytes"));
+    let content_length = request.headers().get(http::header::CONTENT_LENGTH).and_then(|value| value.to_str().ok());
+    if content_length.and_then(|digits| digits.parse::<usize>().ok()).is_some_and(|length| length > limit) {
+        return Err(too_large());
     }
     let body = Limited::new(request.take_body(), limit).collect();
     match timeout(within, body).await {
         Err(_) => Err(Problem::not_run(Kind::SlowBody, format!("not whole after {} ms", within.as_millis()))),
-        Ok(Err(error)) if is_too_long(&*error) => Err(large()),
+        Ok(Err(error)) if is_too_long(&*error) => Err(too_large()),
         Ok(Err(error)) => Err(Problem::not_run(Kind::Malformed, format!("the body broke off: {error}"))),
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
     }
 }
 
--- a/crates/entry/src/join.rs
+++ b/crates/entry/src/join.rs
@@ -25,7 +25,7 @@
 
 /// A request for another instance's answer or status.
 #[derive(Debug, Serialize, Deserialize)]
-struct Question {
+struct AnswerRequest {
     id: Id,
     fingerprint: u64,
     /// Asks only whether the request runs, not for its answer.
@@ -36,7 +36,7 @@
 /// An item of an answer as it is sent between instances.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Wire {
+enum WireItem {
     /// The request does not run on the instance.
     Absent,
     /// The request runs on the instance. Sent only in response to a status query.
@@ -55,16 +55,18 @@
     Failed(Problem),
 }
 
-impl From<Item> for Wire {
+impl From<Item> for WireItem {
     fn from(item: Item) -> Self {
         match item {
             Item::Head(head) => Self::Head(head),
             Item::Text(text) => Self::Text(text),
             Item::End(End::Whole { reason, usage }) => Self::Whole { reason, usage },
             Item::End(End::Failed(problem)) => Self::Failed((*problem).clone()),
-            Item::End(End::Reply(reply)) => {
-                Self::Reply { status: reply.status.as_u16(), headers: pairs(&reply.headers), body: encode(&reply.body) }
-            }
+            Item::End(End::Reply(reply)) => Self::Reply {
+                status: reply.status.as_u16(),
+                headers: header_pairs(&reply.headers),
+                body: encode(&reply.body),
+            },
         }
     }
 }
@@ -72,16 +74,16 @@
 /// Copies an answer from the instance where it runs. Returns false if the answer
 /// did not reach its end there, so that the request has to run on this instance.
 pub(crate) async fn follow(peer: &peer::Handle, at: &instance::Id, id: &Id, fingerprint: u64, tape: &Tape) -> bool {
-    let question = serde_json::to_vec(&Question { id: id.clone(), fingerprint, status: false }).unwrap_or_default();
-    let Ok(mut items) = peer.stream(at, Topic::Request, question.into()).await else {
+    let request = serde_json::to_vec(&AnswerRequest { id: id.clone(), fingerprint, status: false }).unwrap_or_default();
+    let Ok(mut items) = peer.stream(at, Topic::Request, request.into()).await else {
         return false;
     };
     while let Some(Ok(bytes)) = items.next().await {
-        match serde_json::from_slice::<Wire>(&bytes) {
-            Ok(Wire::Absent | Wire::Running) | Err(_) => return false,
-            Ok(Wire::Head(head)) => tape.head(head),
-            Ok(Wire::Text(text)) => tape.text(&text).await,
-            Ok(last) => return end(last).is_some_and(|end| write_end(tape, end)),
+        match serde_json::from_slice::<WireItem>(&bytes) {
+            Ok(WireItem::Absent | WireItem::Running) | Err(_) => return false,
+            Ok(WireItem::Head(head)) => tape.head(head),
+            Ok(WireItem::Text(text)) => tape.text(&text).await,
+            Ok(last) => return to_end(last).is_some_and(|end| write_end(tape, end)),
         }
     }
     false
@@ -90,14 +92,14 @@
 /// Returns whether an instance confirms that a request does not run there, or no
 /// longer does.
 pub(crate) async fn has_ended(peer: &peer::Handle, at: &instance::Id, id: &Id, within: Duration) -> bool {
-    let question = Question { id: id.clone(), fingerprint: 0, status: true };
-    let question = serde_json::to_vec(&question).unwrap_or_default();
-    let asked = async {
-        let mut items = peer.stream(at, Topic::Request, question.into()).await.ok()?;
+    let request = AnswerRequest { id: id.clone(), fingerprint: 0, status: true };
+    let request = serde_json::to_vec(&request).unwrap_or_default();
+    let query = async {
+        let mut items = peer.stream(at, Topic::Request, request.into()).await.ok()?;
         let bytes = items.next().await?.ok()?;
-        serde_json::from_slice::<Wire>(&bytes).ok()
+        serde_json::from_slice::<WireItem>(&bytes).ok()
     };
-    matches!(timeout(within, asked).await, Ok(Some(Wire::Absent)))
+    matches!(timeout(within, query).await, Ok(Some(WireItem::Absent)))
 }
 
 fn write_end(tape: &Tape, end: End) -> bool {
@@ -105,12 +107,12 @@
     true
 }
 
-fn end(wire: Wire) -> Option<End> {
-    match wire {
-        Wire::Absent | Wire::Running | Wire::Head(_) | Wire::Text(_) => None,
-        Wire::Whole { reason, usage } => Some(End::Whole { reason, usage }),
-        Wire::Failed(problem) => Some(End::Failed(Arc::new(problem))),
-        Wire::Reply { status, headers, body } => {
+fn to_end(item: WireItem) -> Option<End> {
+    match item {
+        WireItem::Absent | WireItem::Running | WireItem::Head(_) | WireItem::Text(_) => None,
+        WireItem::Whole { reason, usage } => Some(End::Whole { reason, usage }),
+        WireItem::Failed(problem) => Some(End::Failed(Arc::new(problem))),
+        WireItem::Reply { status, headers, body } => {
             let status = StatusCode::from_u16(status).ok()?;
             let body = Bytes::from(decode(&body)?);
             Some(End::Reply(Arc::new(Reply { status, headers: header_map(headers), body })))
@@ -119,36 +121,36 @@
 }
 
 /// Streams an answer held by this instance to the instance that asked for it.
-pub(crate) async fn serve(held: &Held, question: &[u8], sink: &mpsc::Sender<Bytes>) {
-    let question = serde_json::from_slice::<Question>(question).ok();
-    if let Some(question) = question.as_ref().filter(|question| question.status) {
-        let status = if held.running(&question.id) { Wire::Running } else { Wire::Absent };
-        drop(sink.send(encoded(&status)).await);
+pub(crate) async fn serve(held: &Held, request: &[u8], sink: &mpsc::Sender<Bytes>) {
+    let request = serde_json::from_slice::<AnswerRequest>(request).ok();
+    if let Some(request) = request.as_ref().filter(|request| request.status) {
+        let status = if held.running(&request.id) { WireItem::Running } else { WireItem::Absent };
+        drop(sink.send(encode_item(&status)).await);
         return;
     }
-    let reader = question.and_then(|question| held.join(&question.id, question.fingerprint));
+    let reader = request.and_then(|request| held.join(&request.id, request.fingerprint));
     let Some(mut reader) = reader else {
-        drop(sink.send(encoded(&Wire::Absent)).await);
+        drop(sink.send(encode_item(&WireItem::Absent)).await);
         return;
     };
     while let Some(item) = reader.next().await {
-        if sink.send(encoded(&Wire::from(item))).await.is_err() {
+        if sink.send(encode_item(&WireItem::from(item))).await.is_err() {
             return;
         }
     }
 }
 
-fn encoded(wire: &Wire) -> Bytes {
-    serde_json::to_vec(wire).unwrap_or_default().into()
+fn encode_item(item: &WireItem) -> Bytes {
+    serde_json::to_vec(item).unwrap_or_default().into()
 }
 
-fn pairs(headers: &HeaderMap) -> Vec<(String, String)> {
+fn header_pairs(headers: &HeaderMap) -> Vec<(String, String)> {
     let text = |value: &HeaderValue| value.to_str().ok().map(str::to_owned);
     headers.iter().filter_map(|(name, value)| Some((name.to_string(), text(value)?))).collect()
 }
 
-fn header_map(pairs: Vec<(String, String)>) -> HeaderMap {
+fn header_map(header_pairs: Vec<(String, String)>) -> HeaderMap {
     let parse =
         |(name, value): (String, String)| Some((HeaderName::try_from(name).ok()?, HeaderValue::try_from(value).ok()?));
-    pairs.into_iter().filter_map(parse).collect()
+    header_pairs.into_iter().filter_map(parse).collect()
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -30,10 +30,11 @@
 /// down.
 const STALE_RETRY_MS: Millis = 1_000;
 /// Maximum number of requests that continue after their final response was sent.
-const MOST_LATE: usize = 256;
-/// Maximum number of answers remembered as having reported a session's move. The
-/// set is cleared when it is full, and the answers are then checked again.
-const MOST_CONFIRMED: usize = 4_096;
+const MAX_LATE_REQUESTS: usize = 256;
+/// Maximum number of remembered answers that reported a session's move and are
+/// known to have ended. The set is cleared when it is full, and the answers are
+/// then checked again.
+const MAX_ENDED_ANSWERS: usize = 4_096;
 
 /// Settings for serving callers.
 #[derive(Debug, Clone)]
@@ -121,7 +122,7 @@
     loads: Mutex<HashMap<Customer, u32>>,
     /// Answers that reported a session's move and ended while their instance was known
     /// to be alive.
-    confirmed: Mutex<HashSet<request::Id>>,
+    ended_answers: Mutex<HashSet<request::Id>>,
 }
 
 impl Shared {
@@ -134,10 +135,10 @@
             held: Held::default(),
             closed: AtomicBool::new(false),
             lost: AtomicU64::new(0),
-            late: Arc::new(Semaphore::new(MOST_LATE)),
+            late: Arc::new(Semaphore::new(MAX_LATE_REQUESTS)),
             in_flight,
             loads: Mutex::default(),
-            confirmed: Mutex::default(),
+            ended_answers: Mutex::default(),
         })
     }
 
@@ -148,16 +149,16 @@
 
     /// Returns whether an answer that reported a session's move is known to have ended.
     pub fn is_confirmed(&self, answer: &request::Id) -> bool {
-        self.confirmed.lock().unwrap_or_else(PoisonError::into_inner).contains(answer)
+        self.ended_answers.lock().unwrap_or_else(PoisonError::into_inner).contains(answer)
     }
 
     /// Remembers that an answer that reported a session's move has ended.
     pub fn confirm(&self, answer: request::Id) {
-        let mut confirmed = self.confirmed.lock().unwrap_or_else(PoisonError::into_inner);
-        if confirmed.len() >= MOST_CONFIRMED {
-            confirmed.clear();
+        let mut ended_answers = self.ended_answers.lock().unwrap_or_else(PoisonError::into_inner);
+        if ended_answers.len() >= MAX_ENDED_ANSWERS {
+            ended_answers.clear();
         }
-        confirmed.insert(answer);
+        ended_answers.insert(answer);
     }
 
     /// Records a step of a request.
@@ -169,14 +170,14 @@
     pub fn may_start(&self, customer: &Customer, contract: &Contract) -> Result<(), Problem> {
         if self.closed.load(Ordering::Acquire) {
             let detail = "this instance finishes its work and takes no more";
-            return Err(Problem::not_run(Kind::Leaving, detail).elsewhere(self.elsewhere(customer)).after(0));
+            return Err(Problem::not_run(Kind::Leaving, detail).elsewhere(self.other_addresses(customer)).after(0));
         }
         // A stale configuration could lack a withdrawal, and a harmful version would continue to
         // answer on this instance.
         if !self.links.config.fresh() {
             let detail = "neither the platform nor another instance has confirmed it lately";
             let problem = Problem::not_run(Kind::StaleConfiguration, detail);
-            return Err(problem.elsewhere(self.elsewhere(customer)).after(STALE_RETRY_MS));
+            return Err(problem.elsewhere(self.other_addresses(customer)).after(STALE_RETRY_MS));
         }
         self.check_outage(contract)
     }
@@ -194,7 +195,7 @@
     }
 
     /// Returns the other instances that a customer's callers may use.
-    fn elsewhere(&self, customer: &Customer) -> Vec<Address> {
+    fn other_addresses(&self, customer: &Customer) -> Vec<Address> {
         let members = self.links.peer.members().borrow().clone();
         let others: Vec<_> = members.others.values().cloned().collect();
         let caller = Caller { customer, session: None, domain: Some(&self.settings.domain), load: self.load(customer) };
--- a/crates/entry/tests/path/cascades.rs
+++ b/crates/entry/tests/path/cascades.rs
@@ -12,20 +12,20 @@
 use timeline::{Event, Filter, Step};
 
 use crate::{
-    site::{CHEAP, CLUB, DEAR, Plan, Site},
+    site::{CHEAP, CLUB_KEY, EXPENSIVE, Site, SiteConfig},
     whole::answer_of,
 };
 
 const CONTENT: &str = "season summary";
 
-pub fn plan(cheap: f64) -> Plan {
-    let quality = BTreeMap::from([(CHEAP.to_owned(), cheap), (DEAR.to_owned(), 1.0)]);
+pub fn cascade_config(cheap: f64) -> SiteConfig {
+    let quality = BTreeMap::from([(CHEAP.to_owned(), cheap), (EXPENSIVE.to_owned(), 1.0)]);
     let rating = rating::Options { quality, ..rating::Options::default() };
-    Plan { rating: Some(rating), contract: "quality: { target: 0.95 }", ..Plan::default() }
+    SiteConfig { rating: Some(rating), contract: "quality: { target: 0.95 }", ..SiteConfig::default() }
 }
 
 /// Returns the versions that ran, in order.
-pub fn ran(site: &Site) -> Vec<String> {
+pub fn versions_run(site: &Site) -> Vec<String> {
     let mut runs = site.runs();
     runs.sort_by_key(|run| run.received);
     runs.into_iter().map(|run| run.version).collect()
@@ -38,11 +38,11 @@
     for n in 0..60 {
         let before = site.runs().len();
         let content = format!("{CONTENT} {n}");
-        let told = site.client(0).stream(CLUB, &[], &content).await;
-        let version = told.headers["arbutuslug-version"].to_str().expect("text").to_owned();
-        let told = told.told().await;
-        assert_eq!(told.text, answer_of(&version, &content), "{told:?}");
-        let runs = ran(site).split_off(before);
+        let answer = site.client(0).stream(CLUB_KEY, &[], &content).await;
+        let version = answer.headers["arbutuslug-version"].to_str().expect("text").to_owned();
+        let answer = answer.collect_events().await;
+        assert_eq!(answer.text, answer_of(&version, &content), "{answer:?}");
+        let runs = versions_run(site).split_off(before);
         if runs[0] == CHEAP {
             return (version, content, runs.len());
         }
@@ -53,7 +53,7 @@
 // The cheap answer passes its rating: it is delivered, and no other version runs.
 #[tokio::test]
 async fn cheap_answer_that_passes_is_kept() {
-    let site = Site::open(plan(1.0)).await;
+    let site = Site::open(cascade_config(1.0)).await;
     let (version, _, runs) = first_cascade(&site).await;
     assert_eq!((version.as_str(), runs), (CHEAP, 1));
 }
@@ -62,72 +62,72 @@
 // complete answer and nothing of the cheap one; one bill covers both runs.
 #[tokio::test]
 async fn cheap_answer_that_fails_is_escalated() {
-    let site = Site::open(plan(0.0)).await;
+    let site = Site::open(cascade_config(0.0)).await;
     let (version, _, runs) = first_cascade(&site).await;
-    assert_eq!((version.as_str(), runs), (DEAR, 2));
+    assert_eq!((version.as_str(), runs), (EXPENSIVE, 2));
     let requests = site.bills().len().max(1);
-    let bills = site.bills_when(requests).await;
+    let bills = site.wait_for_bills(requests).await;
     let cascade = bills.iter().find(|bill| bill.attempts == 2).expect("one bill with two attempts");
     let others = bills.iter().filter(|bill| bill.id == cascade.id).count();
     assert_eq!(others, 1);
-    let dear_alone = bills.iter().filter(|bill| bill.attempts == 1).map(|bill| bill.amount).max();
-    assert!(dear_alone.is_none_or(|alone| cascade.amount > alone), "both runs are billed");
+    let expensive_alone = bills.iter().filter(|bill| bill.attempts == 1).map(|bill| bill.amount).max();
+    assert!(expensive_alone.is_none_or(|alone| cascade.amount > alone), "both runs are billed");
 }
 
 // The rating service is down: no cheap answer is shown unrated, and requests do not
 // wait long for the service.
 #[tokio::test]
-async fn no_unrated_cheap_answer_while_the_rater_is_down() {
-    let site = Site::open(plan(1.0)).await;
+async fn no_cheap_answer_while_the_rating_service_is_down() {
+    let site = Site::open(cascade_config(1.0)).await;
     site.rating.as_ref().expect("a rating service").switch(Switch::Down);
     for n in 0..20 {
-        let reply = site.client(0).chat(CLUB, &[], &format!("{CONTENT} {n}")).await;
-        assert_eq!(reply.header("arbutuslug-version"), DEAR, "unrated");
+        let reply = site.client(0).chat(CLUB_KEY, &[], &format!("{CONTENT} {n}")).await;
+        assert_eq!(reply.header("arbutuslug-version"), EXPENSIVE, "a cheap answer was shown unrated");
         reply.content();
     }
-    let cheap = ran(&site).iter().filter(|version| *version == CHEAP).count();
+    let cheap = versions_run(&site).iter().filter(|version| *version == CHEAP).count();
     assert!(cheap <= 1, "{cheap} cascades started without a rater");
 }
 
 // A request that must not be repeated is dispatched once and never cascades.
 #[tokio::test]
 async fn non_idempotent_request_never_cascades() {
-    let site = Site::open(plan(0.0)).await;
+    let site = Site::open(cascade_config(0.0)).await;
     for n in 0..20 {
         let headers = [("arbutuslug-idempotent", "false")];
-        site.client(0).chat(CLUB, &headers, &format!("{CONTENT} {n}")).await.content();
+        site.client(0).chat(CLUB_KEY, &headers, &format!("{CONTENT} {n}")).await.content();
     }
     assert_eq!(site.runs().len(), 20);
-    assert!(site.bills_when(20).await.iter().all(|bill| bill.attempts == 1));
+    assert!(site.wait_for_bills(20).await.iter().all(|bill| bill.attempts == 1));
 }
 
 // Answers that were not rated at once are submitted, and their later ratings show
 // which version is good: in the end the cheap, bad version is hardly used.
 #[tokio::test]
 async fn delayed_ratings_are_learned() {
-    let site = Site::open(plan(0.0)).await;
+    let site = Site::open(cascade_config(0.0)).await;
     for n in 0..40 {
         let headers = [("arbutuslug-idempotent", "false")];
-        site.client(0).chat(CLUB, &headers, &format!("{CONTENT} {n}")).await.content();
+        site.client(0).chat(CLUB_KEY, &headers, &format!("{CONTENT} {n}")).await.content();
     }
     let rating = site.rating.as_ref().expect("a rating service");
-    site.until(|_| rating.submitted() == 40).await;
-    let mut lately = std::collections::VecDeque::new();
+    site.wait_until(|_| rating.submitted() == 40).await;
+    let mut recent = std::collections::VecDeque::new();
     for n in 0..400 {
         let headers = [("arbutuslug-idempotent", "false")];
-        let reply = site.client(0).chat(CLUB, &headers, &format!("later {n}")).await;
-        lately.push_back(reply.header("arbutuslug-version") == CHEAP);
-        if lately.len() < 60 {
+        let reply = site.client(0).chat(CLUB_KEY, &headers, &format!("later {n}")).await;
+        recent.push_back(reply.header("arbutuslug-version") == CHEAP);
+        if recent.len() < 60 {
             continue;
         }
         // The pass rate of the good version above the target may be spent on the cheap one: at most
         // a twentieth of the answers.
-        if lately.iter().filter(|cheap| **cheap).count() <= 6 {
+        if recent.iter().filter(|cheap| **cheap).count() <= 6 {
             return;
         }
-        lately.pop_front();
+        recent.pop_front();
     }
-    panic!("the bad version goes on answering");
+    panic!("the bad version is still used");
 }
 
 // A rated answer is on the tape and waits for its bill when the instance that ran
@@ -138,32 +138,32 @@
 async fn copied_answer_is_not_sent_again_after_its_rating() {
     for n in 0..20 {
         let engine = engine::Options { first_token_ms: 300, ..engine::Options::default() };
-        let mut site = Site::open(Plan { instances: 2, engine, ..plan(1.0) }).await;
+        let mut site = Site::open(SiteConfig { instances: 2, engine, ..cascade_config(1.0) }).await;
         let content = format!("{CONTENT} {n}");
         let call = |node: usize| {
             let (client, content) = (site.client(node), content.clone());
-            tokio::spawn(async move { client.stream(CLUB, &[("idempotency-key", "season-7")], &content).await })
+            tokio::spawn(async move { client.stream(CLUB_KEY, &[("idempotency-key", "season-7")], &content).await })
         };
         let first = call(0);
-        site.until(|site| site.runs().len() == 1).await;
+        site.wait_until(|site| site.runs().len() == 1).await;
         let repeat = call(1);
-        site.until(joined).await;
+        site.wait_until(joined).await;
         // From here on no bill is recorded, so the text is not followed by the end of the answer.
         site.objects.switch(objects::Switch::Slow { ms: 60_000 });
         let mut repeat = repeat.await.expect("no panic");
-        while repeat.so_far().text.is_empty() {
-            assert!(repeat.more().await, "an answer");
+        while repeat.received_so_far().text.is_empty() {
+            assert!(repeat.read_frame().await, "an answer");
         }
         assert_eq!(site.runs().len(), 1, "copied");
         drop(site.nodes.remove(0));
         drop(first);
         site.objects.switch(objects::Switch::Up);
         let version = repeat.headers["arbutuslug-version"].to_str().expect("text").to_owned();
-        let told = repeat.told().await;
-        if told.done {
-            assert_eq!(told.text, answer_of(&version, &content));
+        let answer = repeat.collect_events().await;
+        if answer.done {
+            assert_eq!(answer.text, answer_of(&version, &content));
         }
-        if told.done && ran(&site) == [CHEAP, CHEAP] {
+        if answer.done && versions_run(&site) == [CHEAP, CHEAP] {
             return;
         }
     }
@@ -179,7 +179,7 @@
 /// Checks a cascade in which every frame arrives twice, mixed with frames of other
 /// attempts.
 async fn check_odd_frames(cheap: f64, expected: (&str, usize)) {
-    let site = Site::open(plan(cheap)).await;
+    let site = Site::open(cascade_config(cheap)).await;
     site.switch(&engine::Switch::Duplicate(Odds::ALWAYS));
     site.switch(&engine::Switch::Foreign(Odds::ALWAYS));
     let (version, _, runs) = first_cascade(&site).await;
@@ -198,29 +198,29 @@
 // the expensive version's complete answer and no frame of the cheap run.
 #[tokio::test]
 async fn answer_late_at_escalate() {
-    check_odd_frames(0.0, (DEAR, 2)).await;
+    check_odd_frames(0.0, (EXPENSIVE, 2)).await;
 }
 
 /// Returns a key's first call at instance 0 and its repeat at instance 1. The
 /// repeat has joined while the expensive version runs, after the cheap answer
 /// failed.
-async fn escalating() -> (Site, String, [crate::client::Stream; 2]) {
+async fn escalating_site() -> (Site, String, [crate::client::Stream; 2]) {
     for n in 0..20 {
         let engine = engine::Options { first_token_ms: 300, per_token_ms: 20, ..engine::Options::default() };
-        let site = Site::open(Plan { instances: 2, engine, ..plan(0.0) }).await;
+        let site = Site::open(SiteConfig { instances: 2, engine, ..cascade_config(0.0) }).await;
         let content = format!("{CONTENT} {n}");
         let call = |node: usize| {
             let (client, content) = (site.client(node), content.clone());
-            tokio::spawn(async move { client.stream(CLUB, &[("idempotency-key", "season-7")], &content).await })
+            tokio::spawn(async move { client.stream(CLUB_KEY, &[("idempotency-key", "season-7")], &content).await })
         };
         let first = call(0);
-        site.until(|site| !site.runs().is_empty()).await;
-        if ran(&site) != [CHEAP] {
+        site.wait_until(|site| !site.runs().is_empty()).await;
+        if versions_run(&site) != [CHEAP] {
             continue;
         }
-        site.until(|site| site.runs().len() >= 2).await;
+        site.wait_until(|site| site.runs().len() >= 2).await;
         let repeat = call(1);
-        site.until(|site| joined(site) || !site.bills().is_empty()).await;
+        site.wait_until(|site| joined(site) || !site.bills().is_empty()).await;
         if !joined(&site) {
             // The first call was answered before the repeat arrived.
             continue;
@@ -237,12 +237,12 @@
 // both runs.
 #[tokio::test]
 async fn caller_repeats_at_escalate() {
-    let (site, content, [first, repeat]) = escalating().await;
-    let (first, repeat) = tokio::join!(first.told(), repeat.told());
-    assert_eq!(first.text, answer_of(DEAR, &content), "{first:?}");
+    let (site, content, [first, repeat]) = escalating_site().await;
+    let (first, repeat) = tokio::join!(first.collect_events(), repeat.collect_events());
+    assert_eq!(first.text, answer_of(EXPENSIVE, &content), "{first:?}");
     assert_eq!(first, repeat);
-    assert_eq!(ran(&site), [CHEAP, DEAR]);
-    assert_eq!(site.bills_when(1).await.len(), 1);
+    assert_eq!(versions_run(&site), [CHEAP, EXPENSIVE]);
+    assert_eq!(site.wait_for_bills(1).await.len(), 1);
 }
 
 // The instance that escalates is lost during the expensive run. The repeat at the
@@ -251,15 +251,15 @@
 // looks complete.
 #[tokio::test]
 async fn instance_lost_at_escalate() {
-    let (mut site, content, [first, repeat]) = escalating().await;
+    let (mut site, content, [first, repeat]) = escalating_site().await;
     drop(site.nodes.remove(0));
     drop(first);
-    let told = repeat.told().await;
-    if told.done {
-        let answers = [CHEAP, DEAR].map(|version| answer_of(version, &content));
-        assert!(answers.contains(&told.text), "{told:?}");
-        assert_eq!(site.bills_when(1).await.len(), 1);
+    let answer = repeat.collect_events().await;
+    if answer.done {
+        let answers = [CHEAP, EXPENSIVE].map(|version| answer_of(version, &content));
+        assert!(answers.contains(&answer.text), "{answer:?}");
+        assert_eq!(site.wait_for_bills(1).await.len(), 1);
     } else {
-        assert!(told.error.is_some() && told.finish.is_none(), "a part looks whole: {told:?}");
+        assert!(answer.error.is_some() && answer.finish.is_none(), "a partial answer looks complete: {answer:?}");
     }
 }
--- a/crates/entry/tests/path/client.rs
+++ b/crates/entry/tests/path/client.rs
@@ -43,7 +43,7 @@
     /// Makes a call and reads the complete response.
     pub async fn call(&self, method: Method, path: &str, headers: Headers<'_>, body: impl Into<Bytes>) -> Reply {
         let mut stream = self.open(method, path, headers, body).await;
-        let text = stream.rest().await;
+        let text = stream.read_to_end().await;
         Reply { status: stream.status, headers: stream.headers.clone(), text }
     }
 
@@ -113,7 +113,7 @@
 
 /// The content of a streamed answer's events.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct StreamedAnswer {
     pub text: String,
     pub finish: Option<String>,
     pub done: bool,
@@ -123,7 +123,7 @@
 
 impl Stream {
     /// Reads the next frame. Returns false at the end.
-    pub async fn more(&mut self) -> bool {
+    pub async fn read_frame(&mut self) -> bool {
         match self.body.frame().await {
             Some(Ok(frame)) => {
                 if let Some(data) = frame.data_ref() {
@@ -136,43 +136,43 @@
     }
 
     /// Reads to the end and returns the text of the body.
-    pub async fn rest(&mut self) -> String {
-        while self.more().await {}
+    pub async fn read_to_end(&mut self) -> String {
+        while self.read_frame().await {}
         self.read.clone()
     }
 
     /// Reads to the end and parses the events.
-    pub async fn told(mut self) -> Told {
-        let text = self.rest().await;
+    pub async fn collect_events(mut self) -> StreamedAnswer {
+        let text = self.read_to_end().await;
         assert_eq!(self.status, StatusCode::OK, "{text}");
-        told(&self.read)
+        parse_events(&self.read)
     }
 
     /// Parses the events received so far.
-    pub fn so_far(&self) -> Told {
-        told(&self.read)
+    pub fn received_so_far(&self) -> StreamedAnswer {
+        parse_events(&self.read)
     }
 }
 
-fn told(events: &str) -> Told {
-    let mut told = Told::default();
+fn parse_events(events: &str) -> StreamedAnswer {
+    let mut answer = StreamedAnswer::default();
     for event in events.split_terminator("\n\n") {
         let data = event.lines().find_map(|line| line.strip_prefix("data: ")).unwrap_or_default();
         if data == "[DONE]" {
-            told.done = true;
+            answer.done = true;
             continue;
         }
         let Ok(json) = serde_json::from_str::<Value>(data) else { continue };
         if event.starts_with("event: error") {
             let kind = json["type"].as_str().unwrap_or_default().rsplit(':').next().unwrap_or_default();
-            told.error = Some((kind.into(), json["ran"].as_str().unwrap_or_default().into()));
+            answer.error = Some((kind.into(), json["ran"].as_str().unwrap_or_default().into()));
             continue;
         }
         let choice = &json["choices"][0];
-        told.text.push_str(choice["delta"]["content"].as_str().unwrap_or_default());
+        answer.text.push_str(choice["delta"]["content"].as_str().unwrap_or_default());
         if let Some(reason) = choice["finish_reason"].as_str() {
-            told.finish = Some(reason.into());
+            answer.finish = Some(reason.into());
         }
     }
-    told
+    answer
 }
--- a/crates/entry/tests/path/sessions.rs
+++ b/crates/entry/tests/path/sessions.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     client::Reply,
-    site::{CLUB, Plan, Site, WATER},
+    site::{CLUB_KEY, Site, SiteConfig, WATER_KEY},
 };
 
 const SESSION: &str = "arbutuslug-session";
@@ -13,7 +13,7 @@
 
 /// Returns the objects with a further version of tier 0, and a pool that serves it.
 fn with_second_version(site: &Site, first: &str) -> String {
-    let file = site.file("").replace("versions: [\"1\", \"9\"]", "versions: [\"1\", \"2\", \"9\"]");
+    let file = site.initial_objects("").replace("versions: [\"1\", \"9\"]", "versions: [\"1\", \"2\", \"9\"]");
     let release = |number: &str, tier: u8, state: &str| {
         format!(
             "    - {{ version: \"{number}\", tier: {tier}, price: {{ input: \"1\", output: \"2\", currency: EUR }}, state: {state} }}\n"
@@ -38,9 +38,9 @@
 // keeps version 1. When version 1 is withdrawn, the session moves with its next
 // request. The move is reported once, and the session stays on version 2.
 async fn check_session(named: Option<&str>, instances: usize) {
-    let site = Site::open(Plan { instances, ..Plan::default() }).await;
+    let site = Site::open(SiteConfig { instances, ..SiteConfig::default() }).await;
     let ask = async |node: usize, session: &str| {
-        let reply = site.client(node).chat(CLUB, &[(SESSION, session)], "next").await;
+        let reply = site.client(node).chat(CLUB_KEY, &[(SESSION, session)], "next").await;
         reply.content();
         reply
     };
@@ -49,11 +49,11 @@
     site.apply(&only_one).await;
     let first = match named {
         Some(name) => ask(0, name).await,
-        None => site.client(0).chat(CLUB, &[], "next").await,
+        None => site.client(0).chat(CLUB_KEY, &[], "next").await,
     };
     assert_eq!(version(&first), "summary@1");
     let session = first.header(SESSION).to_owned();
-    assert_eq!(named.is_some_and(|name| name == session), named.is_some(), "a caller's own name stays");
+    assert_eq!(named.is_some_and(|name| name == session), named.is_some(), "a caller's own name is kept");
 
     site.apply(&with_second_version(&site, "serving")).await;
     for node in 0..instances {
@@ -67,7 +67,7 @@
     let session = moved.header(SESSION).to_owned();
     for node in 0..instances {
         let after = ask(node, &session).await;
-        assert_eq!((version(&after), after.header(MOVED)), ("summary@2", ""), "moved once, told once");
+        assert_eq!((version(&after), after.header(MOVED)), ("summary@2", ""), "a move is reported once");
     }
 }
 
@@ -86,33 +86,33 @@
 // another instance, finds the session already moved and must still report the move;
 // the one after it must not.
 #[tokio::test]
-async fn move_whose_answer_was_lost_is_told_with_the_next() {
+async fn move_in_a_lost_answer_is_reported_by_the_next() {
     let engine = standin::engine::Options { per_token_ms: 20, ..standin::engine::Options::default() };
-    let site = Site::open(Plan { engine, instances: 2, ..Plan::default() }).await;
+    let site = Site::open(SiteConfig { engine, instances: 2, ..SiteConfig::default() }).await;
     let headers = [(SESSION, "dispatch-desk")];
     let only_one =
         with_second_version(&site, "serving").replace("versions: [\"1\", \"2\", \"9\"]", "versions: [\"1\"]");
     site.apply(&only_one).await;
-    assert_eq!(version(&site.client(0).chat(CLUB, &headers, "first").await), "summary@1");
+    assert_eq!(version(&site.client(0).chat(CLUB_KEY, &headers, "first").await), "summary@1");
     site.apply(&with_second_version(&site, "withdrawn")).await;
 
     let runs = site.runs().len();
     let client = site.client(0);
-    let lost = tokio::spawn(async move { client.chat(CLUB, &headers, "moves it").await });
-    site.until(|site| site.runs().len() > runs).await;
+    let lost = tokio::spawn(async move { client.chat(CLUB_KEY, &headers, "moves it").await });
+    site.wait_until(|site| site.runs().len() > runs).await;
     lost.abort();
-    site.until(|site| site.nodes[0].entry.in_flight() == 0).await;
+    site.wait_until(|site| site.nodes[0].entry.in_flight() == 0).await;
 
-    let next = site.client(1).chat(CLUB, &headers, "next").await;
+    let next = site.client(1).chat(CLUB_KEY, &headers, "next").await;
     assert_eq!((version(&next), next.header(MOVED)), ("summary@2", "summary@1"));
-    let after = site.client(0).chat(CLUB, &headers, "after").await;
+    let after = site.client(0).chat(CLUB_KEY, &headers, "after").await;
     assert_eq!((version(&after), after.header(MOVED)), ("summary@2", ""));
 }
 
 /// Returns the objects with two versions in each tier. The versions in `withdrawn`
 /// are withdrawn.
 fn two_tiers(site: &Site, withdrawn: &[&str]) -> String {
-    let file = site.file("").replace("versions: [\"1\", \"9\"]", "versions: [\"1\", \"2\", \"8\", \"9\"]");
+    let file = site.initial_objects("").replace("versions: [\"1\", \"9\"]", "versions: [\"1\", \"2\", \"8\", \"9\"]");
     let release = |number: &str, tier: u8| {
         let state = if withdrawn.contains(&number) { "withdrawn" } else { "serving" };
         let price = if tier == 0 { "input: \"1\", output: \"2\"" } else { "input: \"10\", output: \"20\"" };
@@ -128,71 +128,71 @@
 
 /// Returns a caller-named session on versions 2 and 9, and a site where every
 /// tier-0 answer fails its rating.
-async fn on_two_tiers() -> (Site, String) {
+async fn session_on_two_tiers() -> (Site, String) {
     let quality = [("summary@1", 0.0), ("summary@2", 0.0), ("summary@8", 1.0), ("summary@9", 1.0)];
     let quality = quality.map(|(version, quality)| (version.to_owned(), quality)).into();
     let rating = standin::rating::Options { quality, ..standin::rating::Options::default() };
-    let site = Site::open(Plan { rating: Some(rating), ..super::cascades::plan(0.0) }).await;
+    let site = Site::open(SiteConfig { rating: Some(rating), ..super::cascades::cascade_config(0.0) }).await;
     site.apply(&two_tiers(&site, &["1", "8"])).await;
     for n in 0..60 {
         let (session, before) = (format!("desk-{n}"), site.runs().len());
-        site.client(0).chat(CLUB, &[(SESSION, &session)], &format!("first {n}")).await.content();
-        if super::cascades::ran(&site).split_off(before) == ["summary@2", "summary@9"] {
+        site.client(0).chat(CLUB_KEY, &[(SESSION, &session)], &format!("first {n}")).await.content();
+        if super::cascades::versions_run(&site).split_off(before) == ["summary@2", "summary@9"] {
             return (site, session);
         }
     }
-    panic!("no request went through both tiers: {:?}", super::cascades::ran(&site));
+    panic!("no request went through both tiers: {:?}", super::cascades::versions_run(&site));
 }
 
 // Both versions of a session are withdrawn at once. Its next answer that needs both
 // tiers comes from the higher one and must report both moves. Otherwise the session
 // would be on a version that its caller was never told of.
 #[tokio::test]
-async fn moves_of_two_tiers_are_told_together() {
-    let (site, session) = on_two_tiers().await;
+async fn moves_on_two_tiers_are_reported_together() {
+    let (site, session) = session_on_two_tiers().await;
     site.apply(&two_tiers(&site, &["2", "9"])).await;
     let mut left = std::collections::BTreeSet::from(["summary@2".to_owned(), "summary@9".to_owned()]);
     for n in 0..60 {
-        let reply = site.client(0).chat(CLUB, &[(SESSION, &session)], &format!("next {n}")).await;
+        let reply = site.client(0).chat(CLUB_KEY, &[(SESSION, &session)], &format!("next {n}")).await;
         reply.content();
         for version in reply.header(MOVED).split(", ").filter(|version| !version.is_empty()) {
-            assert!(left.remove(version), "{version} was told twice, or never left");
+            assert!(left.remove(version), "{version} was reported twice or was never left");
         }
         let answered = match version(&reply) {
             "summary@1" => "summary@2",
             "summary@8" => "summary@9",
             other => panic!("answered by {other}"),
         };
-        assert!(!left.contains(answered), "{answered} was left without a word");
+        assert!(!left.contains(answered), "{answered} was left without a report");
         if left.is_empty() {
             return;
         }
     }
-    panic!("never told of {left:?}");
+    panic!("no answer reported the move from {left:?}");
 }
 
 // An answer reports a move, is recorded as having reported it, and is then lost
 // with its instance. The request must not run twice, so its repeat is only told
 // that it ran. The session's next answer must report the move again.
 #[tokio::test]
-async fn move_told_by_a_lost_answer_is_told_again() {
-    let mut site = Site::open(Plan { instances: 2, ..Plan::default() }).await;
+async fn move_in_an_answer_lost_with_its_instance_is_reported_again() {
+    let mut site = Site::open(SiteConfig { instances: 2, ..SiteConfig::default() }).await;
     let headers = [(SESSION, "dispatch-desk")];
     let only_one =
         with_second_version(&site, "serving").replace("versions: [\"1\", \"2\", \"9\"]", "versions: [\"1\"]");
     site.apply(&only_one).await;
-    site.client(0).chat(CLUB, &headers, "first").await.content();
+    site.client(0).chat(CLUB_KEY, &headers, "first").await.content();
     site.apply(&with_second_version(&site, "withdrawn")).await;
 
     let once = [(SESSION, "dispatch-desk"), ("arbutuslug-idempotent", "false"), ("idempotency-key", "season-7")];
-    let lost = site.client(0).chat(CLUB, &once, "moves it").await;
+    let lost = site.client(0).chat(CLUB_KEY, &once, "moves it").await;
     assert_eq!(lost.header(MOVED), "summary@1");
     let survivor = site.client(1);
     drop(site.nodes.remove(0));
     let refused = async || {
         loop {
             // The key is unknown here until its shard has a new home instance.
-            let repeat = survivor.chat(CLUB, &once, "moves it").await;
+            let repeat = survivor.chat(CLUB_KEY, &once, "moves it").await;
             let (_, kind, ran) = repeat.problem();
             if kind == "answered-before" {
                 return ran;
@@ -202,56 +202,56 @@
     };
     assert_eq!(refused().await, "yes");
 
-    let told = async || {
+    let next_move = async || {
         loop {
-            let next = survivor.chat(CLUB, &headers, "next").await;
+            let next = survivor.chat(CLUB_KEY, &headers, "next").await;
             if next.status == 200 {
                 return (version(&next).to_owned(), next.header(MOVED).to_owned());
             }
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         }
     };
-    assert_eq!(told().await, ("summary@2".to_owned(), "summary@1".to_owned()));
-    assert_eq!(told().await, ("summary@2".to_owned(), String::new()));
+    assert_eq!(next_move().await, ("summary@2".to_owned(), "summary@1".to_owned()));
+    assert_eq!(next_move().await, ("summary@2".to_owned(), String::new()));
 }
 
 /// Opens a site of three instances with caller-named sessions on version 1, and
 /// then withdraws version 1.
-async fn withdrawn_under(sessions: &[&str]) -> Site {
-    let site = Site::open(Plan { instances: 3, ..Plan::default() }).await;
+async fn site_with_withdrawn_version(sessions: &[&str]) -> Site {
+    let site = Site::open(SiteConfig { instances: 3, ..SiteConfig::default() }).await;
     let only_one =
         with_second_version(&site, "serving").replace("versions: [\"1\", \"2\", \"9\"]", "versions: [\"1\"]");
     site.apply(&only_one).await;
     for session in sessions {
-        assert_eq!(version(&site.client(0).chat(CLUB, &[(SESSION, session)], "first").await), "summary@1");
+        assert_eq!(version(&site.client(0).chat(CLUB_KEY, &[(SESSION, session)], "first").await), "summary@1");
     }
     site.apply(&with_second_version(&site, "withdrawn")).await;
     site
 }
 
-const DESKS: [&str; 4] = ["desk-1", "desk-2", "desk-3", "desk-4"];
+const SESSIONS: [&str; 4] = ["desk-1", "desk-2", "desk-3", "desk-4"];
 
 // An answer that reports a move is lost, but its instance is alive. The request
 // must not run twice. Its repeat at another instance, whose calls to the sessions'
 // home instances are slow, is only told that the request ran. The session's next
 // answer must report the move again.
 #[tokio::test]
-async fn move_told_by_an_answer_that_its_repeat_cannot_fetch_is_told_again() {
-    let site = withdrawn_under(&DESKS).await;
-    for session in DESKS {
+async fn move_in_an_answer_that_a_repeat_cannot_fetch_is_reported_again() {
+    let site = site_with_withdrawn_version(&SESSIONS).await;
+    for session in SESSIONS {
         let once = [(SESSION, session), ("arbutuslug-idempotent", "false"), ("idempotency-key", session)];
-        let lost = site.client(0).chat(CLUB, &once, "moves it").await;
+        let lost = site.client(0).chat(CLUB_KEY, &once, "moves it").await;
         assert_eq!(lost.header(MOVED), "summary@1");
-        site.nodes[0].links_fault.mute.store(true, Ordering::Release);
-        site.nodes[1].links_fault.lag_ms.store(250, Ordering::Release);
-        let (_, kind, ran) = site.client(1).chat(CLUB, &once, "moves it").await.problem();
+        site.nodes[0].link_faults.drop_streams.store(true, Ordering::Release);
+        site.nodes[1].link_faults.journal_delay_ms.store(250, Ordering::Release);
+        let (_, kind, ran) = site.client(1).chat(CLUB_KEY, &once, "moves it").await.problem();
         assert_eq!((kind.as_str(), ran.as_str()), ("answered-before", "yes"));
-        site.nodes[0].links_fault.mute.store(false, Ordering::Release);
-        site.nodes[1].links_fault.lag_ms.store(0, Ordering::Release);
+        site.nodes[0].link_faults.drop_streams.store(false, Ordering::Release);
+        site.nodes[1].link_faults.journal_delay_ms.store(0, Ordering::Release);
 
-        let next = site.client(2).chat(CLUB, &[(SESSION, session)], "next").await;
+        let next = site.client(2).chat(CLUB_KEY, &[(SESSION, session)], "next").await;
         assert_eq!((version(&next), next.header(MOVED)), ("summary@2", "summary@1"), "{session}");
-        let after = site.client(2).chat(CLUB, &[(SESSION, session)], "after").await;
+        let after = site.client(2).chat(CLUB_KEY, &[(SESSION, session)], "after").await;
         assert_eq!((version(&after), after.header(MOVED)), ("summary@2", ""), "{session}");
     }
 }
@@ -259,19 +259,19 @@
 // An answer that reports a move is lost with its instance. The session's next
 // request arrives before the other instances have detected the loss.
 #[tokio::test]
-async fn move_told_by_an_instance_that_is_just_lost_is_told_again() {
-    let mut site = withdrawn_under(&DESKS).await;
-    for session in DESKS {
-        let lost = site.client(0).chat(CLUB, &[(SESSION, session)], "moves it").await;
+async fn move_in_an_answer_of_a_just_lost_instance_is_reported_again() {
+    let mut site = site_with_withdrawn_version(&SESSIONS).await;
+    for session in SESSIONS {
+        let lost = site.client(0).chat(CLUB_KEY, &[(SESSION, session)], "moves it").await;
         assert_eq!(lost.header(MOVED), "summary@1");
     }
     drop(site.nodes.remove(0));
-    let next = DESKS.map(|session| {
+    let next = SESSIONS.map(|session| {
         let survivor = site.client(0);
         async move {
             loop {
                 // Until its home instance is known to be lost, a session cannot be confirmed.
-                let next = survivor.chat(CLUB, &[(SESSION, session)], "next").await;
+                let next = survivor.chat(CLUB_KEY, &[(SESSION, session)], "next").await;
                 if next.status == 200 {
                     return (version(&next).to_owned(), next.header(MOVED).to_owned());
                 }
@@ -285,8 +285,8 @@
 }
 
 async fn check_handle(customer: &str, change: impl Fn(&str) -> String, expected: &str) {
-    let site = Site::open(Plan::default()).await;
-    let first = site.client(0).chat(CLUB, &[], "first").await;
+    let site = Site::open(SiteConfig::default()).await;
+    let first = site.client(0).chat(CLUB_KEY, &[], "first").await;
     let handle = change(first.header(SESSION));
     let reply = site.client(0).chat(customer, &[(SESSION, &handle)], "next").await;
     let (_, kind, ran) = reply.problem();
@@ -298,15 +298,15 @@
 // it.
 #[tokio::test]
 async fn changed_handle_is_refused() {
-    check_handle(CLUB, |handle| format!("{handle}A"), "bad-session").await;
+    check_handle(CLUB_KEY, |handle| format!("{handle}A"), "bad-session").await;
 }
 
 #[tokio::test]
 async fn handle_of_another_customer_is_refused() {
-    check_handle(WATER, str::to_owned, "bad-session").await;
+    check_handle(WATER_KEY, str::to_owned, "bad-session").await;
 }
 
 #[tokio::test]
 async fn handle_without_signature_is_refused() {
-    check_handle(CLUB, |handle| handle.rsplit_once('.').expect("parts").0.to_owned(), "bad-session").await;
+    check_handle(CLUB_KEY, |handle| handle.rsplit_once('.').expect("parts").0.to_owned(), "bad-session").await;
 }
--- a/crates/entry/tests/path/site.rs
+++ b/crates/entry/tests/path/site.rs
@@ -33,14 +33,14 @@
 
 pub const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 /// API keys of the two customers.
-pub const CLUB: &str = "club-key";
-pub const WATER: &str = "water-key";
+pub const CLUB_KEY: &str = "club-key";
+pub const WATER_KEY: &str = "water-key";
 /// Versions of the model `summary`, one for each tier.
 pub const CHEAP: &str = "summary@1";
-pub const DEAR: &str = "summary@9";
+pub const EXPENSIVE: &str = "summary@9";
 
 /// Configuration of a site.
-pub struct Plan {
+pub struct SiteConfig {
     pub instances: usize,
     pub engine: engine::Options,
     pub rating: Option<rating::Options>,
@@ -50,7 +50,7 @@
     pub keep_ms: u64,
 }
 
-impl Default for Plan {
+impl Default for SiteConfig {
     fn default() -> Self {
         Self { instances: 1, engine: engine::Options::default(), rating: None, contract: "", keep_ms: 50 }
     }
@@ -67,13 +67,13 @@
 
 /// Faults on an instance's links to other instances.
 #[derive(Debug, Default)]
-pub struct LinksFault {
+pub struct LinkFaults {
     /// Drops the journal's outgoing calls.
-    pub deaf: AtomicBool,
+    pub drop_journal_calls: AtomicBool,
     /// Delay of the journal's outgoing calls, in milliseconds.
-    pub lag_ms: AtomicU64,
+    pub journal_delay_ms: AtomicU64,
     /// Drops incoming requests for answers that this instance holds.
-    pub mute: AtomicBool,
+    pub drop_streams: AtomicBool,
 }
 
 /// An instance.
@@ -84,7 +84,7 @@
     /// list.
     pub leaving: tokio::sync::watch::Sender<Vec<world::endpoint::Id>>,
     /// Faults on this instance's links.
-    pub links_fault: Arc<LinksFault>,
+    pub link_faults: Arc<LinkFaults>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -96,26 +96,26 @@
 }
 
 impl Site {
-    pub async fn open(plan: Plan) -> Self {
+    pub async fn open(site_config: SiteConfig) -> Self {
         let objects = Objects::bind(ANY, Limits::none()).await.expect("port 0 is free");
         let mut engines = Vec::new();
         for seed in 0..2 {
-            let versions = [CHEAP, "summary@2", "summary@8", DEAR].map(str::to_owned).into();
-            let options = engine::Options { versions, seed, ..plan.engine.clone() };
+            let versions = [CHEAP, "summary@2", "summary@8", EXPENSIVE].map(str::to_owned).into();
+            let options = engine::Options { versions, seed, ..site_config.engine.clone() };
             engines.push(Engine::bind(ANY, options).await.expect("port 0 is free"));
         }
         let service = Service::bind(ANY, 1).await.expect("port 0 is free");
-        let rating = match plan.rating.clone() {
+        let rating = match site_config.rating.clone() {
             Some(options) => Some(Rating::bind(ANY, options).await.expect("port 0 is free")),
             None => None,
         };
         let mut site = Self { objects, engines, service, rating, nodes: Vec::new() };
-        for number in 0..plan.instances {
-            let node = site.node(number, &plan).await;
+        for number in 0..site_config.instances {
+            let node = site.node(number, &site_config).await;
             site.nodes.push(node);
         }
-        site.apply(&site.file(plan.contract)).await;
-        site.settle(plan.instances).await;
+        site.apply(&site.initial_objects(site_config.contract)).await;
+        site.wait_until_connected(site_config.instances).await;
         site
     }
 
@@ -130,14 +130,14 @@
         let applied = first.apply("test", edits).await.expect("accepted");
         for node in &self.nodes {
             let mut catalogs = node.links.config.subscribe();
-            let there = catalogs.wait_for(|catalog| catalog.generation() >= applied.generation).await;
-            there.expect("the observer runs");
+            let in_force = catalogs.wait_for(|catalog| catalog.generation() >= applied.generation).await;
+            in_force.expect("the observer runs");
         }
     }
 
     /// Waits until all instances are connected to each other and have a fresh
     /// configuration, and a moment longer for their endpoints.
-    async fn settle(&self, instances: usize) {
+    async fn wait_until_connected(&self, instances: usize) {
         for node in &self.nodes {
             let mut members = node.links.peer.members();
             members.wait_for(|members| members.live().count() == instances).await.expect("the links run");
@@ -161,7 +161,7 @@
 
     /// Returns the bills once there are `count` of them, because bills are recorded
     /// after their answers. Gives up after 30 seconds.
-    pub async fn bills_when(&self, count: usize) -> Vec<Bill> {
+    pub async fn wait_for_bills(&self, count: usize) -> Vec<Bill> {
         for _ in 0..3_000 {
             if self.bills().len() >= count {
                 break;
@@ -172,8 +172,8 @@
     }
 
     /// Waits until a condition holds.
-    pub async fn until(&self, so: impl Fn(&Self) -> bool) {
-        while !so(self) {
+    pub async fn wait_until(&self, condition: impl Fn(&Self) -> bool) {
+        while !condition(self) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -188,7 +188,7 @@
     }
 
     /// Returns the objects that the site starts with.
-    pub fn file(&self, contract: &str) -> String {
+    pub fn initial_objects(&self, contract: &str) -> String {
         let customer = |name: &str, secret: &str| {
             format!(
                 "---\nkind: contract\nname: {name}\nspec:\n  keys: [{{ sha256: \"{}\" }}]\n  models: [{{ model: summary, versions: [\"1\", \"2\", \"9\"] }}]\n  services: [logbook]\n  budget: {{ amount: \"100\", currency: EUR, period: month }}\n  {contract}\n",
@@ -205,13 +205,13 @@
             "kind: model\nname: summary\nspec:\n  versions:\n    - {{ version: \"1\", tier: 0, price: {{ input: \"1\", output: \"2\", currency: EUR }} }}\n    - {{ version: \"9\", tier: 1, price: {{ input: \"10\", output: \"20\", currency: EUR }} }}\n---\nkind: model\nname: closed\nspec:\n  versions:\n    - {{ version: \"1\", tier: 0, price: {{ input: \"1\", output: \"2\", currency: EUR }} }}\n---\nkind: service\nname: logbook\nspec:\n  not_repeatable: [{{ method: POST, path_prefix: /launches }}]\n  price: {{ call: \"0.01\", currency: EUR }}\n---\nkind: service\nname: closed\nspec: {{}}\n---\nkind: pool\nname: engines\nspec:\n  domain: a\n  serves: {{ versions: [summary@1, summary@9] }}\n  endpoints: [{}]\n---\nkind: pool\nname: logbooks\nspec:\n  domain: a\n  serves: {{ service: logbook }}\n  endpoints: [{{ name: l1, address: \"{}\" }}]\n{}{}",
             engines.join(", "),
             self.service.addr(),
-            customer("club", CLUB),
-            customer("water", WATER),
+            customer("club", CLUB_KEY),
+            customer("water", WATER_KEY),
         )
         .replace("versions: [\"1\", \"2\", \"9\"]", "versions: [\"1\", \"9\"]")
     }
 
-    async fn node(&self, number: usize, plan: &Plan) -> Node {
+    async fn node(&self, number: usize, site_config: &SiteConfig) -> Node {
         let id = Id::parse(&format!("i{number}")).expect("a name");
         let domain = domain_of(number);
         let incarnation = Incarnation(1);
@@ -224,13 +224,13 @@
         let platform = store::open(platform);
         let mut config = config::Settings::new(id.clone(), domain.clone());
         // A single instance has no other failure domain to synchronize with.
-        let domains = if plan.instances > 1 { plan.instances } else { 0 };
+        let domains = if site_config.instances > 1 { site_config.instances } else { 0 };
         config.domains = (0..domains).map(domain_of).collect();
         config.freshness = Duration::from_secs(1);
         (config.interval, config.watch_wait) = (Duration::from_millis(100), Duration::from_millis(500));
         let (config, config_out) = config::spawn(config, platform.clone(), recorder.clone());
         config.set_reader(true).await;
-        let me = Instance {
+        let local = Instance {
             id: id.clone(),
             incarnation,
             domain: domain.clone(),
@@ -241,7 +241,7 @@
         };
         let seeds = self.nodes.iter().map(|node| node.links.peer.address()).collect();
         let (peer, inbound) =
-            peer::spawn(peer::Settings::new(me, ANY, seeds, peer::Key::new("k"))).await.expect("port 0 is free");
+            peer::spawn(peer::Settings::new(local, ANY, seeds, peer::Key::new("k"))).await.expect("port 0 is free");
         let (journal_out, journal_rx) = mpsc::channel(1_024);
         let origin = journal::Origin { instance: id.clone(), incarnation };
         let mut journal = journal::Config::new(origin.clone(), domain.clone());
@@ -258,18 +258,18 @@
         let keys = entry::session::Keys::new(vec![b"session-key".to_vec()]).expect("a key");
         let mut settings = Settings::new(id, domain, keys);
         settings.rated = self.rating.is_some();
-        settings.addresses.keep_ms = plan.keep_ms;
+        settings.addresses.keep_ms = site_config.keep_ms;
         settings.outage_after = Duration::from_millis(500);
         settings.body_timeout = Duration::from_millis(400);
         let entry = entry::bind(listener, settings, links.clone()).expect("bound");
-        let links_fault = Arc::new(LinksFault::default());
+        let link_faults = Arc::new(LinkFaults::default());
         let tasks = vec![
-            tokio::spawn(pump_config(links.clone(), config_out)),
-            tokio::spawn(pump_journal(links.peer.clone(), links_fault.clone(), journal_rx)),
-            tokio::spawn(pump_members(links.clone())),
-            tokio::spawn(pump_inbound(links.clone(), entry.clone(), links_fault.clone(), inbound)),
+            tokio::spawn(forward_config(links.clone(), config_out)),
+            tokio::spawn(forward_journal(links.peer.clone(), link_faults.clone(), journal_rx)),
+            tokio::spawn(forward_members(links.clone())),
+            tokio::spawn(forward_inbound(links.clone(), entry.clone(), link_faults.clone(), inbound)),
         ];
-        Node { entry, links, leaving: leaving_list, links_fault, tasks }
+        Node { entry, links, leaving: leaving_list, link_faults, tasks }
     }
 }
 
@@ -277,40 +277,40 @@
     Domain::parse(&format!("d{number}")).expect("a name")
 }
 
-const WITHIN: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-async fn pump_config(links: Links, mut out: mpsc::Receiver<Outbound>) {
+async fn forward_config(links: Links, mut out: mpsc::Receiver<Outbound>) {
     while let Some(message) = out.recv().await {
         match message {
             Outbound::News(bytes) => drop(links.peer.publish(Topic::Config, bytes).await),
             Outbound::Want { scope: Scope::One | Scope::EachDomain, bytes } => {
                 let other = links.peer.members().borrow().live().nth(1).map(|i| i.id.clone());
                 let Some(other) = other else { continue };
-                if let Ok(news) = links.peer.call(&other, Topic::Config, bytes, WITHIN).await {
-                    links.config.offer(news).await;
+                if let Ok(update) = links.peer.call(&other, Topic::Config, bytes, CALL_TIMEOUT).await {
+                    links.config.offer(update).await;
                 }
             }
         }
     }
 }
 
-async fn pump_journal(peer: peer::Handle, fault: Arc<LinksFault>, mut out: mpsc::Receiver<journal::Outbound>) {
+async fn forward_journal(peer: peer::Handle, fault: Arc<LinkFaults>, mut out: mpsc::Receiver<journal::Outbound>) {
     while let Some(message) = out.recv().await {
-        if fault.deaf.load(Ordering::Acquire) {
+        if fault.drop_journal_calls.load(Ordering::Acquire) {
             continue;
         }
         let peer = peer.clone();
-        let lag = Duration::from_millis(fault.lag_ms.load(Ordering::Acquire));
+        let delay = Duration::from_millis(fault.journal_delay_ms.load(Ordering::Acquire));
         tokio::spawn(async move {
-            tokio::time::sleep(lag).await;
-            if let Ok(answer) = peer.call(&message.to, Topic::Journal, message.bytes, WITHIN).await {
+            tokio::time::sleep(delay).await;
+            if let Ok(answer) = peer.call(&message.to, Topic::Journal, message.bytes, CALL_TIMEOUT).await {
                 let _ = message.reply.send(answer);
             }
         });
     }
 }
 
-async fn pump_members(links: Links) {
+async fn forward_members(links: Links) {
     let mut members = links.peer.members();
     loop {
         let list = members.borrow_and_update().clone();
@@ -327,16 +327,16 @@
     }
 }
 
-async fn pump_inbound(
+async fn forward_inbound(
     links: Links,
     entry: entry::Handle,
-    fault: Arc<LinksFault>,
+    fault: Arc<LinkFaults>,
     mut inbound: mpsc::Receiver<Inbound>,
 ) {
     // The streams being served end with the node, as when an instance is lost.
     let mut serving = tokio::task::JoinSet::new();
     while let Some(message) = inbound.recv().await {
-        if matches!(message, Inbound::Stream { .. }) && fault.mute.load(Ordering::Acquire) {
+        if matches!(message, Inbound::Stream { .. }) && fault.drop_streams.load(Ordering::Acquire) {
             continue;
         }
         let (links, entry) = (links.clone(), entry.clone());
--- a/crates/entry/tests/sockets.rs
+++ b/crates/entry/tests/sockets.rs
@@ -9,7 +9,7 @@
 /// acknowledged, and the caller's kernel delays that acknowledgement by 40 ms. This
 /// limited one caller to 22 streams a second.
 #[tokio::test]
-async fn accepted_sockets_send_at_once() {
+async fn accepted_sockets_have_nagle_disabled() {
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let listener = TcpListener::bind(any).await.expect("a port is free");
     entry::no_delay(&listener).expect("a TCP socket");
