--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -1,4 +1,4 @@
-//! The callers' side as the daemon holds it.
+//! The daemon's handle to the server for callers.
 
 use std::{
     io,
@@ -22,25 +22,26 @@
     shared::{Links, Settings, Shared},
 };
 
-/// Least time for connections to close after their last answer.
-const CLOSE_WITHIN: Duration = Duration::from_secs(2);
+/// Minimum time allowed for connections to close after their last answer.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Serves callers until it is dropped or drained; cheap to clone.
+/// Handle to the server, which runs until the last handle is dropped or the
+/// instance is drained. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     shared: Arc<Shared>,
     address: SocketAddr,
-    parts: Arc<Parts>,
+    tasks: Arc<Tasks>,
 }
 
-/// What ends with the last handle.
+/// Tasks that end when the last handle is dropped.
 #[derive(Debug)]
-struct Parts {
+struct Tasks {
     listener: Mutex<Listener>,
     feeds: Vec<JoinHandle<()>>,
 }
 
-impl Drop for Parts {
+impl Drop for Tasks {
     fn drop(&mut self) {
         for feed in &self.feeds {
             feed.abort();
@@ -50,65 +51,65 @@
 
 impl Handle {
     pub(crate) fn start(listener: TcpListener, settings: Settings, links: Links) -> io::Result<Self> {
-        let me = route::endpoint::Peer { id: settings.instance.clone(), domain: settings.domain.clone() };
-        let desk = desk::open(me, settings.retry, links.control.clone());
+        let local = route::endpoint::Peer { id: settings.instance.clone(), domain: settings.domain.clone() };
+        let desk = desk::open(local, settings.retry, links.control.clone());
         let shared = Shared::new(settings, links, desk);
         let listener = Listener::spawn(listener, &shared)?;
         let address = listener.address;
         let feeds = feed::spawn(&shared);
-        Ok(Self { shared, address, parts: Arc::new(Parts { listener: Mutex::new(listener), feeds }) })
+        Ok(Self { shared, address, tasks: Arc::new(Tasks { listener: Mutex::new(listener), feeds }) })
     }
 
-    /// Where callers connect.
+    /// Returns the address on which callers connect.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u64 {
         *self.shared.in_flight().borrow()
     }
 
-    /// Whether it refuses new work for good.
+    /// Returns whether new work is permanently refused.
     #[must_use]
     pub fn closed(&self) -> bool {
         self.shared.closed.load(Ordering::Acquire)
     }
 
-    /// Requests under way, and each change.
+    /// Returns a receiver that observes the number of requests in flight.
     #[must_use]
     pub fn watch_in_flight(&self) -> watch::Receiver<u64> {
         self.shared.in_flight()
     }
 
-    /// Answers a stream of [`peer::Topic::Request`]: a request that another
-    /// instance's caller joins. Ends when the answer does.
-    pub async fn serve(&self, question: Bytes, sink: mpsc::Sender<Bytes>) {
-        join::serve(&self.shared.held, &question, &sink).await;
+    /// Serves a stream of [`peer::Topic::Request`], with which a caller of another
+    /// instance joins a request. Returns when the answer ends.
+    pub async fn serve(&self, request: Bytes, sink: mpsc::Sender<Bytes>) {
+        join::serve(&self.shared.held, &request, &sink).await;
     }
 
-    /// Leaves: out of the addresses at once, then no new work, then every
-    /// answer to its end. Returns when all are sent, false when `deadline`
-    /// came first.
+    /// Drains the instance: removes it from the address lists, then refuses new work,
+    /// then waits until every answer has ended. Returns true when all answers are sent,
+    /// and false when `deadline` passed first.
     ///
-    /// Bills and grants are the journal's to flush after this.
+    /// The journal flushes bills and grants after this.
     pub async fn drain(&self, deadline: Instant) -> bool {
         if let Err(error) = self.shared.links.peer.leave().await {
-            tracing::warn!(%error, "others do not hear that this instance leaves");
+            tracing::warn!(%error, "could not announce that this instance is leaving");
         }
-        // Callers were told to keep their addresses for this long; work that
-        // they still send meanwhile is done.
-        let keep = Duration::from_millis(self.shared.settings.addresses.keep_ms);
-        sleep(keep.min(deadline.saturating_duration_since(Instant::now()))).await;
+        // Callers may use their address lists for this long, so work that they still send meanwhile
+        // is served.
+        let keep_time = Duration::from_millis(self.shared.settings.addresses.keep_ms);
+        sleep(keep_time.min(deadline.saturating_duration_since(Instant::now()))).await;
         self.shared.closed.store(true, Ordering::Release);
         let mut in_flight = self.shared.in_flight();
         let empty = in_flight.wait_for(|count| *count == 0);
         let drained = tokio::time::timeout_at(deadline, empty).await.is_ok();
         // A slow caller may still be reading the end of its answer.
-        let rest = deadline.saturating_duration_since(Instant::now()).max(CLOSE_WITHIN);
-        self.parts.listener.lock().await.close(rest).await;
+        let close_timeout = deadline.saturating_duration_since(Instant::now()).max(CLOSE_TIMEOUT);
+        self.tasks.listener.lock().await.close(close_timeout).await;
         drained
     }
 }
