--- a/crates/arbutuslugd/tests/decoders.rs
+++ b/crates/arbutuslugd/tests/decoders.rs
@@ -4,7 +4,7 @@
 //! a process down: what a decoder makes of noise, and of sound input with one
 //! byte changed, is its own business, but it returns.
 
-use entry::{ask::Chat, session};
+use entry::{parsing::Chat, session};
 use journal::{audit, wire};
 use proptest::prelude::*;
 use settings::Settings;
@@ -30,7 +30,7 @@
     }
     let keys = session::Keys::new(vec![b"key".to_vec()]).expect("a key");
     let customer = Customer::parse("club").expect("a name");
-    let _ = session::read(&keys, &customer, text);
+    let _ = session::parse(&keys, &customer, text);
 }
 
 /// Feeds every decoder that takes bytes.
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -288,7 +288,7 @@
             (None, Some((reason, usage))) => End::Whole { reason, usage },
             (None, None) => return,
         };
-        if self.request.terms.keyed {
+        if self.request.terms.has_caller_key {
             let bytes = self.buffer.len() + if let End::Reply(reply) = &end { reply.body.len() } else { 0 };
             self.shared.answers.keep_finished(self.request.id(), &self.buffer, bytes);
         }
--- a/crates/entry/src/driver/account.rs
+++ b/crates/entry/src/driver/account.rs
@@ -178,11 +178,11 @@
                 let permit = &chosen.choice.steps()[chosen.step];
                 (Item::Version(permit.version().clone()), self.answer.cost, permit.price().currency)
             }
-            Work::Call(visit) => {
-                let price = catalog.service(&visit.service).and_then(|service| service.price);
+            Work::Call(call) => {
+                let price = catalog.service(&call.service).and_then(|service| service.price);
                 let amount = price.map_or(Amount::ZERO, |price| price.call);
                 let currency = price.map_or(contract.budget.currency, |price| price.currency);
-                (Item::Service(visit.service.clone()), amount, currency)
+                (Item::Service(call.service.clone()), amount, currency)
             }
         };
         Some(Bill {
@@ -222,7 +222,7 @@
     ///
     /// The bill itself settles a claim, but not a registration.
     fn settle_answered(&self) {
-        if !self.request.terms.keyed {
+        if !self.request.terms.has_caller_key {
             return;
         }
         let (journal, id) = (self.shared.links.journal.clone(), self.request.id().clone());
@@ -288,7 +288,7 @@
         let Some(version) = self.version() else { return };
         self.shared.links.control.observe(Observation {
             customer: self.request.customer().clone(),
-            unit: self.request.unit(),
+            unit: self.request.rollout_unit(),
             version,
             outcome,
         });
--- a/crates/entry/src/driver/admission.rs
+++ b/crates/entry/src/driver/admission.rs
@@ -37,7 +37,7 @@
     /// Returns whether the request has to run here. Otherwise another run gave its
     /// outcome, it was refused, or every caller has hung up.
     pub(super) async fn register_key(&mut self) -> bool {
-        if self.request.repeat == Repeat::Never || !self.request.terms.keyed {
+        if self.request.repeat == Repeat::Never || !self.request.terms.has_caller_key {
             return true;
         }
         let time_left = self.request.deadline.saturating_duration_since(Instant::now());
@@ -147,7 +147,7 @@
             queue_key: self.request.queue_key(),
             customer: self.request.customer().clone(),
             weight,
-            deadline: self.request.due(),
+            deadline: self.request.wall_clock_deadline(),
             draw: self.request.id().hash(),
         };
         match self.shared.dispatcher.admit(request).await {
--- a/crates/entry/src/driver/choose.rs
+++ b/crates/entry/src/driver/choose.rs
@@ -23,7 +23,7 @@
     machine::Event,
     problem::{Kind, Problem},
     request::Work,
-    session::{self, Named},
+    session::{self, Reference},
 };
 
 /// Longest wait for the journal to bind a caller-named session.
@@ -72,11 +72,11 @@
 
     /// Returns the price of a plain service's call; zero if it has none.
     fn call_price(&self) -> Amount {
-        let Work::Call(visit) = &self.request.work else {
+        let Work::Call(call) = &self.request.work else {
             return Amount::ZERO;
         };
         let catalog = self.shared.catalog();
-        let price = catalog.service(&visit.service).and_then(|service| service.price);
+        let price = catalog.service(&call.service).and_then(|service| service.price);
         price.map_or(Amount::ZERO, |price| price.call)
     }
 
@@ -84,8 +84,8 @@
     /// cascade steps.
     pub(super) async fn choose_versions(&mut self) -> Result<u8, Problem> {
         let (choice, record, pins) = match self.request.session.clone() {
-            Some(Named::Caller(id)) => self.choose_for_named_session(&id).await?,
-            Some(Named::Handle { session, .. }) => self.choose_with_known_pins(Some(session)).await?,
+            Some(Reference::CallerNamed(id)) => self.choose_for_named_session(&id).await?,
+            Some(Reference::Handle { session, .. }) => self.choose_with_known_pins(Some(session)).await?,
             None => self.choose_with_known_pins(None).await?,
         };
         if let Err(problem) = self.reserve(choice.ceiling()).await {
@@ -94,7 +94,7 @@
         }
         let start = choice.start();
         let moved = self.unreported_moves(&choice, &pins).await;
-        let bound = matches!(self.request.session, Some(Named::Caller(_))).then(|| pins.clone());
+        let bound = matches!(self.request.session, Some(Reference::CallerNamed(_))).then(|| pins.clone());
         let session = self.session_identifier(pins);
         self.shared.record_step(
             self.request.id(),
@@ -168,7 +168,7 @@
             model: chat.model.clone(),
             class: self.request.terms.class.clone(),
             session,
-            unit: self.request.unit(),
+            unit: self.request.rollout_unit(),
             repeat: self.effective_repeat(),
             prompt_tokens: chat.prompt_tokens,
             max_tokens: chat.max_tokens,
@@ -203,7 +203,7 @@
     /// on every endpoint, while its predecessor would answer. A session that is
     /// already pinned to the version keeps it.
     pub(super) fn exclude_failed_version(&mut self) {
-        let named = matches!(self.request.session, Some(Named::Caller(_)));
+        let named = matches!(self.request.session, Some(Reference::CallerNamed(_)));
         let Some(chosen) = self.chosen.as_ref().filter(|chosen| chosen.step == 0) else { return };
         let permit = chosen.choice.start();
         if named || permit.pinned() || permit.predecessor().is_none() || !self.buffer.is_empty() {
@@ -234,12 +234,12 @@
 
     /// Returns the identifier by which the caller names the session from now on.
     fn session_identifier(&self, pins: Vec<Pin>) -> Option<String> {
-        if let Some(Named::Caller(id)) = &self.request.session {
+        if let Some(Reference::CallerNamed(id)) = &self.request.session {
             return Some(id.to_string());
         }
         let id = self.request.session_id()?;
         let session = Session { customer: self.request.customer().clone(), pins };
-        Some(session::handle(&self.shared.settings.session_keys, &id, &session))
+        Some(session::sign_handle(&self.shared.settings.session_keys, &id, &session))
     }
 }
 
--- a/crates/entry/src/driver/dispatch.rs
+++ b/crates/entry/src/driver/dispatch.rs
@@ -13,11 +13,11 @@
 
 use super::{Attempt, Driver};
 use crate::{
-    ask,
     buffer::Reply,
     clock,
     dispatcher::{Ending, EndpointQuery, Reservation},
     machine::Event,
+    parsing,
     problem::{Kind, Problem},
     request::Work,
 };
@@ -54,8 +54,8 @@
         );
         match self.request.work.clone() {
             Work::Chat(_) => self.run(reservation).await,
-            Work::Call(visit) => {
-                let call = visit.call(new_attempt_id(), reservation.address, &self.request);
+            Work::Call(call) => {
+                let call = call.addressed_to(new_attempt_id(), reservation.address, &self.request);
                 self.call(call, reservation).await
             }
         }
@@ -146,7 +146,7 @@
             Ok(response) => {
                 reservation.end(Ending::Whole { millis: clock::millis(started.elapsed()), tokens: 1 });
                 let (parts, body) = response.into_parts();
-                let headers = ask::only(&parts.headers, &FORWARDED_HEADERS);
+                let headers = parsing::select_headers(&parts.headers, &FORWARDED_HEADERS);
                 self.answer.reply = Some(Arc::new(Reply { status: parts.status, headers, body }));
                 Event::Started
             }
@@ -204,7 +204,7 @@
         let asked = retry::Request {
             repeat: self.request.repeat,
             tries: self.tries,
-            deadline: self.request.due(),
+            deadline: self.request.wall_clock_deadline(),
             expected_ms: self.expected_ms,
         };
         match self.shared.dispatcher.request_retry(self.request.customer(), asked, self.failure).await {
--- a/crates/entry/src/driver/late_billing.rs
+++ b/crates/entry/src/driver/late_billing.rs
@@ -33,7 +33,7 @@
     /// already continue in the background.
     pub(super) fn late_billing_permit(&self) -> Option<OwnedSemaphorePermit> {
         let is_unbilled = self.cause.as_ref().is_some_and(|cause| cause.kind == Kind::BillNotHeld);
-        let is_kept = self.request.repeat == Repeat::Never && self.request.terms.keyed;
+        let is_kept = self.request.repeat == Repeat::Never && self.request.terms.has_caller_key;
         if self.machine.state() != State::Failed || !is_unbilled || !is_kept {
             return None;
         }
--- a/crates/entry/src/driver/session_moves.rs
+++ b/crates/entry/src/driver/session_moves.rs
@@ -20,7 +20,7 @@
 };
 
 use super::Driver;
-use crate::{join, session::Named, shared::Shared};
+use crate::{join, session::Reference, shared::Shared};
 
 /// Longest that an answer waits for recording the moves that it reports, or for the
 /// instance that reported a move before; after it the move is reported again.
@@ -89,7 +89,7 @@
     /// twice, and a caller that never received the head gets it from a repeat of this
     /// request or from the next one.
     pub(super) async fn record_reported_moves(&self) {
-        let Some(Named::Caller(id)) = &self.request.session else { return };
+        let Some(Reference::CallerNamed(id)) = &self.request.session else { return };
         let Some(chosen) = self.chosen.as_ref().filter(|chosen| !chosen.moved.is_empty()) else { return };
         let Some(bound) = chosen.bound.as_deref() else { return };
         let mut updated = bound.to_vec();
@@ -121,7 +121,7 @@
     /// contain it. So the retraction comes before the refusal, and continues in the
     /// background if it takes too long.
     pub(super) async fn retract_move_reports(&self) {
-        let Some(Named::Caller(session)) = &self.request.session else { return };
+        let Some(Reference::CallerNamed(session)) = &self.request.session else { return };
         let retraction =
             Retraction { shared: self.shared.clone(), session: session.clone(), answer: self.request.id().clone() };
         let deadline = self.request.deadline.min(Instant::now() + RETRACT_TIMEOUT);
--- a/crates/entry/src/http/addresses.rs
+++ b/crates/entry/src/http/addresses.rs
@@ -9,7 +9,7 @@
 
 use super::answer;
 use crate::{
-    ask,
+    parsing,
     problem::{Address, Kind, Problem},
     shared::Shared,
 };
@@ -22,7 +22,7 @@
 }
 
 pub(super) fn answer(shared: &Arc<Shared>, request: &Request, response: &mut Response) -> Result<(), Problem> {
-    let customer = ask::customer(&shared.catalog(), request.headers())?;
+    let customer = parsing::authenticate(&shared.catalog(), request.headers())?;
     let domain = query(request, "domain")?
         .map(|text| Domain::parse(&text))
         .transpose()
@@ -49,8 +49,8 @@
     customer: &world::contract::Customer,
     text: &str,
 ) -> Result<Option<session::Id>, Problem> {
-    match crate::session::read(&shared.settings.session_keys, customer, text)? {
-        crate::session::Named::Handle { id, .. } | crate::session::Named::Caller(id) => Ok(Some(id)),
+    match crate::session::parse(&shared.settings.session_keys, customer, text)? {
+        crate::session::Reference::Handle { id, .. } | crate::session::Reference::CallerNamed(id) => Ok(Some(id)),
     }
 }
 
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -9,9 +9,8 @@
 use world::model::Version;
 
 use crate::{
-    ask,
     buffer::{End, Head, Item, Reader, Reply},
-    clock,
+    clock, parsing,
     problem::{self, Problem},
 };
 
@@ -132,7 +131,7 @@
         set(response, VERSION, &version.to_string());
     }
     if let Some(session) = &head.session {
-        set(response, ask::SESSION, session);
+        set(response, parsing::SESSION_HEADER, session);
     }
     if !head.moved.is_empty() {
         let moved_from: Vec<String> = head.moved.iter().map(ToString::to_string).collect();
--- a/crates/entry/src/http/calls.rs
+++ b/crates/entry/src/http/calls.rs
@@ -17,12 +17,12 @@
 use super::{answer, read};
 use crate::{
     answers::Lookup,
-    ask::{self, Chat, Terms},
     buffer::{Buffer, Reader},
     clock,
     driver::Driver,
+    parsing::{self, Chat, Terms},
     problem::{Kind, Problem},
-    request::{Request, Visit, Work},
+    request::{Request, ServiceCall, Work},
     session,
     shared::Shared,
 };
@@ -80,13 +80,13 @@
     let plain = path.split('?').next().unwrap_or_default();
     let repeat = if spec.repeatable(http.method().as_str(), plain) { terms.repeat() } else { Repeat::Never };
     let method = http.method().clone();
-    let headers = ask::only(http.headers(), &FORWARDED_HEADERS);
+    let headers = parsing::select_headers(http.headers(), &FORWARDED_HEADERS);
     let body = match body(shared, http).await {
         Ok(body) => body,
         Err(problem) => return Err(shared.correct_ran(problem, &terms, repeat).await),
     };
-    let visit = Visit { service: id, method, path, headers, body };
-    let request = Request::new(terms, repeat, Work::Call(visit), session, contract);
+    let call = ServiceCall { service: id, method, path, headers, body };
+    let request = Request::new(terms, repeat, Work::Call(call), session, contract);
     let reader = start(shared, request, contract).await.map_err(|problem| problem.with_request(&key))?;
     answer::write(response, reader, false).await
 }
@@ -99,7 +99,7 @@
 }
 
 pub(super) async fn outcome(shared: &Arc<Shared>, http: &mut Http, response: &mut Response) -> Result<(), Problem> {
-    let customer = ask::customer(&shared.catalog(), http.headers())?;
+    let customer = parsing::authenticate(&shared.catalog(), http.headers())?;
     let text: String = http.param("key").unwrap_or_default();
     let unknown = || Problem::new(Kind::UnknownRequest, Ran::Unknown, "no record of it under this customer");
     let key = request::Key::parse(&text).map_err(|_| unknown())?;
@@ -120,8 +120,8 @@
 }
 
 fn terms(catalog: &Catalog, headers: &HeaderMap) -> Result<Terms, Problem> {
-    let customer = ask::customer(catalog, headers)?;
-    ask::terms(customer, headers, clock::now())
+    let customer = parsing::authenticate(catalog, headers)?;
+    parsing::parse_terms(customer, headers, clock::now())
 }
 
 fn contract<'a>(catalog: &'a Catalog, terms: &Terms) -> Result<&'a Contract, Problem> {
@@ -144,14 +144,14 @@
 }
 
 /// Returns the session that a call names, if any.
-fn session(shared: &Shared, terms: &Terms) -> Result<Option<session::Named>, Problem> {
-    let read = |text: &String| session::read(&shared.settings.session_keys, &terms.customer, text);
-    terms.session.as_ref().map(read).transpose()
+fn session(shared: &Shared, terms: &Terms) -> Result<Option<session::Reference>, Problem> {
+    let parse = |text: &String| session::parse(&shared.settings.session_keys, &terms.customer, text);
+    terms.session.as_ref().map(parse).transpose()
 }
 
 /// Starts a request, or joins it if it is already running on this instance.
 async fn start(shared: &Arc<Shared>, request: Request, contract: &Contract) -> Result<Reader, Problem> {
-    if !request.terms.keyed {
+    if !request.terms.has_caller_key {
         shared.may_start(request.customer(), contract)?;
         let buffer = Buffer::new();
         let reader = buffer.reader();
@@ -178,7 +178,7 @@
 fn spawn(shared: &Arc<Shared>, request: Request, buffer: Buffer) {
     let (model, service) = match &request.work {
         Work::Chat(chat) => (Some(chat.model.clone()), None),
-        Work::Call(visit) => (None, Some(visit.service.clone())),
+        Work::Call(call) => (None, Some(call.service.clone())),
     };
     let session = request.session.as_ref().and(request.session_id());
     shared.record_step(request.id(), Step::Received { model, service, repeat: request.repeat, session });
--- a/crates/entry/src/join.rs
+++ b/crates/entry/src/join.rs
@@ -18,8 +18,8 @@
 
 use crate::{
     answers::Answers,
-    ask::{decode, encode},
     buffer::{Buffer, End, Head, Item, Reply},
+    parsing::{decode_base64, encode_base64},
     problem::Problem,
 };
 
@@ -65,7 +65,7 @@
             Item::End(End::Reply(reply)) => Self::Reply {
                 status: reply.status.as_u16(),
                 headers: header_pairs(&reply.headers),
-                body: encode(&reply.body),
+                body: encode_base64(&reply.body),
             },
         }
     }
@@ -120,7 +120,7 @@
         WireItem::Failed(problem) => Some(End::Failed(Arc::new(problem))),
         WireItem::Reply { status, headers, body } => {
             let status = StatusCode::from_u16(status).ok()?;
-            let body = Bytes::from(decode(&body)?);
+            let body = Bytes::from(decode_base64(&body)?);
             Some(End::Reply(Arc::new(Reply { status, headers: header_map(headers), body })))
         }
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,14 +1,13 @@
 //! HTTP interface for callers and the life cycle of one request.
 //!
 //! [`bind`] serves callers on a bound socket. A request is read and checked
-//! ([`ask`]), then one task (`driver`) takes it through the state machine of
+//! ([`parsing`]), then one task (`driver`) takes it through the state machine of
 //! [`machine`]. The task writes everything that the caller receives to a [`buffer`].
 //! Repeats of the request read the same buffer, on this instance or over a peer link
 //! (`join`). Routing decisions are requested from the [`dispatcher`], which owns the
 //! state that `route` needs.
 
 mod answers;
-pub mod ask;
 pub mod buffer;
 pub mod clock;
 pub mod dispatcher;
@@ -17,6 +16,7 @@
 mod http;
 mod join;
 pub mod machine;
+pub mod parsing;
 pub mod problem;
 mod ran_status;
 mod request;
--- a/crates/entry/src/ask.rs
+++ b/crates/entry/src/parsing.rs
@@ -22,15 +22,15 @@
 use crate::problem::{Kind, Problem};
 
 /// Header with the request's key, by which repeats are recognized.
-pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 /// Header whose value `false` marks a request that must not be repeated.
-pub const IDEMPOTENT: HeaderName = HeaderName::from_static("arbutuslug-idempotent");
+pub const IDEMPOTENT_HEADER: HeaderName = HeaderName::from_static("arbutuslug-idempotent");
 /// Header that names the session.
-pub const SESSION: HeaderName = HeaderName::from_static("arbutuslug-session");
+pub const SESSION_HEADER: HeaderName = HeaderName::from_static("arbutuslug-session");
 /// Header with the milliseconds from now in which the answer must be whole.
-pub const DEADLINE: HeaderName = HeaderName::from_static("arbutuslug-deadline-ms");
+pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("arbutuslug-deadline-ms");
 /// Header that names the request class.
-pub const CLASS: HeaderName = HeaderName::from_static("arbutuslug-request-class");
+pub const CLASS_HEADER: HeaderName = HeaderName::from_static("arbutuslug-request-class");
 
 /// Class of a request that does not name one.
 const DEFAULT_CLASS: &str = "default";
@@ -49,9 +49,9 @@
     /// Identifier of the request.
     pub id: request::Id,
     /// Whether the caller gave the key; nobody can repeat a key generated here.
-    pub keyed: bool,
+    pub has_caller_key: bool,
     /// Whether the caller marked the request as not to be repeated.
-    pub never: bool,
+    pub forbids_repeat: bool,
     /// Session header as sent by the caller.
     pub session: Option<String>,
     /// Time until the deadline; `None` for the contract's default.
@@ -64,7 +64,7 @@
     /// Returns whether the request may be repeated.
     #[must_use]
     pub fn repeat(&self) -> Repeat {
-        if self.never { Repeat::Never } else { Repeat::Idempotent }
+        if self.forbids_repeat { Repeat::Never } else { Repeat::Idempotent }
     }
 }
 
@@ -73,7 +73,7 @@
 /// # Errors
 ///
 /// [`Kind::WrongKey`] if there is no key or no contract lists it.
-pub fn customer(catalog: &Catalog, headers: &HeaderMap) -> Result<Customer, Problem> {
+pub fn authenticate(catalog: &Catalog, headers: &HeaderMap) -> Result<Customer, Problem> {
     let refused = |detail: &str| Problem::not_run(Kind::WrongKey, detail);
     let value = headers.get(header::AUTHORIZATION).ok_or_else(|| refused("no Authorization header"))?;
     let value = value.to_str().map_err(|_| refused("the Authorization header is not text"))?;
@@ -87,8 +87,8 @@
     // The lookup uses the key's hash, so that its duration reveals nothing about the
     // key; the match itself is checked in constant time.
     let contract = catalog.contract(customer).ok_or_else(wrong)?;
-    let held = contract.keys.iter().any(|held| held.sha256.as_bytes().ct_eq(digest.as_bytes()).into());
-    if held { Ok(customer.clone()) } else { Err(wrong()) }
+    let is_listed = contract.keys.iter().any(|listed| listed.sha256.as_bytes().ct_eq(digest.as_bytes()).into());
+    if is_listed { Ok(customer.clone()) } else { Err(wrong()) }
 }
 
 /// Parses a call's terms from its headers.
@@ -96,28 +96,28 @@
 /// # Errors
 ///
 /// [`Kind::Malformed`], naming the header, or [`Kind::KeyExpired`].
-pub fn terms(customer: Customer, headers: &HeaderMap, now: Timestamp) -> Result<Terms, Problem> {
-    let given = header_text(headers, &KEY)?;
-    let keyed = given.is_some();
+pub fn parse_terms(customer: Customer, headers: &HeaderMap, now: Timestamp) -> Result<Terms, Problem> {
+    let given = header_text(headers, &KEY_HEADER)?;
+    let has_caller_key = given.is_some();
     let key = match given {
-        Some(given) => parsed_header(&KEY, request::Key::parse(given))?,
+        Some(given) => parsed_header(&KEY_HEADER, request::Key::parse(given))?,
         None => fresh_key(),
     };
     check_key_age(&key, now)?;
-    let never = match header_text(headers, &IDEMPOTENT)? {
+    let forbids_repeat = match header_text(headers, &IDEMPOTENT_HEADER)? {
         None | Some("true") => false,
         Some("false") => true,
-        Some(_) => return Err(malformed_header(&IDEMPOTENT, "use `true` or `false`")),
+        Some(_) => return Err(malformed_header(&IDEMPOTENT_HEADER, "use `true` or `false`")),
     };
-    let deadline_ms = match header_text(headers, &DEADLINE)? {
+    let deadline_ms = match header_text(headers, &DEADLINE_HEADER)? {
         None => None,
         Some(digits) => Some(deadline(digits)?),
     };
-    let class = header_text(headers, &CLASS)?.unwrap_or(DEFAULT_CLASS);
-    let class = parsed_header(&CLASS, Class::parse(class))?;
-    let session = header_text(headers, &SESSION)?.map(str::to_owned);
+    let class = header_text(headers, &CLASS_HEADER)?.unwrap_or(DEFAULT_CLASS);
+    let class = parsed_header(&CLASS_HEADER, Class::parse(class))?;
+    let session = header_text(headers, &SESSION_HEADER)?.map(str::to_owned);
     let id = request::Id { customer: customer.clone(), key };
-    Ok(Terms { customer, id, keyed, never, session, deadline_ms, class })
+    Ok(Terms { customer, id, has_caller_key, forbids_repeat, session, deadline_ms, class })
 }
 
 /// Generates a key for a request whose caller gave none.
@@ -149,7 +149,7 @@
 /// Parses the value of the deadline header.
 fn deadline(digits: &str) -> Result<Millis, Problem> {
     match digits.parse::<Millis>() {
-        Ok(0) | Err(_) => Err(malformed_header(&DEADLINE, "use a whole number of milliseconds above 0")),
+        Ok(0) | Err(_) => Err(malformed_header(&DEADLINE_HEADER, "use a whole number of milliseconds above 0")),
         Ok(millis) => Ok(millis.min(MAX_DEADLINE_MS)),
     }
 }
@@ -298,17 +298,17 @@
 }
 
 /// Returns the headers listed in `names`, each with its first value.
-pub(crate) fn only(headers: &HeaderMap, names: &[HeaderName]) -> HeaderMap {
+pub(crate) fn select_headers(headers: &HeaderMap, names: &[HeaderName]) -> HeaderMap {
     let kept = names.iter().filter_map(|name| Some((name.clone(), headers.get(name)?.clone())));
     kept.collect()
 }
 
 /// Encodes bytes as URL-safe base64 without padding.
-pub(crate) fn encode(bytes: &[u8]) -> String {
+pub(crate) fn encode_base64(bytes: &[u8]) -> String {
     base64::engine::general_purpose::URL_SAFE_NO_PAD.encode(bytes)
 }
 
 /// Decodes URL-safe base64 without padding; `None` if the text is invalid.
-pub(crate) fn decode(text: &str) -> Option<Vec<u8>> {
+pub(crate) fn decode_base64(text: &str) -> Option<Vec<u8>> {
     base64::engine::general_purpose::URL_SAFE_NO_PAD.decode(text).ok()
 }
--- a/crates/entry/src/ran_status.rs
+++ b/crates/entry/src/ran_status.rs
@@ -25,8 +25,8 @@
 };
 
 use crate::{
-    ask::Terms,
     clock,
+    parsing::Terms,
     problem::{Kind, Problem},
     shared::Shared,
 };
@@ -58,7 +58,7 @@
     pub async fn correct_ran(&self, mut problem: Problem, terms: &Terms, repeat: Repeat) -> Problem {
         // A reused key with another body is another request, which has not run,
         // whatever the outcome of the request that used the key before.
-        let about_key = terms.keyed && problem.kind != Kind::KeyReused;
+        let about_key = terms.has_caller_key && problem.kind != Kind::KeyReused;
         if problem.ran == Ran::No && about_key {
             problem.ran = self.ran_elsewhere(terms, repeat).await;
         }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -15,10 +15,10 @@
 };
 
 use crate::{
-    ask::{Chat, Terms},
     clock,
     dispatcher::QueueKey,
-    session::Named,
+    parsing::{Chat, Terms},
+    session::Reference,
 };
 
 /// The work of a request.
@@ -27,12 +27,12 @@
     /// A chat request.
     Chat(Chat),
     /// A call of a plain service.
-    Call(Visit),
+    Call(ServiceCall),
 }
 
 /// A call of a plain service as received from the caller.
 #[derive(Debug, Clone)]
-pub struct Visit {
+pub struct ServiceCall {
     /// Service to call.
     pub service: service::Id,
     /// HTTP method.
@@ -45,10 +45,10 @@
     pub body: Bytes,
 }
 
-impl Visit {
+impl ServiceCall {
     /// Returns the call addressed to one server of the service.
     #[must_use]
-    pub fn call(&self, attempt: endpoint::Attempt, address: std::net::SocketAddr, request: &Request) -> Call {
+    pub fn addressed_to(&self, attempt: endpoint::Attempt, address: std::net::SocketAddr, request: &Request) -> Call {
         Call {
             attempt,
             address,
@@ -78,7 +78,7 @@
     /// Work to run.
     pub work: Work,
     /// Session named by the caller.
-    pub session: Option<Named>,
+    pub session: Option<Reference>,
     /// Time by which the answer must be whole.
     pub deadline: Instant,
     /// Time at which the request was received.
@@ -88,7 +88,7 @@
 impl Request {
     /// Creates a request that is received now; `contract` gives the default deadline.
     #[must_use]
-    pub fn new(terms: Terms, repeat: Repeat, work: Work, session: Option<Named>, contract: &Contract) -> Self {
+    pub fn new(terms: Terms, repeat: Repeat, work: Work, session: Option<Reference>, contract: &Contract) -> Self {
         let received = Instant::now();
         let allowed = terms.deadline_ms.unwrap_or(contract.rank.deadline_ms);
         let deadline = received + std::time::Duration::from_millis(allowed);
@@ -109,7 +109,7 @@
 
     /// Returns the deadline as wall-clock time.
     #[must_use]
-    pub fn due(&self) -> Timestamp {
+    pub fn wall_clock_deadline(&self) -> Timestamp {
         clock::now().plus(clock::remaining_ms(self.deadline))
     }
 
@@ -118,7 +118,7 @@
     pub fn queue_key(&self) -> QueueKey {
         match &self.work {
             Work::Chat(chat) => QueueKey::Model(chat.model.clone()),
-            Work::Call(visit) => QueueKey::Service(visit.service.clone()),
+            Work::Call(call) => QueueKey::Service(call.service.clone()),
         }
     }
 
@@ -127,7 +127,7 @@
     pub fn fingerprint(&self) -> u64 {
         match &self.work {
             Work::Chat(chat) => chat.fingerprint,
-            Work::Call(visit) => visit.fingerprint(),
+            Work::Call(call) => call.fingerprint(),
         }
     }
 
@@ -136,7 +136,7 @@
     #[must_use]
     pub fn session_id(&self) -> Option<session::Id> {
         match &self.session {
-            Some(Named::Handle { id, .. } | Named::Caller(id)) => Some(id.clone()),
+            Some(Reference::Handle { id, .. } | Reference::CallerNamed(id)) => Some(id.clone()),
             None => session::Id::parse(self.terms.id.key.as_str()).ok(),
         }
     }
@@ -144,7 +144,7 @@
     /// Returns the unit that roll-outs assign to a version: the session, or the request
     /// itself if it has none.
     #[must_use]
-    pub fn unit(&self) -> Unit {
+    pub fn rollout_unit(&self) -> Unit {
         match self.session_id() {
             Some(id) => Unit::session(self.customer(), &id),
             None => Unit::request(self.id()),
@@ -157,7 +157,7 @@
     pub fn target(&self, version: Option<&Version>) -> Option<Target> {
         match &self.work {
             Work::Chat(_) => version.cloned().map(Target::Version),
-            Work::Call(visit) => Some(Target::Service(visit.service.clone())),
+            Work::Call(call) => Some(Target::Service(call.service.clone())),
         }
     }
 }
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    ask::{decode, encode},
+    parsing::{decode_base64, encode_base64},
     problem::{Kind, Problem},
 };
 
@@ -46,7 +46,7 @@
 
 /// A session as identified by a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Named {
+pub enum Reference {
     /// A valid handle, which contains the pins.
     Handle {
         /// Identifier of the session.
@@ -55,7 +55,7 @@
         session: Session,
     },
     /// A name given by the caller; the pins are in the journal.
-    Caller(Id),
+    CallerNamed(Id),
 }
 
 /// Payload of a handle.
@@ -75,32 +75,33 @@
 ///
 /// [`Kind::BadSession`] for a handle that is not signed with one of `keys` or belongs
 /// to another customer, [`Kind::Malformed`] for a text that is not a valid name.
-pub fn read(keys: &Keys, customer: &Customer, text: &str) -> Result<Named, Problem> {
+pub fn parse(keys: &Keys, customer: &Customer, text: &str) -> Result<Reference, Problem> {
     let Some(rest) = text.strip_prefix(PREFIX) else {
         let id = Id::parse(text).map_err(|invalid| Problem::not_run(Kind::Malformed, format!("session: {invalid}")))?;
-        return Ok(Named::Caller(id));
+        return Ok(Reference::CallerNamed(id));
     };
     let bad = || Problem::not_run(Kind::BadSession, "the handle was not made here, or was changed");
     let (payload, mac) = rest.split_once('.').ok_or_else(bad)?;
-    let mac = decode(mac).ok_or_else(bad)?;
+    let mac = decode_base64(mac).ok_or_else(bad)?;
     let signed = keys.0.iter().any(|key| new_mac(key, payload).verify_slice(&mac).is_ok());
     if !signed {
         return Err(bad());
     }
-    let payload: Payload = decode(payload).and_then(|bytes| serde_json::from_slice(&bytes).ok()).ok_or_else(bad)?;
+    let payload: Payload =
+        decode_base64(payload).and_then(|bytes| serde_json::from_slice(&bytes).ok()).ok_or_else(bad)?;
     if payload.c != *customer {
         return Err(bad());
     }
-    Ok(Named::Handle { id: payload.s, session: Session { customer: payload.c, pins: payload.p } })
+    Ok(Reference::Handle { id: payload.s, session: Session { customer: payload.c, pins: payload.p } })
 }
 
 /// Creates and signs a session's handle.
 #[must_use]
-pub fn handle(keys: &Keys, id: &Id, session: &Session) -> String {
+pub fn sign_handle(keys: &Keys, id: &Id, session: &Session) -> String {
     let payload = Payload { c: session.customer.clone(), s: id.clone(), p: session.pins.clone() };
-    let payload = encode(&serde_json::to_vec(&payload).unwrap_or_default());
+    let payload = encode_base64(&serde_json::to_vec(&payload).unwrap_or_default());
     let mac = new_mac(&keys.0[0], &payload).finalize().into_bytes();
-    format!("{PREFIX}{payload}.{}", encode(&mac))
+    format!("{PREFIX}{payload}.{}", encode_base64(&mac))
 }
 
 /// Returns the MAC state over a payload, to sign or verify it.
