--- a/crates/entry/src/dispatcher/learn.rs
+++ b/crates/entry/src/dispatcher/learn.rs
@@ -34,7 +34,7 @@
 /// Learned estimates, and the answers that wait for a rating.
 #[derive(Debug)]
 pub(super) struct Learner {
-    pub book: Book,
+    pub quality: Book,
     control: control::Handle,
     unrated: HashMap<String, (Timestamp, UnratedAnswer)>,
     delivery_order: VecDeque<(Timestamp, String)>,
@@ -44,7 +44,7 @@
 impl Learner {
     pub fn new(control: control::Handle) -> Self {
         Self {
-            book: Book::default(),
+            quality: Book::default(),
             control,
             unrated: HashMap::new(),
             delivery_order: VecDeque::new(),
@@ -64,15 +64,15 @@
     }
 
     pub fn discard(&mut self, record: &ChoiceRecord) {
-        self.book.void(record.cell, record.pending);
+        self.quality.void(record.cell, record.pending);
     }
 
     pub fn expire(&mut self, record: &ChoiceRecord) {
-        self.book.lapse(record.cell, record.pending);
+        self.quality.lapse(record.cell, record.pending);
     }
 
     pub fn escalate(&mut self, record: ChoiceRecord, rate: f64) -> ChoiceRecord {
-        let pending = self.book.escalated(record.cell, record.pending, rate);
+        let pending = self.quality.escalated(record.cell, record.pending, rate);
         ChoiceRecord { pending, ..record }
     }
 
@@ -94,9 +94,9 @@
 
     /// Records the rating of an answer. `last` says whether the answer was delivered.
     pub fn record_rating(&mut self, record: &ChoiceRecord, version: &Version, stage: Stage, pass: bool, last: bool) {
-        self.book.rate(record.cell, version, stage, pass);
+        self.quality.rate(record.cell, version, stage, pass);
         if last {
-            self.book.close(record.cell, record.pending, pass);
+            self.quality.close(record.cell, record.pending, pass);
         }
         self.observe(record, version, pass);
     }
@@ -120,7 +120,7 @@
             let Some((at, answer)) = self.unrated.remove(&rating.id) else {
                 if is_first_tier(catalog, &rating.version) {
                     let cell = Cell::new(&rating.customer, &rating.class);
-                    self.book.rate(cell, &rating.version, Stage::First, rating.pass);
+                    self.quality.rate(cell, &rating.version, Stage::First, rating.pass);
                 }
                 continue;
             };
--- a/crates/entry/src/dispatcher/state.rs
+++ b/crates/entry/src/dispatcher/state.rs
@@ -181,7 +181,7 @@
     /// Returns a lower estimate of the fastest version's run time, in milliseconds.
     fn min_run_ms(&self, queue_key: &QueueKey, now: Timestamp) -> Millis {
         let least = self.targets(queue_key).into_iter().filter_map(|target| match target {
-            Target::Version(version) => Some(self.learner.book.speed(Cell::ANY, &version, now).least_ms()),
+            Target::Version(version) => Some(self.learner.quality.speed(Cell::ANY, &version, now).least_ms()),
             Target::Service(_) => None,
         });
         to_millis(least.fold(f64::INFINITY, f64::min)).max(1)
@@ -203,11 +203,11 @@
             left_ms: query.left_ms,
             ceiling: query.ceiling,
             rater: self.learner.rater(now),
-            book: &self.learner.book,
+            book: &self.learner.quality,
         };
         let choice = model::choose(&inputs)?;
         let cell = Cell::new(&query.customer, &query.class);
-        let pending = self.learner.book.open(cell, choice.expected(0), choice.reason().target);
+        let pending = self.learner.quality.open(cell, choice.expected(0), choice.reason().target);
         Ok((choice, ChoiceRecord { customer: query.customer.clone(), unit: query.unit, cell, pending }))
     }
 
@@ -242,7 +242,7 @@
 
     fn expected_ms(&self, target: &Target, cell: Cell, now: Timestamp) -> Millis {
         match target {
-            Target::Version(version) => to_millis(self.learner.book.speed(cell, version, now).least_ms()),
+            Target::Version(version) => to_millis(self.learner.quality.speed(cell, version, now).least_ms()),
             Target::Service(_) => 0,
         }
     }
@@ -251,7 +251,7 @@
         match ending {
             Ending::Whole { millis, tokens } => {
                 if let Target::Version(version) = target {
-                    self.learner.book.ran(cell, version, millis, tokens, now);
+                    self.learner.quality.ran(cell, version, millis, tokens, now);
                 }
                 self.fleet.on(Event::Finished { key, target, millis, tokens }, now);
             }
