--- a/crates/entry/src/dispatcher.rs
+++ b/crates/entry/src/dispatcher.rs
@@ -318,7 +318,7 @@
     }
 
     /// Reports that the rating service failed to rate an answer at once.
-    pub fn rater_down(&self) {
+    pub fn mark_rater_unavailable(&self) {
         self.notify(Message::RaterDown);
     }
 
--- a/crates/entry/src/dispatcher/learn.rs
+++ b/crates/entry/src/dispatcher/learn.rs
@@ -59,7 +59,7 @@
 
     /// Suspends cascades for a while after the rating service failed, so that requests
     /// do not each wait for it until a timeout.
-    pub fn rater_down(&mut self, now: Timestamp) {
+    pub fn mark_rater_unavailable(&mut self, now: Timestamp) {
         self.rater_backoff_until = now.plus(RATER_BACKOFF_MS);
     }
 
--- a/crates/entry/src/dispatcher/state.rs
+++ b/crates/entry/src/dispatcher/state.rs
@@ -99,7 +99,7 @@
             Message::Rated { record, version, stage, pass, last } => {
                 self.learner.record_rating(&record, &version, stage, pass, last);
             }
-            Message::RaterDown => self.learner.rater_down(now),
+            Message::RaterDown => self.learner.mark_rater_unavailable(now),
             Message::LateRatings(ratings) => self.learner.record_late_ratings(ratings, &self.catalog),
             Message::SetLoad(endpoint, load) => self.set_load(&endpoint, &load, now),
             Message::CacheEvents(endpoint, events) => self.apply_cache_events(&endpoint, &events, now),
--- a/crates/entry/src/driver/account.rs
+++ b/crates/entry/src/driver/account.rs
@@ -46,7 +46,7 @@
             // more expensive version answers, and no cascade starts for a while.
             Err(error) => {
                 tracing::debug!(request = %self.request.id(), %error, "no rating received, escalating");
-                self.shared.dispatcher.rater_down();
+                self.shared.dispatcher.mark_rater_unavailable();
                 return self.escalate("no rating could be had").await;
             }
         };
