--- a/crates/entry/src/dispatcher/learn.rs
+++ b/crates/entry/src/dispatcher/learn.rs
@@ -7,7 +7,7 @@
 use endpoint::rating::Rating;
 use route::{
     model::Rater,
-    quality::{Book, Cell, LAPSE_MS, Pending, Stage},
+    quality::{Cell, Estimates, LAPSE_MS, Pending, Stage},
     rollout::Unit,
 };
 use world::{Catalog, Millis, Timestamp, contract::Customer, model::Version};
@@ -34,7 +34,7 @@
 /// Learned estimates, and the answers that wait for a rating.
 #[derive(Debug)]
 pub(super) struct Learner {
-    pub quality: Book,
+    pub quality: Estimates,
     control: control::Handle,
     unrated: HashMap<String, (Timestamp, UnratedAnswer)>,
     delivery_order: VecDeque<(Timestamp, String)>,
@@ -44,7 +44,7 @@
 impl Learner {
     pub fn new(control: control::Handle) -> Self {
         Self {
-            quality: Book::default(),
+            quality: Estimates::default(),
             control,
             unrated: HashMap::new(),
             delivery_order: VecDeque::new(),
@@ -54,7 +54,7 @@
 
     /// Returns whether the rating service can decide a cascade now.
     pub fn rater(&self, now: Timestamp) -> Rater {
-        if now < self.rater_backoff_until { Rater::Down } else { Rater::Up }
+        if now < self.rater_backoff_until { Rater::Unavailable } else { Rater::Available }
     }
 
     /// Suspends cascades for a while after the rating service failed, so that requests
@@ -64,7 +64,7 @@
     }
 
     pub fn discard(&mut self, record: &ChoiceRecord) {
-        self.quality.void(record.cell, record.pending);
+        self.quality.remove_pending(record.cell, record.pending);
     }
 
     pub fn expire(&mut self, record: &ChoiceRecord) {
@@ -72,7 +72,7 @@
     }
 
     pub fn escalate(&mut self, record: ChoiceRecord, rate: f64) -> ChoiceRecord {
-        let pending = self.quality.escalated(record.cell, record.pending, rate);
+        let pending = self.quality.update_pending(record.cell, record.pending, rate);
         ChoiceRecord { pending, ..record }
     }
 
@@ -94,9 +94,9 @@
 
     /// Records the rating of an answer. `last` says whether the answer was delivered.
     pub fn record_rating(&mut self, record: &ChoiceRecord, version: &Version, stage: Stage, pass: bool, last: bool) {
-        self.quality.rate(record.cell, version, stage, pass);
+        self.quality.record_rating(record.cell, version, stage, pass);
         if last {
-            self.quality.close(record.cell, record.pending, pass);
+            self.quality.record_final_rating(record.cell, record.pending, pass);
         }
         self.observe(record, version, pass);
     }
@@ -120,7 +120,7 @@
             let Some((at, answer)) = self.unrated.remove(&rating.id) else {
                 if is_first_tier(catalog, &rating.version) {
                     let cell = Cell::new(&rating.customer, &rating.class);
-                    self.quality.rate(cell, &rating.version, Stage::First, rating.pass);
+                    self.quality.record_rating(cell, &rating.version, Stage::First, rating.pass);
                 }
                 continue;
             };
--- a/crates/entry/src/dispatcher/state.rs
+++ b/crates/entry/src/dispatcher/state.rs
@@ -132,12 +132,15 @@
         if budgets.len() >= MAX_RETRY_BUDGETS && !budgets.contains_key(&request.customer) {
             budgets.clear();
         }
-        budgets.entry(request.customer.clone()).or_insert_with(|| retry::Budget::new(&self.policy)).earn(&self.policy);
+        budgets
+            .entry(request.customer.clone())
+            .or_insert_with(|| retry::Budget::new(&self.policy))
+            .add_first_attempt(&self.policy);
     }
 
     fn release_slot(&mut self, queue_key: &QueueKey, now: Timestamp) {
         if let Some(waiting) = self.queues.get_mut(queue_key) {
-            waiting.queue.finished(now);
+            waiting.queue.record_finish(now);
         }
         let limit = self.concurrency_limit(queue_key, now);
         if let Some(waiting) = self.queues.get_mut(queue_key) {
@@ -203,11 +206,11 @@
             left_ms: query.left_ms,
             ceiling: query.ceiling,
             rater: self.learner.rater(now),
-            book: &self.learner.quality,
+            quality: &self.learner.quality,
         };
         let choice = model::choose(&inputs)?;
         let cell = Cell::new(&query.customer, &query.class);
-        let pending = self.learner.quality.open(cell, choice.expected(0), choice.reason().target);
+        let pending = self.learner.quality.add_pending(cell, choice.expected_pass_rate(0), choice.reason().target);
         Ok((choice, ChoiceRecord { customer: query.customer.clone(), unit: query.unit, cell, pending }))
     }
 
@@ -218,7 +221,7 @@
         now: Timestamp,
     ) {
         let criteria =
-            placing::Wanted { target: &query.target, prefix: query.prefix, avoid: &query.avoid, draw: query.draw };
+            placing::RunRequest { target: &query.target, prefix: query.prefix, avoid: &query.avoid, draw: query.draw };
         let placed = self.fleet.choose(&criteria, now).and_then(|choice| {
             let refused = placing::Refusal::NoneLeft;
             let endpoint = self.fleet.endpoint(choice.key).ok_or(refused)?;
@@ -235,7 +238,7 @@
             })
         });
         if let Ok(reservation) = &placed {
-            self.fleet.on(Event::Dispatched(reservation.key), now);
+            self.fleet.handle(Event::Dispatched(reservation.key), now);
         }
         drop(reply.send(placed));
     }
@@ -251,12 +254,12 @@
         match ending {
             Ending::Whole { millis, tokens } => {
                 if let Target::Version(version) = target {
-                    self.learner.quality.ran(cell, version, millis, tokens, now);
+                    self.learner.quality.record_run(cell, version, millis, tokens, now);
                 }
-                self.fleet.on(Event::Finished { key, target, millis, tokens }, now);
+                self.fleet.handle(Event::Finished { key, target, millis, tokens }, now);
             }
-            Ending::Failed(failure) => self.fleet.on(Event::Failed { key, target, failure }, now),
-            Ending::Cancelled => self.fleet.on(Event::Cancelled(key), now),
+            Ending::Failed(failure) => self.fleet.handle(Event::Failed { key, target, failure }, now),
+            Ending::Cancelled => self.fleet.handle(Event::Cancelled(key), now),
         }
     }
 
@@ -279,13 +282,13 @@
             slots: load.slots,
             loaded: Some(&load.versions),
         };
-        self.fleet.on(Event::Load { endpoint, report }, now);
+        self.fleet.handle(Event::Load { endpoint, report }, now);
     }
 
     fn apply_cache_events(&mut self, endpoint: &Id, events: &[CacheEvent], now: Timestamp) {
         for event in events {
             let prefix = event.prefix;
-            self.fleet.on(
+            self.fleet.handle(
                 match event.kind {
                     CacheChange::Stored => Event::Stored { endpoint, prefix },
                     CacheChange::Evicted => Event::Evicted { endpoint, prefix },
@@ -298,7 +301,7 @@
     fn update_leaving(&mut self, endpoints: Vec<Id>, now: Timestamp) {
         let returned: Vec<_> = self.leaving.iter().filter(|id| !endpoints.contains(id)).cloned().collect();
         for endpoint in &returned {
-            self.fleet.on(Event::Leaving { endpoint, leaving: false }, now);
+            self.fleet.handle(Event::Leaving { endpoint, leaving: false }, now);
         }
         self.leaving = endpoints;
         self.mark_leaving(now);
@@ -306,7 +309,7 @@
 
     fn mark_leaving(&mut self, now: Timestamp) {
         for endpoint in &self.leaving {
-            self.fleet.on(Event::Leaving { endpoint, leaving: true }, now);
+            self.fleet.handle(Event::Leaving { endpoint, leaving: true }, now);
         }
     }
 
--- a/crates/entry/src/driver/account.rs
+++ b/crates/entry/src/driver/account.rs
@@ -83,7 +83,7 @@
         let Some(from) = self.version() else { return Event::Fault };
         if let Some(chosen) = &mut self.chosen {
             chosen.step += 1;
-            let rate = chosen.choice.expected(chosen.step);
+            let rate = chosen.choice.expected_pass_rate(chosen.step);
             if let Ok(record) = self.shared.dispatcher.escalate(chosen.record.clone(), rate).await {
                 chosen.record = record;
             }
--- a/crates/relay/src/desk.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -1,9 +1,9 @@
 //! Shared in-memory state of an instance.
 //!
-//! It covers the catalog and access keys ([`Desk::fresh`], [`Desk::catalog_holds`]),
+//! It covers the catalog and access keys ([`Dispatcher::is_fresh`], [`Dispatcher::is_catalog_valid`]),
 //! endpoints and their loads ([`fleet`]), other instances ([`peers`]), roll-outs
-//! ([`trials`]) and requests that crash endpoints (`crashes`). Every piece of
-//! state has a source and an age; [`track`] synchronizes the state with the
+//! ([`rollouts`]) and requests that crash endpoints (`crashes`). Every piece of
+//! state has a source and an age; [`synchronization`] synchronizes the state with the
 //! store through other instances.
 //!
 //! One thread runs all tasks and the lock is never held across an await, so
@@ -12,10 +12,10 @@
 
 mod crashes;
 pub mod fleet;
-mod flight;
+mod in_flight;
 pub mod peers;
-pub mod track;
-pub mod trials;
+pub mod rollouts;
+pub mod synchronization;
 pub mod watchers;
 
 use std::{
@@ -26,13 +26,13 @@
 
 use route::relay::{
     allowance::{Allowance, Purpose},
-    freshness::{Freshness, Proof},
+    freshness::{Lease, Proof},
     quarantine::{Finding, Quarantine},
 };
 
 use tokio::sync::Notify;
 
-pub use self::flight::{Flight, Held};
+pub use self::in_flight::{InFlight, Reservation};
 use self::peers::Phase;
 use crate::{
     catalog::Catalog,
@@ -64,7 +64,7 @@
 
 /// Shared state of an instance, and the notifications between its tasks.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Dispatcher {
     /// Settings of this instance.
     pub settings: Settings,
     /// Names of headers and paths on the wire.
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 struct State {
     catalog: Option<Arc<Catalog>>,
-    freshness: Freshness,
+    lease: Lease,
     allowances: HashMap<String, Allowance>,
     fleet: fleet::Fleet,
     notices: fleet::Notices,
@@ -108,8 +108,8 @@
     /// Quarantine changes that were not written to the store yet.
     unwritten_changes: VecDeque<quarantine::Change>,
     peers: peers::Peers,
-    trials: trials::Trials,
-    track: track::Track,
+    rollouts: rollouts::Rollouts,
+    synchronization: synchronization::Synchronization,
     /// Progress of the start-up.
     knowledge: Knowledge,
     /// Whether this instance's last call to the store succeeded.
@@ -139,13 +139,13 @@
     Caches,
 }
 
-impl Desk {
+impl Dispatcher {
     /// Creates the state of an instance that has just started.
     #[must_use]
     pub fn new(settings: Settings, dialect: Dialect) -> Arc<Self> {
         let state = State {
             catalog: None,
-            freshness: Freshness::new(settings.revoke),
+            lease: Lease::new(settings.revocation_bound),
             allowances: HashMap::new(),
             fleet: fleet::Fleet::default(),
             notices: fleet::Notices::new(clock::now()),
@@ -153,15 +153,15 @@
             findings: Vec::new(),
             unwritten_changes: VecDeque::new(),
             peers: peers::Peers::default(),
-            trials: trials::Trials::default(),
-            track: track::Track::new(settings.replace),
+            rollouts: rollouts::Rollouts::default(),
+            synchronization: synchronization::Synchronization::new(settings.replacement_bound),
             knowledge: Knowledge::Nothing,
             in_touch: false,
             is_narrow: false,
             store_failed_once: false,
             draining_since: None,
             in_flight: 0,
-            session_lifetime: settings.session,
+            session_lifetime: settings.max_session_pause,
             held_body_bytes: 0,
         };
         Arc::new(Self {
@@ -201,14 +201,14 @@
             routes = catalog.hosts.values().map(Vec::len).sum::<usize>(),
             "catalog in force"
         );
-        state.track.succession.install(catalog.version);
+        state.synchronization.announced_catalogs.install(catalog.version);
         state.catalog = Some(Arc::new(catalog));
         self.startup_progressed.notify_waiters();
         true
     }
 
     /// Waits until a message of another instance requires that objects of `kind` are read again.
-    pub async fn wanted(&self, kind: Kind) {
+    pub async fn wait_for_refresh(&self, kind: Kind) {
         match kind {
             Kind::Catalog => self.catalog_wanted.notified().await,
             Kind::Endpoints => self.endpoints_wanted.notified().await,
@@ -224,30 +224,30 @@
 
     /// Renews the lease on access keys by a proof that was requested at `asked`.
     pub fn renew(&self, asked: Duration, proof: Proof) {
-        self.lock().freshness.renew(asked, proof);
+        self.lock().lease.renew(asked, proof);
     }
 
     /// Whether access keys and the rest of the catalog are fresh enough to serve requests.
     #[must_use]
-    pub fn fresh(&self) -> bool {
+    pub fn is_fresh(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
-        state.freshness.holds(now) && state.track.succession.holds(now)
+        state.lease.is_valid(now) && state.synchronization.announced_catalogs.is_valid(now)
     }
 
     /// Whether requests may be served by the catalog in force.
     ///
     /// This ends a limited time after another instance has announced a newer catalog.
     #[must_use]
-    pub fn catalog_holds(&self) -> bool {
-        self.lock().track.succession.holds(clock::now())
+    pub fn is_catalog_valid(&self) -> bool {
+        self.lock().synchronization.announced_catalogs.is_valid(clock::now())
     }
 
     /// Records the outcome of this instance's own latest call to the store.
-    pub fn note_touch(&self, succeeded: bool) {
+    pub fn record_store_call(&self, succeeded: bool) {
         let mut state = self.lock();
         state.in_touch = succeeded;
-        state.track.doubts_store &= !succeeded;
+        state.synchronization.doubts_store &= !succeeded;
         state.store_failed_once |= !succeeded;
         drop(state);
         self.startup_progressed.notify_waiters();
@@ -255,7 +255,7 @@
 
     /// Whether this instance's last call to the store succeeded.
     #[must_use]
-    pub fn touched(&self) -> bool {
+    pub fn last_store_call_succeeded(&self) -> bool {
         self.lock().in_touch
     }
 
@@ -268,21 +268,21 @@
     /// Whether this instance's last call to the store succeeded and its lease on
     /// access keys holds, through its own calls or other instances' proofs.
     #[must_use]
-    pub fn in_touch(&self) -> bool {
+    pub fn is_in_touch_with_store(&self) -> bool {
         let state = self.lock();
-        state.in_touch && state.freshness.holds(clock::now())
+        state.in_touch && state.lease.is_valid(clock::now())
     }
 
     /// Returns the number of instances that are alive, this one included.
     #[must_use]
-    pub fn members(&self) -> usize {
+    pub fn live_instance_count(&self) -> usize {
         self.lock().update_peer_loads(clock::now()) + 1
     }
 
     /// Returns the age of the latest proof that the access keys are current.
     #[must_use]
     pub fn keys_age(&self) -> Option<Duration> {
-        self.lock().freshness.age(clock::now())
+        self.lock().lease.age(clock::now())
     }
 
     /// Records that endpoints and roll-outs have been listed once.
@@ -295,7 +295,7 @@
 
     /// Waits until the instance can serve its first request, a call to the store
     /// has failed, or the time to wait for the start is over.
-    pub async fn started(&self) {
+    pub async fn wait_until_started(&self) {
         let is_decided = |state: &State| {
             state.store_failed_once || (state.catalog.is_some() && state.knowledge >= Knowledge::Endpoints)
         };
@@ -318,7 +318,7 @@
     }
 
     /// Waits until the engines' caches are known or the time to wait for the start is over.
-    pub async fn caches_known(&self) {
+    pub async fn wait_until_caches_known(&self) {
         self.wait_for_startup(|state| state.knowledge == Knowledge::Caches).await;
     }
 
@@ -337,7 +337,7 @@
 
     /// Whether this instance can serve callers and is not leaving.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let state = self.lock();
         state.catalog.is_some() && state.knowledge >= Knowledge::Endpoints && state.draining_since.is_none()
     }
@@ -345,9 +345,9 @@
     /// Returns this instance's phase of life.
     #[must_use]
     pub fn phase(&self) -> Phase {
-        if self.draining() {
+        if self.is_draining() {
             Phase::Leaving
-        } else if self.ready() {
+        } else if self.is_ready() {
             Phase::Ready
         } else {
             Phase::Starting
@@ -356,7 +356,7 @@
 
     /// Whether this instance is leaving.
     #[must_use]
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.lock().draining_since.is_some()
     }
 
@@ -376,29 +376,29 @@
     }
 
     /// Starts leaving: the instance is no longer ready, and connections close after their answers.
-    pub fn drain(&self) {
+    pub fn start_draining(&self) {
         self.lock().draining_since.get_or_insert_with(clock::now);
         self.urgent_news.notify_one();
     }
 
     /// Waits until there is news that must be sent without waiting for the next round.
-    pub async fn hurry(&self) {
+    pub async fn wait_for_urgent_news(&self) {
         self.urgent_news.notified().await;
     }
 
     /// Credits the service's allowance for a request's first dispatch.
-    pub fn earn(&self, service: &str) {
-        self.with_allowance(service, |allowance, _| allowance.earn(clock::now()));
+    pub fn record_first_dispatch(&self, service: &str) {
+        self.with_allowance(service, |allowance, _| allowance.record_first_dispatch(clock::now()));
     }
 
     /// Takes an extra dispatch from the service's allowance, and returns whether there was room.
-    pub fn spend(&self, service: &str, purpose: Purpose) -> bool {
-        self.with_allowance(service, |allowance, members| allowance.spend(clock::now(), members, purpose))
+    pub fn try_extra_dispatch(&self, service: &str, purpose: Purpose) -> bool {
+        self.with_allowance(service, |allowance, members| allowance.try_extra_dispatch(clock::now(), members, purpose))
     }
 
     /// Whether the service's allowance has room for an extra dispatch.
-    pub fn affords(&self, service: &str, purpose: Purpose) -> bool {
-        self.with_allowance(service, |allowance, members| allowance.left(clock::now(), members, purpose) >= 1.0)
+    pub fn allows_extra_dispatch(&self, service: &str, purpose: Purpose) -> bool {
+        self.with_allowance(service, |allowance, members| allowance.remaining(clock::now(), members, purpose) >= 1.0)
     }
 
     fn with_allowance<T>(&self, service: &str, apply: impl FnOnce(&mut Allowance, usize) -> T) -> T {
--- a/crates/relay/src/desk/crashes.rs
+++ b/crates/relay/src/dispatcher/crashes.rs
@@ -5,10 +5,10 @@
 
 use route::relay::{
     content::Content,
-    quarantine::{Effect, Finding, LASTS},
+    quarantine::{Effect, Finding, REFUSAL_PERIOD},
 };
 
-use super::{Desk, State, fleet::Key};
+use super::{Dispatcher, State, fleet::Key};
 use crate::{clock, quarantine::Change, source::Refused};
 
 /// Time for which an abandoned run still counts as running at its endpoint. After an
@@ -59,7 +59,7 @@
 
 impl State {
     /// Records a finding for each unfinished run of this instance at an endpoint that crashed.
-    pub(super) fn note_crash(&mut self, key: Key, now: Duration) {
+    pub(super) fn record_crash(&mut self, key: Key, now: Duration) {
         let Some(server) = self.fleet.server(key) else { return };
         let (start, endpoint) = (server.hash(), server.endpoint());
         let runs = server.unfinished_runs().take(now);
@@ -69,14 +69,14 @@
         tracing::warn!(endpoint = endpoint.id, requests = runs.len(), "endpoint crashed");
         metrics::counter!("relay_crashes_total", "service" => endpoint.service.clone()).increment(1);
         for UnfinishedRun { content, sent_at, .. } in runs {
-            if self.quarantine.is_further(now, content, sent_at) {
+            if self.quarantine.is_new_evidence(now, content, sent_at) {
                 self.record_finding(Finding::Crash { content, start }, now);
             }
         }
     }
 
     /// Records that a request was answered successfully.
-    pub(super) fn note_good_end(&mut self, content: Content, now: Duration) {
+    pub(super) fn record_good_end(&mut self, content: Content, now: Duration) {
         self.record_finding(Finding::EndedWell { content }, now);
     }
 
@@ -113,7 +113,7 @@
 
     /// Applies a finding to the quarantine and returns its effect.
     fn apply_finding(&mut self, finding: Finding, now: Duration) -> Effect {
-        let effect = self.quarantine.take(now, finding);
+        let effect = self.quarantine.apply(now, finding);
         let content = finding.content();
         match effect {
             Effect::Held => {
@@ -130,32 +130,32 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Returns how much longer a request is refused because it crashes endpoints, or
     /// `None` if it is not quarantined.
     #[must_use]
-    pub fn quarantined(&self, content: Content) -> Option<Duration> {
-        self.lock().quarantine.refuses(clock::now(), content)
+    pub fn remaining_quarantine(&self, content: Content) -> Option<Duration> {
+        self.lock().quarantine.refusal_left(clock::now(), content)
     }
 
     /// Whether an endpoint has crashed while running a request that was not answered
     /// successfully since.
     #[must_use]
-    pub fn suspects(&self, content: Content) -> bool {
-        self.lock().quarantine.suspects(clock::now(), content)
+    pub fn is_suspect(&self, content: Content) -> bool {
+        self.lock().quarantine.is_suspect(clock::now(), content)
     }
 
     /// Records the crash of an endpoint whose address refuses connections.
-    pub fn note_crash(&self, key: Key) {
+    pub fn record_crash(&self, key: Key) {
         let mut state = self.lock();
-        state.note_crash(key, clock::now());
+        state.record_crash(key, clock::now());
         self.notify_findings(&state);
     }
 
     /// Applies findings of another instance.
-    pub fn take_findings(&self, findings: impl IntoIterator<Item = Finding>) {
+    pub fn apply_findings(&self, findings: impl IntoIterator<Item = Finding>) {
         let now = clock::now();
-        let leads = self.leads();
+        let leads = self.is_leader();
         let mut state = self.lock();
         for finding in findings {
             let effect = state.apply_finding(finding, now);
@@ -171,7 +171,7 @@
             if let Finding::Crash { start, .. } = finding
                 && let Some(key) = state.fleet.key_of(start)
             {
-                state.note_crash(key, now);
+                state.record_crash(key, now);
             }
         }
         self.notify_findings(&state);
@@ -188,13 +188,13 @@
     }
 
     /// Restores the quarantine that the store holds from before this instance's start.
-    pub fn restore_refused(&self, refused: impl IntoIterator<Item = Refused>) {
+    pub fn restore_quarantine(&self, refused: impl IntoIterator<Item = Refused>) {
         let (now, unix_now) = (clock::now(), unix_ms());
-        let members = u32::try_from(self.members()).unwrap_or(u32::MAX);
+        let members = u32::try_from(self.live_instance_count()).unwrap_or(u32::MAX);
         let mut state = self.lock();
         for refused in refused {
             let age = Duration::from_millis(unix_now.saturating_sub(refused.since));
-            if age < LASTS {
+            if age < REFUSAL_PERIOD {
                 state.apply_finding(Finding::Held { content: refused.content, age }, now);
             } else if rand::random_ratio(1, members) {
                 // Expired: on average one of the starting instances removes it from the store.
@@ -205,7 +205,7 @@
     }
 
     /// Waits for a quarantine change to write to the store, and takes it.
-    pub async fn quarantine_change(&self) -> Change {
+    pub async fn next_quarantine_change(&self) -> Change {
         loop {
             if let Some(change) = self.lock().unwritten_changes.pop_front() {
                 return change;
@@ -216,15 +216,15 @@
 
     /// Whether a change that could not be written is still current.
     #[must_use]
-    pub fn is_due(&self, change: Change) -> bool {
+    pub fn is_change_current(&self, change: Change) -> bool {
         match change {
-            Change::Refuse(refused) => self.quarantined(refused.content).is_some(),
-            Change::Allow(refused) => self.quarantined(refused.content).is_none(),
+            Change::Refuse(refused) => self.remaining_quarantine(refused.content).is_some(),
+            Change::Allow(refused) => self.remaining_quarantine(refused.content).is_none(),
         }
     }
 
     /// Waits until there are findings to send, and takes them.
-    pub async fn findings(&self) -> Vec<Finding> {
+    pub async fn next_findings(&self) -> Vec<Finding> {
         loop {
             let findings = std::mem::take(&mut self.lock().findings);
             if !findings.is_empty() {
@@ -238,7 +238,7 @@
     /// missed the findings.
     #[must_use]
     pub fn refused_requests(&self, most: usize) -> Vec<Finding> {
-        self.lock().quarantine.held(clock::now(), most)
+        self.lock().quarantine.refused(clock::now(), most)
     }
 }
 
--- a/crates/relay/src/desk/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -19,9 +19,9 @@
 
 use route::relay::{
     canary::{self, Lateness},
-    holders::Holders,
+    holders::Prefixes,
+    latency,
     notice::Backlog,
-    pace::Pace,
     placement::Candidate,
     throttle::Throttle,
 };
@@ -30,15 +30,15 @@
 
 pub use self::{
     caches::affinity,
-    limits::{Limit, Said},
+    limits::{Announcement, Limit},
     notices::{Notice, Notices},
-    run::{Ended, Run},
+    run::{Run, RunOutcome},
 };
 use self::{
     decaying_mean::DecayingMean,
     selection::{Selection, job_units},
 };
-use super::{Desk, State, crashes::UnfinishedRuns, trials::Arm};
+use super::{Dispatcher, State, crashes::UnfinishedRuns, rollouts::Arm};
 use crate::{clock, source::Endpoint};
 
 slotmap::new_key_type! {
@@ -75,17 +75,17 @@
     revision: u64,
     /// Pools of endpoints by service.
     pools: HashMap<String, pool::Pool>,
-    paces: HashMap<PaceKey, Pace>,
+    latencies: HashMap<LatencyKey, latency::Estimate>,
     /// Mean ratio of actual to expected time to the first byte, by service.
     usual_lateness: HashMap<String, f64>,
     /// Endpoints whose prompt caches hold a part.
-    holders: Holders,
+    holders: Prefixes,
     limited: limits::LimitedEndpoints,
 }
 
-/// Service and model whose pace is learned.
+/// Service and model whose latency is learned.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct PaceKey {
+struct LatencyKey {
     service: String,
     model: Option<usize>,
 }
@@ -162,7 +162,7 @@
     pub version: Option<&'a str>,
 }
 
-impl Desk {
+impl Dispatcher {
     /// Chooses an endpoint and counts a run there. Returns `None` if no endpoint accepts the job.
     #[must_use]
     pub fn place(self: &Arc<Self>, job: &Job<'_>) -> Option<Run> {
@@ -170,25 +170,25 @@
         let mut state = self.lock();
         state.update_limit_shares(now);
         state.fleet.refresh_pool(job.service, &self.settings.domain, now);
-        let selection = state.select_endpoint(job, now, self.settings.exposure)?;
+        let selection = state.select_endpoint(job, now, self.settings.max_exposure)?;
         let (nominal_ms, expected_ms) = (selection.nominal_ms(), selection.expected_ms());
-        let Selection { key, arm, choice, pace, units, source, .. } = selection;
+        let Selection { key, arm, choice, latency, units, source, .. } = selection;
         let server = state.fleet.servers.get_mut(key)?;
-        let backlog_ms = pace.reading_ms(units);
+        let backlog_ms = latency.processing_ms(units);
         server.runs += 1;
-        server.throttle.spend(now);
+        server.throttle.take_token(now);
         server.backlog_ms += backlog_ms;
         let endpoint = Arc::clone(&server.endpoint);
         let is_announced = state.queue_notice(key, job, backlog_ms, now);
         if is_announced {
             self.notices_ready.notify_one();
         }
-        if job.in_session && arm == Arm::Old && canary::tries_versions(job.session, self.settings.exposure) {
-            state.trials.record_session(job.session, now, self.settings.session);
+        if job.in_session && arm == Arm::Old && canary::is_in_trial_group(job.session, self.settings.max_exposure) {
+            state.rollouts.record_session(job.session, now, self.settings.max_session_pause);
         }
-        let pace_key = PaceKey { service: job.service.to_owned(), model: job.model };
+        let latency_key = LatencyKey { service: job.service.to_owned(), model: job.model };
         Some(Run {
-            desk: Arc::clone(self),
+            dispatcher: Arc::clone(self),
             key,
             endpoint,
             source,
@@ -198,7 +198,7 @@
             announced_ms: if is_announced { backlog_ms } else { 0.0 },
             nominal_ms,
             expected_ms,
-            pace_key,
+            latency_key,
             units,
             lateness: Lateness::default(),
             started: now,
@@ -209,18 +209,18 @@
     /// Returns the expected time to the first byte if the job were placed now, in
     /// milliseconds, or `None` if no endpoint accepts it.
     #[must_use]
-    pub fn expect(&self, job: &Job<'_>) -> Option<f64> {
+    pub fn expected_ms(&self, job: &Job<'_>) -> Option<f64> {
         let now = clock::now();
         let mut state = self.lock();
         state.update_limit_shares(now);
         state.fleet.refresh_pool(job.service, &self.settings.domain, now);
-        Some(state.select_endpoint(job, now, self.settings.exposure)?.expected_ms())
+        Some(state.select_endpoint(job, now, self.settings.max_exposure)?.expected_ms())
     }
 
     /// Returns the expected time to the first byte at an idle endpoint, in milliseconds.
     #[must_use]
-    pub fn expect_idle(&self, job: &Job<'_>) -> f64 {
-        self.lock().fleet.pace(job).job_ms(job_units(job))
+    pub fn expected_idle_ms(&self, job: &Job<'_>) -> f64 {
+        self.lock().fleet.latency(job).job_ms(job_units(job))
     }
 
     /// Returns this instance's load on each endpoint, by the hash of the endpoint's start,
@@ -281,19 +281,23 @@
             slots: self.endpoint.slots,
             runs: f64::from(self.runs) + self.peer_load.runs + full,
             backlog_ms: self.backlog_ms + self.announced_backlog.left_ms(now),
-            old_news_ms: self.peer_load.backlog_ms,
+            reported_backlog_ms: self.peer_load.backlog_ms,
             slowness: if slowness > NOISE_FACTOR { slowness } else { 1.0 },
-            failing: (self.failure_rate.value_at(0.0, now) - NOISE_FACTOR * failing).max(0.0),
+            excess_failure_rate: (self.failure_rate.value_at(0.0, now) - NOISE_FACTOR * failing).max(0.0),
             local: self.endpoint.domain == domain,
-            holds: false,
-            holds_whole: false,
+            holds_prefix: false,
+            holds_prompt: false,
         }
     }
 }
 
-/// Returns the pace that is assumed before any run was observed.
-fn initial_pace(model: Option<usize>) -> Pace {
-    if model.is_some() { Pace::new(INITIAL_BASE_MS, INITIAL_TOKEN_MS) } else { Pace::new(INITIAL_CALL_MS, 0.0) }
+/// Returns the latency estimate that is assumed before any run was observed.
+fn initial_latency(model: Option<usize>) -> latency::Estimate {
+    if model.is_some() {
+        latency::Estimate::new(INITIAL_BASE_MS, INITIAL_TOKEN_MS)
+    } else {
+        latency::Estimate::new(INITIAL_CALL_MS, 0.0)
+    }
 }
 
 /// Returns the hash that identifies an endpoint in messages of instances. It differs for
@@ -301,7 +305,7 @@
 /// the current one.
 #[must_use]
 pub fn start_hash(endpoint: &Endpoint) -> u32 {
-    match endpoint.born {
+    match endpoint.started_at_ms {
         None => short_hash(&endpoint.id),
         Some(born) => short_hash(&format!("{}/{born}", endpoint.id)),
     }
--- a/crates/relay/src/desk/fleet/caches.rs
+++ b/crates/relay/src/dispatcher/fleet/caches.rs
@@ -10,7 +10,7 @@
 use world::hash;
 
 use super::{Fleet, start_hash};
-use crate::{catalog::Catalog, clock, desk::Desk, dialect::Cached, source::Endpoint};
+use crate::{catalog::Catalog, clock, dialect::CachedPart, dispatcher::Dispatcher, source::Endpoint};
 
 /// Returns the hash of a prompt part combined with its model. A part cached for one
 /// model is of no use to another.
@@ -25,7 +25,7 @@
     u32::try_from(affinity >> 32).unwrap_or_default()
 }
 
-impl Desk {
+impl Dispatcher {
     /// Returns the known endpoints of services with prompt caches, to ask for their contents.
     #[must_use]
     pub fn engines(&self) -> Vec<Endpoint> {
@@ -37,22 +37,22 @@
     }
 
     /// Records the cache contents that an engine listed.
-    pub fn note_cache(&self, engine: &Endpoint, cached: &[Cached]) {
+    pub fn record_cache(&self, engine: &Endpoint, cached: &[CachedPart]) {
         let Some(catalog) = self.catalog() else { return };
         let now = clock::now();
         let holder = start_hash(engine);
         let mut state = self.lock();
-        for Cached { part, model } in cached {
+        for CachedPart { part, model } in cached {
             let Some(index) = model_index(&catalog, model) else { continue };
             let key = part_hash(affinity(hash::stable(part.as_bytes()), Some(index)));
-            state.fleet.holders.note(key, holder, now);
+            state.fleet.holders.record(key, holder, now);
         }
     }
 
     /// Returns the largest of the first `models` models for which an engine caches a whole
     /// prompt. `whole` returns the prompt's hash for a model.
     #[must_use]
-    pub fn model_that_read(&self, whole: impl Fn(usize) -> Option<u64>, models: usize) -> Option<usize> {
+    pub fn largest_caching_model(&self, whole: impl Fn(usize) -> Option<u64>, models: usize) -> Option<usize> {
         let now = clock::now();
         let state = self.lock();
         (0..models).rev().find(|model| !state.fleet.holders_of(whole(*model), now).is_empty())
@@ -62,7 +62,7 @@
 impl Fleet {
     /// Returns the hashes of the endpoints that probably cache a part.
     pub(super) fn holders_of(&self, affinity: Option<u64>, now: Duration) -> Vec<u32> {
-        affinity.map(|affinity| self.holders.of(part_hash(affinity), now).collect()).unwrap_or_default()
+        affinity.map(|affinity| self.holders.holders_of(part_hash(affinity), now).collect()).unwrap_or_default()
     }
 }
 
--- a/crates/relay/src/desk/fleet/notices.rs
+++ b/crates/relay/src/dispatcher/fleet/notices.rs
@@ -7,7 +7,7 @@
 use super::{Job, Key};
 use crate::{
     clock,
-    desk::{Desk, State},
+    dispatcher::{Dispatcher, State},
 };
 
 /// Maximum number of notices kept for sending. They are sent within a turn of the
@@ -53,10 +53,10 @@
         let Some(server) = self.fleet.servers.get_mut(key) else { return false };
         let part = job.part().filter(|_| job.shared_tokens >= MIN_ANNOUNCED_PART_TOKENS);
         if let Some(part) = part {
-            self.fleet.holders.note(part, server.hash, now);
+            self.fleet.holders.record(part, server.hash, now);
         }
         if self.notices.unsent.len() >= MAX_UNSENT_NOTICES
-            || !self.notices.budget.spend(now, reading_ms, part.is_some(), fanout)
+            || !self.notices.budget.try_notify(now, reading_ms, part.is_some(), fanout)
         {
             return false;
         }
@@ -66,9 +66,9 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Waits until there are notices to send, and takes them.
-    pub async fn notices(&self) -> Vec<Notice> {
+    pub async fn next_notices(&self) -> Vec<Notice> {
         loop {
             let unsent = std::mem::take(&mut self.lock().notices.unsent);
             if !unsent.is_empty() {
@@ -79,14 +79,14 @@
     }
 
     /// Applies a notice of another instance.
-    pub fn take_notice(&self, notice: Notice) {
+    pub fn apply_notice(&self, notice: Notice) {
         let now = clock::now();
         let mut state = self.lock();
         if let Some(server) = state.fleet.server_by_hash(notice.endpoint) {
             server.announced_backlog.add(now, notice.reading_ms);
         }
         if let Some(part) = notice.part {
-            state.fleet.holders.note(part, notice.endpoint, now);
+            state.fleet.holders.record(part, notice.endpoint, now);
         }
     }
 }
--- a/crates/relay/src/desk/fleet/pool.rs
+++ b/crates/relay/src/dispatcher/fleet/pool.rs
@@ -11,7 +11,7 @@
 use world::hash;
 
 use super::{Fleet, Job, Key, Server};
-use crate::desk::trials::Assignment;
+use crate::dispatcher::rollouts::Assignment;
 
 /// Number of endpoints up to which a decision examines all of them.
 const MAX_FULL_SCAN: usize = 64;
@@ -82,7 +82,7 @@
                 Some(stays) => stays == version && assignment.tolerates(version),
                 None => assignment.allows(version),
             };
-            let is_up = !server.endpoint.draining && server.backoff_until <= now && server.throttle.takes(now);
+            let is_up = !server.endpoint.draining && server.backoff_until <= now && server.throttle.may_send(now);
             (is_assigned && is_up && !job.tried.contains(&key)).then_some((key, server))
         };
         let mut keys = Vec::with_capacity(3 * SAMPLE_SIZE);
@@ -98,7 +98,7 @@
         let mut holders = self.keys_of(&self.holders_of(job.affinity, now));
         if let Some(affinity) = job.affinity.filter(|_| holders.is_empty()) {
             let names = pool.all.iter().map(|key| self.servers.get(*key).map_or("", |server| &server.endpoint.id));
-            holders.extend(placement::named_by_hash(affinity, names).into_iter().map(|index| pool.all[index]));
+            holders.extend(placement::preferred_by_hash(affinity, names).into_iter().map(|index| pool.all[index]));
         }
         holders.extend(self.keys_of(&self.holders_of(job.whole, now)));
         let is_of_service = |key: &Key| self.servers.get(*key).is_some_and(|s| s.endpoint.service == job.service);
--- a/crates/relay/src/desk/fleet/registry.rs
+++ b/crates/relay/src/dispatcher/fleet/registry.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use super::{Fleet, Key, Load, Server, start_hash};
-use crate::{clock, desk::Desk, source::Endpoint};
+use crate::{clock, dispatcher::Dispatcher, source::Endpoint};
 
 /// How a registration compares to the known one of the same name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,7 +27,7 @@
             Self::Same
         } else if received.revision < known.revision {
             Self::Old
-        } else if received.born == known.born {
+        } else if received.started_at_ms == known.started_at_ms {
             Self::Changed
         } else {
             // The revision decides which is newer, not the start time: the clock of the
@@ -37,7 +37,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Adds or updates an endpoint by its registration.
     ///
     /// An endpoint that restarted under its name counts as a new one, without the
@@ -45,7 +45,7 @@
     /// keep requests away from an idle server, or send prompts to a server that no
     /// longer caches their parts. A late registration of an earlier start is ignored:
     /// it would remove a live endpoint, or discard twice what was learned about it.
-    pub fn enlist(&self, endpoint: Endpoint) {
+    pub fn register_endpoint(&self, endpoint: Endpoint) {
         let mut state = self.lock();
         let now = clock::now();
         let kind = RegistrationKind::of(state.fleet.registration(&endpoint.id), &endpoint);
@@ -61,18 +61,18 @@
                 version = endpoint.version,
                 address = %endpoint.address,
                 draining = endpoint.draining,
-                born = endpoint.born,
+                born = endpoint.started_at_ms,
                 revision = endpoint.revision,
                 "endpoint registered"
             );
         }
-        state.trials.record_version(&endpoint.service, &endpoint.version, now);
+        state.rollouts.record_version(&endpoint.service, &endpoint.version, now);
         let peer_load = state.peers.load(start_hash(&endpoint));
         state.fleet.register(endpoint, kind, peer_load, now);
     }
 
     /// Removes an endpoint whose registration is gone.
-    pub fn delist(&self, id: &str) {
+    pub fn remove_endpoint(&self, id: &str) {
         let fleet = &mut self.lock().fleet;
         if let Some(key) = fleet.by_name.remove(id) {
             fleet.remove(key);
@@ -86,21 +86,21 @@
     /// After an outage its registration may arrive through another instance while
     /// this one still waits for it at the store. Removing it then would take a live
     /// endpoint out of use until its registration changes again.
-    pub fn delist_lapsed(&self, id: &str, since: Duration) -> bool {
+    pub fn remove_lapsed_endpoint(&self, id: &str, since: Duration) -> bool {
         let is_back = {
             let fleet = &self.lock().fleet;
             let server = fleet.by_name.get(id).and_then(|key| fleet.servers.get(*key));
             server.is_none_or(|server| server.last_registered > since)
         };
         if !is_back {
-            self.delist(id);
+            self.remove_endpoint(id);
         }
         !is_back
     }
 
     /// Returns the names of all known endpoints.
     #[must_use]
-    pub fn enlisted(&self) -> Vec<String> {
+    pub fn endpoint_names(&self) -> Vec<String> {
         self.lock().fleet.by_name.keys().cloned().collect()
     }
 
@@ -152,12 +152,12 @@
     }
 
     /// Returns a known endpoint.
-    pub(in crate::desk) fn server(&mut self, key: Key) -> Option<&mut Server> {
+    pub(in crate::dispatcher) fn server(&mut self, key: Key) -> Option<&mut Server> {
         self.servers.get_mut(key)
     }
 
     /// Returns the key of the endpoint whose start has the hash.
-    pub(in crate::desk) fn key_of(&self, hash: u32) -> Option<Key> {
+    pub(in crate::dispatcher) fn key_of(&self, hash: u32) -> Option<Key> {
         self.by_hash.get(&hash).copied()
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Sets the load of other instances on an endpoint, if it is known.
-    pub(in crate::desk) fn set_peer_load(&mut self, endpoint: u32, load: Load) {
+    pub(in crate::dispatcher) fn set_peer_load(&mut self, endpoint: u32, load: Load) {
         if let Some(server) = self.server_by_hash(endpoint) {
             server.peer_load = load;
         }
--- a/crates/relay/src/desk/fleet/run.rs
+++ b/crates/relay/src/dispatcher/fleet/run.rs
@@ -8,10 +8,10 @@
     placement::Choice,
 };
 
-use super::{Key, PaceKey, initial_pace};
+use super::{Key, LatencyKey, initial_latency};
 use crate::{
     clock,
-    desk::{Desk, State, trials::Arm},
+    dispatcher::{Dispatcher, State, rollouts::Arm},
     source::Endpoint,
 };
 
@@ -31,7 +31,7 @@
 /// A run in progress; dropping it removes its load from the endpoint.
 #[derive(Debug)]
 pub struct Run {
-    pub(super) desk: Arc<Desk>,
+    pub(super) dispatcher: Arc<Dispatcher>,
     /// Key of the endpoint.
     pub key: Key,
     /// Registration of the endpoint when the run was placed.
@@ -50,7 +50,7 @@
     pub(super) nominal_ms: f64,
     /// Expected time to the first byte, in milliseconds.
     pub(super) expected_ms: f64,
-    pub(super) pace_key: PaceKey,
+    pub(super) latency_key: LatencyKey,
     /// Units of reading in the prompt.
     pub(super) units: f64,
     pub(super) lateness: Lateness,
@@ -62,7 +62,7 @@
 
 /// Outcome of a run, for the endpoint's statistics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum RunOutcome {
     /// A good answer.
     Good,
     /// An answer that reports a failure of the server.
@@ -81,37 +81,37 @@
 
 impl Run {
     /// Records that the request is sent.
-    pub fn sent(&mut self, content: Content) {
+    pub fn mark_sent(&mut self, content: Content) {
         self.content = Some(content);
     }
 
     /// Records that the first byte was received, so that the prompt has been read.
-    pub fn first_byte(&mut self) {
+    pub fn record_first_byte(&mut self) {
         let now = clock::now();
         let took = clock::millis(now.saturating_sub(self.started));
-        let desk = Arc::clone(&self.desk);
-        let mut state = desk.lock();
+        let dispatcher = Arc::clone(&self.dispatcher);
+        let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
         let fleet = &mut state.fleet;
         if let Some(server) = fleet.servers.get_mut(self.key) {
             let ratio = (took / self.nominal_ms.max(1.0)).clamp(0.1, 20.0);
             // Relative to the service's usual ratio: a bias of the expected time would
             // make every new endpoint look slow or fast.
-            let usual_lateness = fleet.usual_lateness.entry(self.pace_key.service.clone()).or_insert(1.0);
+            let usual_lateness = fleet.usual_lateness.entry(self.latency_key.service.clone()).or_insert(1.0);
             *usual_lateness += USUAL_LATENESS_WEIGHT * (ratio - *usual_lateness);
-            self.lateness = Lateness::of(ratio);
+            self.lateness = Lateness::from_ratio(ratio);
             server.slowness.observe(ratio / usual_lateness.max(0.1), 1.0, now);
             server.failed_connections = 0;
             server.last_received = now;
         }
-        let guess = initial_pace(self.pace_key.model);
-        fleet.paces.entry(self.pace_key.clone()).or_insert(guess).learn(self.units, took);
+        let guess = initial_latency(self.latency_key.model);
+        fleet.latencies.entry(self.latency_key.clone()).or_insert(guess).learn(self.units, took);
     }
 
     /// Records that more bytes of the answer were received.
-    pub fn more_bytes(&self) {
+    pub fn record_bytes(&self) {
         let now = clock::now();
-        if let Some(server) = self.desk.lock().fleet.servers.get_mut(self.key) {
+        if let Some(server) = self.dispatcher.lock().fleet.servers.get_mut(self.key) {
             server.last_received = now;
         }
     }
@@ -120,7 +120,12 @@
     #[must_use]
     pub fn silence(&self) -> Duration {
         let now = clock::now();
-        self.desk.lock().fleet.servers.get(self.key).map_or(Duration::MAX, |s| now.saturating_sub(s.last_received))
+        self.dispatcher
+            .lock()
+            .fleet
+            .servers
+            .get(self.key)
+            .map_or(Duration::MAX, |s| now.saturating_sub(s.last_received))
     }
 
     /// Returns the expected time from the dispatch to the first byte, in milliseconds.
@@ -130,31 +135,31 @@
     }
 
     /// Records the outcome of the run.
-    pub fn ended(&mut self, how: Ended) {
+    pub fn record_outcome(&mut self, how: RunOutcome) {
         let now = clock::now();
-        let desk = Arc::clone(&self.desk);
-        let mut state = desk.lock();
+        let dispatcher = Arc::clone(&self.dispatcher);
+        let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
         match (how, self.content.take()) {
-            (Ended::Good, Some(content)) => state.note_good_end(content, now),
-            (Ended::Broken, Some(content)) => self.note_unfinished(&mut state, content, now),
-            (Ended::Down, _) => state.note_crash(self.key, now),
+            (RunOutcome::Good, Some(content)) => state.record_good_end(content, now),
+            (RunOutcome::Broken, Some(content)) => self.record_unfinished(&mut state, content, now),
+            (RunOutcome::Down, _) => state.record_crash(self.key, now),
             _ => {}
         }
-        self.desk.notify_findings(&state);
+        self.dispatcher.notify_findings(&state);
         let Some(server) = state.fleet.servers.get_mut(self.key) else { return };
         match how {
-            Ended::Good => {
+            RunOutcome::Good => {
                 server.failure_rate.observe(0.0, 0.0, now);
                 server.failed_connections = 0;
             }
-            Ended::Failed | Ended::Broken => server.failure_rate.observe(1.0, 0.0, now),
-            Ended::Full => server.full_until = now + FULL_PERIOD,
+            RunOutcome::Failed | RunOutcome::Broken => server.failure_rate.observe(1.0, 0.0, now),
+            RunOutcome::Full => server.full_until = now + FULL_PERIOD,
             // A request for a model that does not exist is refused in the same way, so a
             // single refusal may be the caller's fault. A first byte or a good answer
             // in between shows that the endpoint is alive.
-            Ended::Replaced if server.failed_connections == 0 => server.failed_connections = 1,
-            Ended::Unreachable | Ended::Down | Ended::Replaced => {
+            RunOutcome::Replaced if server.failed_connections == 0 => server.failed_connections = 1,
+            RunOutcome::Unreachable | RunOutcome::Down | RunOutcome::Replaced => {
                 let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(server.failed_connections.min(6));
                 server.failed_connections += 1;
                 server.backoff_until = now + backoff.min(MAX_BACKOFF);
@@ -169,14 +174,14 @@
     }
 
     /// Counts the run as a good or bad one of its version.
-    pub fn judge(&self, bad: bool) {
+    pub fn record_verdict(&self, bad: bool) {
         let tally = Tally { runs: 1, bad: u32::from(bad), lateness: self.lateness };
-        self.desk.lock().trials.count(&self.endpoint.service, self.arm, tally);
+        self.dispatcher.lock().rollouts.count(&self.endpoint.service, self.arm, tally);
     }
 
     /// Records that this instance abandoned the run without an answer; the endpoint may
     /// continue it.
-    fn note_unfinished(&self, state: &mut State, content: Content, now: Duration) {
+    fn record_unfinished(&self, state: &mut State, content: Content, now: Duration) {
         if let Some(server) = state.fleet.server(self.key) {
             server.unfinished_runs().add(now, content, self.started);
         }
@@ -195,11 +200,11 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        let desk = Arc::clone(&self.desk);
-        let mut state = desk.lock();
+        let dispatcher = Arc::clone(&self.dispatcher);
+        let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
         if let Some(content) = self.content.take() {
-            self.note_unfinished(&mut state, content, clock::now());
+            self.record_unfinished(&mut state, content, clock::now());
         }
         if let Some(server) = state.fleet.servers.get_mut(self.key) {
             server.runs = server.runs.saturating_sub(1);
--- a/crates/relay/src/desk/flight.rs
+++ b/crates/relay/src/dispatcher/in_flight.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use super::Desk;
+use super::Dispatcher;
 
-impl Desk {
+impl Dispatcher {
     /// Returns the number of requests without a complete answer.
     #[must_use]
     pub fn in_flight(&self) -> usize {
@@ -13,42 +13,42 @@
 
     /// Counts a request as in flight until the returned guard is dropped.
     #[must_use]
-    pub fn enter(self: &Arc<Self>) -> Flight {
+    pub fn count_in_flight(self: &Arc<Self>) -> InFlight {
         self.lock().in_flight += 1;
-        Flight { desk: Arc::clone(self) }
+        InFlight { dispatcher: Arc::clone(self) }
     }
 
     /// Returns an empty reservation of the memory for request bodies.
     #[must_use]
-    pub fn hold_none(self: &Arc<Self>) -> Held {
-        Held { desk: Arc::clone(self), bytes: 0 }
+    pub fn reserve_body_memory(self: &Arc<Self>) -> Reservation {
+        Reservation { dispatcher: Arc::clone(self), bytes: 0 }
     }
 }
 
 /// A guard that counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct Flight {
-    desk: Arc<Desk>,
+pub struct InFlight {
+    dispatcher: Arc<Dispatcher>,
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.desk.lock().in_flight -= 1;
+        self.dispatcher.lock().in_flight -= 1;
     }
 }
 
 /// Memory reserved for a request's body; dropping it releases the memory.
 #[derive(Debug)]
-pub struct Held {
-    desk: Arc<Desk>,
+pub struct Reservation {
+    dispatcher: Arc<Dispatcher>,
     bytes: usize,
 }
 
-impl Held {
+impl Reservation {
     /// Reserves `bytes` more and returns true, or returns false if the limit would be exceeded.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let mut state = self.desk.lock();
-        if state.held_body_bytes + bytes > self.desk.settings.body_memory {
+        let mut state = self.dispatcher.lock();
+        if state.held_body_bytes + bytes > self.dispatcher.settings.body_memory {
             return false;
         }
         state.held_body_bytes += bytes;
@@ -57,8 +57,8 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.desk.lock().held_body_bytes -= self.bytes;
+        self.dispatcher.lock().held_body_bytes -= self.bytes;
     }
 }
--- a/crates/relay/src/desk/peers/sightings.rs
+++ b/crates/relay/src/dispatcher/peers/sightings.rs
@@ -12,7 +12,7 @@
 use super::{Peer, Peers, Phase};
 use crate::{
     clock,
-    desk::{Desk, fleet::short_hash},
+    dispatcher::{Dispatcher, fleet::short_hash},
 };
 
 /// Age up to which sightings are sent to others.
@@ -41,24 +41,24 @@
         }
         peer.last_heard = Some(at);
         if sighting.leaves {
-            peer.word.phase = Phase::Leaving;
+            peer.status.phase = Phase::Leaving;
         }
     }
 
     /// Returns up to `most` recent sightings, drawn at random.
-    fn sightings(&self, most: usize, now: Duration) -> Vec<Sighting> {
+    fn recent_sightings(&self, most: usize, now: Duration) -> Vec<Sighting> {
         let recent = |(name, peer): (&String, &Peer)| {
             let age = now.saturating_sub(peer.last_heard?);
-            let leaves = peer.word.phase == Phase::Leaving;
+            let leaves = peer.status.phase == Phase::Leaving;
             (age < MAX_SENT_AGE).then(|| Sighting { name: short_hash(name), age, leaves })
         };
         self.known.iter().filter_map(recent).choose_multiple(&mut rand::rng(), most)
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Applies sightings by another instance.
-    pub fn take_sightings(&self, sightings: impl IntoIterator<Item = Sighting>) {
+    pub fn apply_sightings(&self, sightings: impl IntoIterator<Item = Sighting>) {
         let now = clock::now();
         let mut state = self.lock();
         for sighting in sightings {
@@ -68,7 +68,7 @@
 
     /// Returns up to `most` recent sightings, drawn at random, to send with news.
     #[must_use]
-    pub fn sightings(&self, most: usize) -> Vec<Sighting> {
-        self.lock().peers.sightings(most, clock::now())
+    pub fn recent_sightings(&self, most: usize) -> Vec<Sighting> {
+        self.lock().peers.recent_sightings(most, clock::now())
     }
 }
--- a/crates/relay/src/desk/trials.rs
+++ b/crates/relay/src/dispatcher/rollouts.rs
@@ -9,7 +9,7 @@
 
 use route::relay::canary::{self, Stage, Tally};
 
-use super::{Desk, State};
+use super::{Dispatcher, State};
 use crate::{clock, rollout::Rollout};
 
 /// Time for which endpoints of an unknown version are not used while their order may still
@@ -18,7 +18,7 @@
 
 /// Roll-out state of all services.
 #[derive(Debug, Default)]
-pub struct Trials {
+pub struct Rollouts {
     services: HashMap<String, Service>,
     /// Sessions on an old version, with the time of their latest request.
     sessions: HashMap<u64, Duration>,
@@ -135,7 +135,7 @@
     pub own: Tallies,
 }
 
-impl Trials {
+impl Rollouts {
     /// Records that a service has endpoints of a version.
     pub(super) fn record_version(&mut self, service: &str, version: &str, now: Duration) {
         let service = self.services.entry(service.to_owned()).or_default();
@@ -152,7 +152,8 @@
         };
         if let Some(order) = &known.order {
             let elapsed = now.saturating_sub(order.since);
-            let takes_target = canary::meets(order.stage, elapsed, request.session, request.settled, request.exposure);
+            let takes_target =
+                canary::uses_new_version(order.stage, elapsed, request.session, request.settled, request.exposure);
             return Assignment {
                 target: Some(order.rollout.target.clone()),
                 takes_target,
@@ -213,11 +214,11 @@
     if rank(b) > rank(a) { b } else { a }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Applies an order or a new status of it.
-    pub fn order(&self, rollout: Rollout) {
+    pub fn apply_order(&self, rollout: Rollout) {
         let mut state = self.lock();
-        let service = state.trials.services.entry(rollout.service.clone()).or_default();
+        let service = state.rollouts.services.entry(rollout.service.clone()).or_default();
         let stored_stage = rollout.stage.unwrap_or(Stage::Trial);
         match &mut service.order {
             Some(order) if order.rollout.target == rollout.target => {
@@ -235,7 +236,7 @@
     /// Removes a service's order that was deleted from the store.
     pub fn withdraw_order(&self, service: &str) {
         let mut state = self.lock();
-        let Some(known) = state.trials.services.get_mut(service) else { return };
+        let Some(known) = state.rollouts.services.get_mut(service) else { return };
         if let Some(order) = known.order.take()
             && order.stage == Stage::Done
         {
@@ -245,19 +246,19 @@
 
     /// Returns the sessions that recently ran on an old version here, to send with news.
     #[must_use]
-    pub fn settled_sessions(&self) -> Vec<u64> {
-        let (now, lifetime) = (clock::now(), self.settings.session);
+    pub fn old_version_sessions(&self) -> Vec<u64> {
+        let (now, lifetime) = (clock::now(), self.settings.max_session_pause);
         let mut state = self.lock();
-        state.trials.sessions.retain(|_, seen| now < *seen + lifetime);
-        state.trials.sessions.keys().copied().take(MAX_SENT_SESSIONS).collect()
+        state.rollouts.sessions.retain(|_, seen| now < *seen + lifetime);
+        state.rollouts.sessions.keys().copied().take(MAX_SENT_SESSIONS).collect()
     }
 
     /// Returns this instance's state of all roll-outs, to send with news.
     #[must_use]
-    pub fn trial_reports(&self) -> Vec<Report> {
+    pub fn rollout_reports(&self) -> Vec<Report> {
         let now = clock::now();
         let state = self.lock();
-        let orders = state.trials.services.values().filter_map(|service| service.order.as_ref());
+        let orders = state.rollouts.services.values().filter_map(|service| service.order.as_ref());
         orders
             .map(|order| Report {
                 order: order_hash(&order.rollout),
@@ -271,12 +272,12 @@
     /// Advances every roll-out by time, evidence and the reports of other instances. Returns
     /// those whose stage is not in the store yet.
     #[must_use]
-    pub fn advance_trials(&self) -> Vec<(Rollout, Stage)> {
+    pub fn advance_rollouts(&self) -> Vec<(Rollout, Stage)> {
         let now = clock::now();
         let mut state = self.lock();
-        let State { trials, peers, .. } = &mut *state;
+        let State { rollouts, peers, .. } = &mut *state;
         let mut unreported = Vec::new();
-        for order in trials.services.values_mut().filter_map(|service| service.order.as_mut()) {
+        for order in rollouts.services.values_mut().filter_map(|service| service.order.as_mut()) {
             let hash = order_hash(&order.rollout);
             let mut sum = order.own;
             for report in peers.reports(hash) {
@@ -286,7 +287,7 @@
                 order.stage = furthest(order.stage, report.stage);
             }
             let elapsed = now.saturating_sub(order.since);
-            let next = canary::advance(order.stage, elapsed, order.rollout.over, sum.new, sum.old);
+            let next = canary::next_stage(order.stage, elapsed, order.rollout.max_duration, sum.new, sum.old);
             if next != order.stage {
                 tracing::info!(
                     service = order.rollout.service,
--- a/crates/relay/src/desk/track.rs
+++ b/crates/relay/src/dispatcher/synchronization.rs
@@ -15,9 +15,9 @@
 };
 
 use rand::seq::IteratorRandom;
-use route::relay::freshness::{Proof, Succession};
+use route::relay::freshness::{AnnouncedCatalogs, Proof};
 
-use super::{Desk, Knowledge};
+use super::{Dispatcher, Knowledge};
 use crate::{clock, rollout::Rollout, source::Endpoint};
 
 /// Silence of the store above which a reply is doubtful. An instance in touch with the store
@@ -55,7 +55,7 @@
 
 /// State of the synchronization of this instance.
 #[derive(Debug, Default)]
-pub struct Track {
+pub struct Synchronization {
     /// Revision up to which the endpoints are known; 0 before they were listed.
     pub(super) revision: u64,
     /// Revision since which all changes are kept.
@@ -72,7 +72,7 @@
     /// Whether all roll-outs have been listed.
     orders_known: bool,
     /// Newer catalogs that other instances have announced.
-    pub(super) succession: Succession,
+    pub(super) announced_catalogs: AnnouncedCatalogs,
     /// Instances that have announced newer catalogs, with the versions.
     newer_catalog_peers: VecDeque<(SocketAddr, u64)>,
 }
@@ -104,11 +104,11 @@
     pub orders: Vec<Rollout>,
 }
 
-impl Track {
+impl Synchronization {
     /// Creates the state of an instance that is not synchronized yet. `replace` limits how
     /// long it may serve with a catalog that was replaced.
     pub(super) fn new(replace: Option<Duration>) -> Self {
-        Self { succession: Succession::new(replace), ..Self::default() }
+        Self { announced_catalogs: AnnouncedCatalogs::new(replace), ..Self::default() }
     }
 
     /// Records a complete listing of endpoints.
@@ -156,15 +156,15 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Records a complete listing of endpoints from the store.
-    pub fn note_listing(&self, revision: u64) {
-        self.lock().track.record_listing(revision);
+    pub fn record_listing(&self, revision: u64) {
+        self.lock().synchronization.record_listing(revision);
     }
 
     /// Records changes to endpoints from the store.
-    pub fn note_changes(&self, revision: u64, changes: Vec<Change>) {
-        self.lock().track.record_changes(revision, changes);
+    pub fn record_changes(&self, revision: u64, changes: Vec<Change>) {
+        self.lock().synchronization.record_changes(revision, changes);
     }
 
     /// Returns the changes from the known endpoints to a listing. Endpoints in `kept` do not
@@ -181,24 +181,24 @@
     }
 
     /// Records that all roll-outs have been listed.
-    pub fn note_orders(&self) {
-        self.lock().track.orders_known = true;
+    pub fn mark_orders_listed(&self) {
+        self.lock().synchronization.orders_known = true;
     }
 
     /// Whether the store may be unreachable, according to the replies of other instances.
     #[must_use]
-    pub fn doubts_store(&self) -> bool {
-        self.lock().track.doubts_store
+    pub fn suspects_store_outage(&self) -> bool {
+        self.lock().synchronization.doubts_store
     }
 
     /// Returns the revision up to which the endpoints are known.
     #[must_use]
     pub fn endpoints_revision(&self) -> u64 {
-        self.lock().track.revision
+        self.lock().synchronization.revision
     }
 
     /// Records whether this instance's link is slow, so that reading the catalog takes long.
-    pub fn note_narrow(&self, is_narrow: bool) {
+    pub fn set_narrow(&self, is_narrow: bool) {
         let mut state = self.lock();
         if state.is_narrow != is_narrow {
             tracing::info!(is_narrow, "time to read the catalog changed");
@@ -218,12 +218,12 @@
     pub fn reply(&self, question: Question, most: usize) -> Option<Reply> {
         let proof_age = self.keys_age()?;
         // A proof is an answer of the store too.
-        let silence = proof_age.min(clock::now().saturating_sub(self.catalog_progress.last()));
+        let silence = proof_age.min(clock::now().saturating_sub(self.catalog_progress.last_arrival()));
         let state = self.lock();
-        if state.knowledge < Knowledge::Endpoints || !state.track.orders_known {
+        if state.knowledge < Knowledge::Endpoints || !state.synchronization.orders_known {
             return None;
         }
-        let since = state.track.changes_since(question.revision, most);
+        let since = state.synchronization.changes_since(question.revision, most);
         let gap = since.is_none();
         let (revision, changes) = since.unwrap_or((question.revision, Vec::new()));
         Some(Reply {
@@ -233,14 +233,14 @@
             revision,
             gap,
             changes,
-            orders: state.trials.orders(),
+            orders: state.rollouts.orders(),
         })
     }
 
     /// Applies a reply to a question that was sent at `asked`.
-    pub fn take_reply(&self, asked: Duration, reply: Reply) {
+    pub fn apply_reply(&self, asked: Duration, reply: Reply) {
         if reply.silence > MAX_STORE_SILENCE {
-            self.note_doubtful_reply(&reply);
+            self.record_doubtful_reply(&reply);
             return;
         }
         // This instance may have read the store itself since it asked. Earlier changes are
@@ -251,37 +251,39 @@
         }
         self.apply_orders(&reply.orders);
         let mut state = self.lock();
-        state.track.record_changes(reply.revision, reply.changes);
-        state.track.last_reply = Some(clock::now());
-        state.track.doubtful_replies = 0;
-        state.track.doubts_store = false;
+        state.synchronization.record_changes(reply.revision, reply.changes);
+        state.synchronization.last_reply = Some(clock::now());
+        state.synchronization.doubtful_replies = 0;
+        state.synchronization.doubts_store = false;
         if reply.gap {
             self.endpoints_wanted.notify_one();
         }
         // The proof renews the lease only if this instance has the proven catalog.
         if state.catalog.as_ref().is_some_and(|known| known.version >= reply.catalog) {
-            state.freshness.renew(asked.saturating_sub(reply.proof_age), Proof::Read);
+            state.lease.renew(asked.saturating_sub(reply.proof_age), Proof::Read);
         }
         drop(state);
-        self.note_catalog_version(reply.catalog);
+        self.record_catalog_version(reply.catalog);
     }
 
     /// Applies changes to the known endpoints.
     fn apply_changes(&self, changes: &[Change]) {
         for change in changes {
             match change {
-                Change::Known(endpoint) => self.enlist(endpoint.clone()),
-                Change::Gone(id) => self.delist(id),
+                Change::Known(endpoint) => self.register_endpoint(endpoint.clone()),
+                Change::Gone(id) => self.remove_endpoint(id),
             }
         }
     }
 
     /// Records a reply of a watcher that seems to have lost the store.
-    fn note_doubtful_reply(&self, reply: &Reply) {
+    fn record_doubtful_reply(&self, reply: &Reply) {
         let mut state = self.lock();
-        state.track.doubtful_replies += 1;
-        if state.track.doubtful_replies >= MAX_DOUBTFUL_REPLIES && state.track.last_reply.take().is_some() {
-            state.track.doubts_store = true;
+        state.synchronization.doubtful_replies += 1;
+        if state.synchronization.doubtful_replies >= MAX_DOUBTFUL_REPLIES
+            && state.synchronization.last_reply.take().is_some()
+        {
+            state.synchronization.doubts_store = true;
             tracing::info!(
                 silence_ms = clock::millis(reply.silence),
                 proof_age_ms = clock::millis(reply.proof_age),
@@ -289,28 +291,28 @@
             );
         }
         drop(state);
-        self.note_catalog_version(reply.catalog);
+        self.record_catalog_version(reply.catalog);
     }
 
     /// Records the catalog version of another instance, and requests a newer one to be read.
-    pub(super) fn note_catalog_version(&self, version: u64) {
+    pub(super) fn record_catalog_version(&self, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
         }
-        if state.track.succession.tell(version, clock::now()) {
+        if state.synchronization.announced_catalogs.announce(version, clock::now()) {
             tracing::info!(version, "newer catalog announced");
         }
         self.catalog_wanted.notify_one();
     }
 
     /// Records that another instance has a catalog, so that it can be asked for a newer one.
-    pub fn note_teller(&self, teller: SocketAddr, version: u64) {
+    pub fn record_newer_catalog_peer(&self, teller: SocketAddr, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
         }
-        let newer_catalog_peers = &mut state.track.newer_catalog_peers;
+        let newer_catalog_peers = &mut state.synchronization.newer_catalog_peers;
         newer_catalog_peers.retain(|(known, _)| *known != teller);
         newer_catalog_peers.truncate(MAX_NEWER_CATALOG_PEERS - 1);
         newer_catalog_peers.push_front((teller, version));
@@ -319,11 +321,11 @@
     /// Returns the address of an instance that has a newer catalog than this one, drawn at
     /// random from the latest that announced one.
     #[must_use]
-    pub fn teller(&self) -> Option<SocketAddr> {
+    pub fn newer_catalog_peer(&self) -> Option<SocketAddr> {
         let mut state = self.lock();
         let version = state.catalog.as_ref().map_or(0, |known| known.version);
-        state.track.newer_catalog_peers.retain(|(_, announced)| *announced > version);
-        let (teller, _) = state.track.newer_catalog_peers.iter().choose(&mut rand::rng())?;
+        state.synchronization.newer_catalog_peers.retain(|(_, announced)| *announced > version);
+        let (teller, _) = state.synchronization.newer_catalog_peers.iter().choose(&mut rand::rng())?;
         Some(*teller)
     }
 
@@ -331,20 +333,20 @@
     /// the same catalog; once it was read, their announcements must not cause it to be
     /// read again.
     #[must_use]
-    pub fn behind(&self) -> bool {
-        self.lock().track.succession.is_behind()
+    pub fn is_behind(&self) -> bool {
+        self.lock().synchronization.announced_catalogs.is_behind()
     }
 
     /// Replaces the known roll-outs by those of a reply, keeping newer revisions.
     fn apply_orders(&self, orders: &[Rollout]) {
-        let known = self.lock().trials.orders();
+        let known = self.lock().rollouts.orders();
         for gone in known.iter().filter(|order| !orders.iter().any(|other| other.service == order.service)) {
             self.withdraw_order(&gone.service);
         }
         for order in orders {
             let newer = known.iter().any(|mine| mine.service == order.service && mine.revision >= order.revision);
             if !newer {
-                self.order(order.clone());
+                self.apply_order(order.clone());
             }
         }
     }
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -12,9 +12,9 @@
 use super::tries::Exchange;
 use crate::{
     answer::Refusal,
-    catalog::{Route, Team},
+    catalog::{Customer, Route},
     clock,
-    desk::{Desk, Held},
+    dispatcher::{Dispatcher, Reservation},
     request_params::{RequestParams, end_to_end},
 };
 
@@ -30,7 +30,7 @@
     /// Route of the request.
     pub route: Arc<Route>,
     /// Customer that owns the request's access key; `None` if no key is needed.
-    pub team: Option<Arc<Team>>,
+    pub team: Option<Arc<Customer>>,
     /// Urgency of the route among those that have a ladder of models.
     pub urgency: Urgency,
     /// Version of the catalog.
@@ -38,29 +38,32 @@
 }
 
 /// Checks a request and reads its body.
-pub async fn admit(desk: &Arc<Desk>, request: Request<Incoming>) -> Result<Exchange, (RequestParams, Refusal)> {
+pub async fn admit(
+    dispatcher: &Arc<Dispatcher>,
+    request: Request<Incoming>,
+) -> Result<Exchange, (RequestParams, Refusal)> {
     let started = clock::now();
-    let flight = desk.enter();
+    let in_flight = dispatcher.count_in_flight();
     let (head, body) = request.into_parts();
-    let params = RequestParams::read(&head.headers, &desk.dialect.names);
+    let params = RequestParams::read(&head.headers, &dispatcher.dialect.names);
     let host = host(&head.headers, &head.uri);
-    desk.started().await;
-    let admission = match check(desk, &host, head.uri.path(), &params) {
+    dispatcher.wait_until_started().await;
+    let admission = match check(dispatcher, &host, head.uri.path(), &params) {
         Ok(admission) => admission,
         Err(refusal) => return Err((params, refusal)),
     };
-    if desk.leaves_within(admission.route.timeout) {
+    if dispatcher.leaves_within(admission.route.timeout) {
         return Err((params, Refusal::Leaving));
     }
     if params.tokens.is_some() {
         // Without knowing which engine has the prompt cached, it would be sent to one that
         // has to process it again.
-        desk.caches_known().await;
+        dispatcher.wait_until_caches_known().await;
     }
     let time = params.deadline.unwrap_or(DEFAULT_DEADLINE).min(admission.route.timeout);
     let limit = started + time.saturating_sub(ANSWER_TIME_RESERVE);
-    let longest = desk.catalog().map_or(0, |catalog| catalog.limits.body_bytes);
-    let mut memory = desk.hold_none();
+    let longest = dispatcher.catalog().map_or(0, |catalog| catalog.limits.body_bytes);
+    let mut memory = dispatcher.reserve_body_memory();
     let body = match timeout(time, read_body(body, longest, &mut memory)).await {
         Ok(Ok(body)) => body,
         Ok(Err(refusal)) => return Err((params, refusal)),
@@ -70,12 +73,12 @@
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = Content::of(team, head.method.as_str(), &host, path, &body);
     let mut headers = end_to_end(&head.headers);
-    for name in &desk.dialect.names.reserved {
+    for name in &dispatcher.dialect.names.reserved {
         headers.remove(name);
     }
     Ok(Exchange {
-        desk: Arc::clone(desk),
-        flight: Some(flight),
+        dispatcher: Arc::clone(dispatcher),
+        in_flight: Some(in_flight),
         _body_memory: memory,
         content,
         service: String::new(),
@@ -100,23 +103,23 @@
 }
 
 /// Checks a request against the catalog and access keys in force now.
-pub fn check(desk: &Desk, host: &str, path: &str, params: &RequestParams) -> Result<Admission, Refusal> {
-    let catalog = desk.catalog().ok_or(Refusal::NotStarted)?;
+pub fn check(dispatcher: &Dispatcher, host: &str, path: &str, params: &RequestParams) -> Result<Admission, Refusal> {
+    let catalog = dispatcher.catalog().ok_or(Refusal::NotStarted)?;
     // An operator may have moved or deleted the route. Requests without a key would
     // otherwise be forwarded by the old route indefinitely.
-    if !desk.catalog_holds() {
+    if !dispatcher.is_catalog_valid() {
         return Err(Refusal::Replaced);
     }
     // A newer catalog may have the route or key that this one lacks, and callers that
     // get 404 or 401 do not retry.
-    let or_replaced = |refusal| if desk.behind() { Refusal::Replaced } else { refusal };
+    let or_replaced = |refusal| if dispatcher.is_behind() { Refusal::Replaced } else { refusal };
     let route = catalog.route(host, path).ok_or_else(|| or_replaced(Refusal::NoRoute))?;
     let team = match &catalog.keys {
         Some(keys) if !route.public => {
             // A key may have been revoked while this instance had no contact with the store,
             // so no key is accepted without a recent confirmation.
-            if !desk.fresh() {
-                return Err(Refusal::KeysStale { elsewhere: desk.fresh_elsewhere() });
+            if !dispatcher.is_fresh() {
+                return Err(Refusal::KeysStale { elsewhere: dispatcher.is_fresh_elsewhere() });
             }
             let team = params.key.as_deref().and_then(|key| keys.get(key));
             Some(Arc::clone(team.ok_or_else(|| or_replaced(Refusal::NoKey))?))
@@ -134,8 +137,8 @@
     host.split(':').next().unwrap_or_default().to_ascii_lowercase()
 }
 
-/// Reads a body of up to `longest` bytes and accounts for its memory in `held`.
-async fn read_body(mut body: Incoming, longest: usize, held: &mut Held) -> Result<Bytes, Refusal> {
+/// Reads a body of up to `longest` bytes and accounts for its memory in `reservation`.
+async fn read_body(mut body: Incoming, longest: usize, reservation: &mut Reservation) -> Result<Bytes, Refusal> {
     if body.size_hint().lower() > u64::try_from(longest).unwrap_or(u64::MAX) {
         return Err(Refusal::TooLarge);
     }
@@ -147,7 +150,7 @@
         }
         // Thousands of slow callers with long bodies could otherwise use up the memory and
         // get the process killed, with all requests in flight.
-        if !held.grow(data.len()) {
+        if !reservation.grow(data.len()) {
             return Err(Refusal::Memory);
         }
         whole.extend_from_slice(&data);
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -7,15 +7,15 @@
 use http_body_util::Full;
 use route::relay::{
     allowance::Purpose,
-    ladder::{self, Outlook, Room, Step, Time},
-    patience::patience,
+    first_byte_timeout::first_byte_timeout,
+    ladder::{self, Outlook, RelativeTime, Remaining, Step},
 };
 use world::hash;
 
 use super::tries::Exchange;
 use crate::{
     clock,
-    desk::fleet::{Job, Run, affinity},
+    dispatcher::fleet::{Job, Run, affinity},
     request_params,
     upstream::Answer,
 };
@@ -70,23 +70,23 @@
         if let Some(model) = self.resumed_model(models) {
             return Some(model);
         }
-        if self.desk.suspects(self.content) {
+        if self.dispatcher.is_suspect(self.content) {
             // Trying a smaller model first adds a run, which may crash one more endpoint.
             return Some(models - 1);
         }
         let service = self.admission.route.target(self.target_draw).unwrap_or_default();
-        let room = Room {
+        let remaining = Remaining {
             attempts: self.admission.route.attempts,
-            allowance: self.desk.affords(service, Purpose::Escalation),
+            allowance: self.dispatcher.allows_extra_dispatch(service, Purpose::Escalation),
         };
-        let goal_ms = clock::millis(self.admission.route.goal).max(1.0);
+        let goal_ms = clock::millis(self.admission.route.target_time).max(1.0);
         let time = |model| {
             let job = self.job_at(service, Some(model));
-            let now_ms = self.desk.expect(&job).unwrap_or(f64::INFINITY);
-            Time { idle: self.desk.expect_idle(&job) / goal_ms, now: now_ms / goal_ms }
+            let now_ms = self.dispatcher.expected_ms(&job).unwrap_or(f64::INFINITY);
+            RelativeTime { idle: self.dispatcher.expected_idle_ms(&job) / goal_ms, now: now_ms / goal_ms }
         };
-        let times: Vec<Time> = (0..models).map(time).collect();
-        Some(ladder::start(room, &times))
+        let times: Vec<RelativeTime> = (0..models).map(time).collect();
+        Some(ladder::first_model(remaining, &times))
     }
 
     /// Returns the largest model that has processed the prompt of a stream that the caller
@@ -97,17 +97,17 @@
     /// and is not asked again.
     fn resumed_model(&self, models: usize) -> Option<usize> {
         self.params.last_event?;
-        self.desk.model_that_read(|model| self.prompt_key(Some(model)), models)
+        self.dispatcher.largest_caching_model(|model| self.prompt_key(Some(model)), models)
     }
 
     /// Returns how long a run may take to its first byte.
-    pub(super) fn patience(&self, run: &Run) -> Duration {
+    pub(super) fn first_byte_timeout(&self, run: &Run) -> Duration {
         let route = &self.admission.route;
-        let last = self.sent >= route.attempts || !self.desk.affords(&self.service, Purpose::Repair);
+        let last = self.sent >= route.attempts || !self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Retry);
         if last || !route.kind.repeatable() {
             return self.left();
         }
-        patience(run.expected_ms(), route.goal)
+        first_byte_timeout(run.expected_ms(), route.target_time)
     }
 
     /// Builds the request to send to the endpoint of a run.
@@ -118,13 +118,13 @@
         last_event: Option<u64>,
         left: Duration,
     ) -> Request<Full<Bytes>> {
-        let names = &self.desk.dialect.names;
+        let names = &self.dispatcher.dialect.names;
         let mut headers = self.headers.clone();
         let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(names.deadline.clone(), request_params::value(&left.to_string()));
         headers.insert(names.expect_endpoint.clone(), request_params::value(&run.endpoint.id));
         if let Some(team) = &self.admission.team {
-            headers.insert(names.team.clone(), request_params::value(&team.name));
+            headers.insert(names.customer.clone(), request_params::value(&team.name));
         }
         if let Some(model) = model.and_then(|index| self.admission.route.models.get(index)) {
             headers.insert(names.model.clone(), request_params::value(&model.name));
@@ -134,7 +134,7 @@
             headers.insert(names.rank.clone(), request_params::value(&rank.min(9).to_string()));
         }
         if let Some(source) = run.source {
-            headers.insert(names.fetch.clone(), request_params::value(&source.to_string()));
+            headers.insert(names.copy_from.clone(), request_params::value(&source.to_string()));
         }
         if let Some(last) = last_event {
             headers.insert(names.last_event.clone(), request_params::value(&last.to_string()));
@@ -155,12 +155,12 @@
         if self.resumed_model(models) == Some(index) {
             return None;
         }
-        let room = Room {
+        let remaining = Remaining {
             attempts: self.admission.route.attempts.saturating_sub(self.sent),
-            allowance: self.desk.affords(&self.service, Purpose::Escalation),
+            allowance: self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Escalation),
         };
         let outlooks: Vec<Outlook> = (0..models).map(|model| self.outlook(model)).collect();
-        match ladder::step(index, confidence, self.admission.urgency, room, &outlooks) {
+        match ladder::next_step(index, confidence, self.admission.urgency, remaining, &outlooks) {
             Step::Keep => None,
             Step::Escalate(next) => Some(next),
         }
@@ -168,24 +168,24 @@
 
     /// Returns the model's confidence in its answer.
     pub(super) fn confidence(&self, answer: &Answer) -> Option<u32> {
-        let value = answer.response.headers().get(&self.desk.dialect.names.confidence)?;
+        let value = answer.response.headers().get(&self.dispatcher.dialect.names.confidence)?;
         value.to_str().ok()?.trim().parse().ok()
     }
 
     /// Predicts whether a model's first event would still come in time.
     fn outlook(&self, model: usize) -> Outlook {
         let job = self.job(Some(model));
-        let Some(expected_ms) = self.desk.expect(&job) else { return Outlook::Never };
-        let goal_ms = clock::millis(self.admission.route.goal);
+        let Some(expected_ms) = self.dispatcher.expected_ms(&job) else { return Outlook::TooLate };
+        let goal_ms = clock::millis(self.admission.route.target_time);
         let passed_ms = clock::millis(clock::now().saturating_sub(self.started));
         if passed_ms + expected_ms <= goal_ms {
             Outlook::InTime
         } else if expected_ms > 0.5 * clock::millis(self.left()) {
-            Outlook::Never
-        } else if self.desk.expect_idle(&job) <= SHORT_PROMPT_FRACTION * goal_ms {
-            Outlook::Crowded
+            Outlook::TooLate
+        } else if self.dispatcher.expected_idle_ms(&job) <= SHORT_PROMPT_FRACTION * goal_ms {
+            Outlook::LateByQueues
         } else {
-            Outlook::Late
+            Outlook::LateByLength
         }
     }
 }
--- a/crates/relay/src/exchange/tries.rs
+++ b/crates/relay/src/exchange/tries.rs
@@ -16,9 +16,9 @@
     answer::{self, Body, Refusal},
     catalog::Kind,
     clock,
-    desk::{
-        Desk, Flight, Held,
-        fleet::{Ended, Key, Run},
+    dispatcher::{
+        Dispatcher, InFlight, Reservation,
+        fleet::{Key, Run, RunOutcome},
     },
     request_params::RequestParams,
     source::Endpoint,
@@ -49,9 +49,9 @@
 /// A request being served.
 #[derive(Debug)]
 pub struct Exchange {
-    pub(super) desk: Arc<Desk>,
-    pub(super) flight: Option<Flight>,
-    pub(super) _body_memory: Held,
+    pub(super) dispatcher: Arc<Dispatcher>,
+    pub(super) in_flight: Option<InFlight>,
+    pub(super) _body_memory: Reservation,
     pub(super) content: Content,
     pub(super) params: RequestParams,
     pub(super) admission: Admission,
@@ -151,12 +151,12 @@
     /// Places the next try at an endpoint, or returns why no further try is possible.
     pub(super) async fn next_run(&mut self, model: Option<usize>) -> Result<Run, Refusal> {
         self.await_crash_check().await;
-        if let Some(left) = self.desk.quarantined(self.content) {
+        if let Some(left) = self.dispatcher.remaining_quarantine(self.content) {
             return Err(self.refusal_for_caller(Refusal::Quarantined { left }));
         }
         // The catalog may have changed since the last check: a revoked key or an old route
         // must not be used again.
-        self.admission = admit::check(&self.desk, &self.host, self.uri.path(), &self.params)
+        self.admission = admit::check(&self.dispatcher, &self.host, self.uri.path(), &self.params)
             .map_err(|r| self.refusal_for_caller(r))?;
         if self.left() < MIN_TRY_TIME {
             return Err(self.refusal_for_caller(Refusal::Expired));
@@ -172,9 +172,9 @@
         };
         if self.sent == 0 {
             if self.unreachable == 0 {
-                self.desk.earn(&self.service);
+                self.dispatcher.record_first_dispatch(&self.service);
             }
-        } else if !self.desk.spend(&self.service, Purpose::Repair) {
+        } else if !self.dispatcher.try_extra_dispatch(&self.service, Purpose::Retry) {
             return Err(self.refusal_for_caller(Refusal::TurnedAway));
         }
         Ok(run)
@@ -193,7 +193,7 @@
     async fn wait_for_place(&self, model: Option<usize>) -> Result<Run, Refusal> {
         let until = clock::now() + ENDPOINT_WAIT.min(self.left());
         while clock::now() < until {
-            if let Some(after) = self.desk.throttled(&self.service)
+            if let Some(after) = self.dispatcher.throttle_wait(&self.service)
                 && clock::now() + after > until
             {
                 return Err(self.refusal_for_caller(Refusal::Throttled { after }));
@@ -220,7 +220,7 @@
 
     /// Places a run at an endpoint; `None` if no endpoint accepts the request.
     fn place(&self, model: Option<usize>) -> Option<Run> {
-        self.desk.place(&self.job(model))
+        self.dispatcher.place(&self.job(model))
     }
 
     /// Sends the request once and decides what to do with the answer.
@@ -229,15 +229,15 @@
         let answer = match outcome {
             Outcome::Answer(answer) => *answer,
             other => {
-                self.note_failed_try(&mut run, &other);
+                self.record_failed_try(&mut run, &other);
                 return NextStep::Retry;
             }
         };
-        run.first_byte();
+        run.record_first_byte();
         let status = answer.response.status();
         let stream = matches!(self.admission.route.kind, Kind::Stream { .. });
         if status.is_success() && stream {
-            run.judge(false);
+            run.record_verdict(false);
             if let Some(next) = self.escalation(&answer, *model) {
                 tracing::info!(
                     request = self.params.id,
@@ -259,32 +259,32 @@
     }
 
     /// Records a try that gave no usable answer.
-    pub(super) fn note_failed_try(&mut self, run: &mut Run, outcome: &Outcome) {
+    pub(super) fn record_failed_try(&mut self, run: &mut Run, outcome: &Outcome) {
         self.tried.push(run.key);
         let (ended, cause) = match outcome {
             Outcome::Unreachable(Unreachable { cause, is_refused }) => {
                 self.unreachable += 1;
                 self.sent -= 1;
-                (if *is_refused { Ended::Down } else { Ended::Unreachable }, cause.clone())
+                (if *is_refused { RunOutcome::Down } else { RunOutcome::Unreachable }, cause.clone())
             }
             Outcome::NotRun(StatusCode::MISDIRECTED_REQUEST) => {
-                (Ended::Replaced, "another server stands at its address".to_owned())
+                (RunOutcome::Replaced, "another server stands at its address".to_owned())
             }
-            Outcome::NotRun(status) => (Ended::Full, format!("turned away with {status}")),
-            Outcome::Unknown(cause) => (Ended::Broken, cause.clone()),
+            Outcome::NotRun(status) => (RunOutcome::Full, format!("turned away with {status}")),
+            Outcome::Unknown(cause) => (RunOutcome::Broken, cause.clone()),
             Outcome::Broken(cause) => {
                 self.crash_check =
-                    Some(tokio::spawn(check_for_crash(Arc::clone(&self.desk), run.key, run.endpoint.address)));
-                (Ended::Broken, cause.clone())
+                    Some(tokio::spawn(check_for_crash(Arc::clone(&self.dispatcher), run.key, run.endpoint.address)));
+                (RunOutcome::Broken, cause.clone())
             }
-            Outcome::Answer(_) => (Ended::Good, String::new()),
+            Outcome::Answer(_) => (RunOutcome::Good, String::new()),
         };
-        self.note_failure(run, ended, cause);
+        self.record_failure(run, ended, cause);
     }
 
     /// Records and logs a failed try.
-    fn note_failure(&mut self, run: &mut Run, ended: Ended, cause: String) {
-        run.ended(ended);
+    fn record_failure(&mut self, run: &mut Run, ended: RunOutcome, cause: String) {
+        run.record_outcome(ended);
         tracing::info!(
             request = self.params.id,
             content = %self.content,
@@ -303,14 +303,20 @@
         let left = self.left();
         let request = self.request(run, model, last_event, left);
         self.sent += 1;
-        run.sent(self.content);
-        let patience = self.patience(run).min(left);
+        run.mark_sent(self.content);
+        let first_byte_timeout = self.first_byte_timeout(run).min(left);
         // The deadline may pass and cancel this call while the try is in flight. From here
         // on the caller must not be told that the request did not run.
         let ran_before = std::mem::replace(&mut self.may_have_run, true);
-        let TryResult { outcome, limit } =
-            upstream::send(run.endpoint.address, request, &self.params.id, &self.desk.dialect.names, patience).await;
-        run.said(limit);
+        let TryResult { outcome, limit } = upstream::send(
+            run.endpoint.address,
+            request,
+            &self.params.id,
+            &self.dispatcher.dialect.names,
+            first_byte_timeout,
+        )
+        .await;
+        run.record_limit(limit);
         if matches!(outcome, Outcome::Unreachable(_) | Outcome::NotRun(_)) {
             self.may_have_run = ran_before;
         }
@@ -324,7 +330,7 @@
         if promises_not_run(status) {
             // A signed answer shows that the request ran. This status would tell the caller
             // that it did not, and changing it would invalidate the signature.
-            self.note_failed_try(
+            self.record_failed_try(
                 &mut run,
                 &Outcome::Unknown(format!("answered {status} without saying that it did not run")),
             );
@@ -334,22 +340,22 @@
         let bytes = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
             Err(error) => {
-                self.note_failed_try(&mut run, &Outcome::Broken(error.to_string()));
+                self.record_failed_try(&mut run, &Outcome::Broken(error.to_string()));
                 return NextStep::Retry;
             }
         };
         let failed = status.is_server_error();
-        run.judge(failed);
+        run.record_verdict(failed);
         let mut response = Response::new(answer::full_body(bytes));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         let (endpoint, choice) = (Arc::clone(&run.endpoint), run.choice);
         if failed {
-            self.note_failure(&mut run, Ended::Failed, format!("failed with {status}"));
+            self.record_failure(&mut run, RunOutcome::Failed, format!("failed with {status}"));
             self.tried.push(run.key);
             return NextStep::Failed(Failure { response, status, endpoint, choice });
         }
-        run.ended(Ended::Good);
+        run.record_outcome(RunOutcome::Good);
         self.log_answer(&endpoint, choice, status, None, None);
         NextStep::Accepted(AcceptedAnswer::Whole(response))
     }
@@ -387,9 +393,9 @@
 }
 
 /// Reports a crash of an endpoint if it refuses connections.
-async fn check_for_crash(desk: Arc<Desk>, key: Key, address: SocketAddr) {
+async fn check_for_crash(dispatcher: Arc<Dispatcher>, key: Key, address: SocketAddr) {
     if upstream::is_refused(address).await {
-        desk.note_crash(key);
+        dispatcher.record_crash(key);
     }
 }
 
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -5,7 +5,7 @@
 //! never report an error. After any failure the kind is listed again, because an
 //! interrupted watch may have missed changes.
 //!
-//! While another instance keeps this one synchronized ([`crate::desk::track`]), the
+//! While another instance keeps this one synchronized ([`crate::dispatcher::synchronization`]), the
 //! store is called only for what that instance cannot provide.
 
 mod intake;
@@ -13,13 +13,13 @@
 
 use std::{sync::Arc, time::Duration};
 
-use route::relay::freshness::{Cadence, Proof};
+use route::relay::freshness::{Proof, Schedule};
 use tokio::time::{sleep, timeout};
 
 use self::lapses::{Lapses, REREGISTRATION_TIME};
 use crate::{
     clock,
-    desk::Desk,
+    dispatcher::Dispatcher,
     share, silence,
     source::{Fault, Kind, Progress, Read, Source},
 };
@@ -85,14 +85,14 @@
 const TRIGGERED_READ_PAUSE: Duration = Duration::from_millis(300);
 
 /// Keeps one kind of record synchronized; never returns.
-pub async fn follow(desk: Arc<Desk>, source: Arc<dyn Source>, kind: Kind) {
-    let progress = if kind == Kind::Catalog { desk.catalog_progress() } else { Arc::default() };
+pub async fn follow(dispatcher: Arc<Dispatcher>, source: Arc<dyn Source>, kind: Kind) {
+    let progress = if kind == Kind::Catalog { dispatcher.catalog_progress() } else { Arc::default() };
     let mut follower = Follower {
-        desk,
+        dispatcher,
         source,
         kind,
         progress,
-        cadence: Cadence::default(),
+        schedule: Schedule::default(),
         revision: None,
         has_listed: false,
         lost_since: None,
@@ -109,12 +109,12 @@
 }
 
 struct Follower {
-    desk: Arc<Desk>,
+    dispatcher: Arc<Dispatcher>,
     source: Arc<dyn Source>,
     kind: Kind,
     progress: Arc<Progress>,
     /// Decides when the catalog may be read again.
-    cadence: Cadence,
+    schedule: Schedule,
     /// Revision to watch from; `None` if the kind has to be listed.
     revision: Option<u64>,
     has_listed: bool,
@@ -135,7 +135,7 @@
 impl Follower {
     /// Makes one call to the store, or waits if none is due.
     async fn step(&mut self) {
-        if self.has_listed && self.desk.led() {
+        if self.has_listed && self.dispatcher.is_synchronized() {
             self.wait_synchronized().await;
             return;
         }
@@ -163,11 +163,11 @@
         };
         self.expire_lapses();
         let Err(fault) = result else {
-            self.note_contact(true);
-            self.note_success();
+            self.record_contact(true);
+            self.record_success();
             return;
         };
-        self.note_contact(false);
+        self.record_contact(false);
         self.revision = None;
         if matches!(fault, Fault::Compacted | Fault::Unreadable) {
             tracing::info!(kind = ?self.kind, %fault, "listing all records again");
@@ -177,12 +177,14 @@
             tracing::warn!(kind = ?self.kind, %fault, "store lost");
             self.lost_since = Some(asked);
         }
-        let wait = if self.desk.looks_first() {
+        let wait = if self.dispatcher.probes_store_often() {
             self.backoff(BACKOFF.1)
         } else {
-            PROBE_PAUSE.max(PROBE_PAUSE_PER_INSTANCE * u32::try_from(self.desk.members()).unwrap_or(u32::MAX))
+            PROBE_PAUSE.max(
+                PROBE_PAUSE_PER_INSTANCE * u32::try_from(self.dispatcher.live_instance_count()).unwrap_or(u32::MAX),
+            )
         };
-        self.note_failure(clock::now());
+        self.record_failure(clock::now());
         sleep(wait.mul_f64(0.7 + 0.6 * rand::random::<f64>())).await;
     }
 
@@ -195,20 +197,22 @@
     /// store and keep the others synchronized.
     fn is_discovering(&self) -> bool {
         let Some(since) = self.first_listed.map(|first| clock::now().saturating_sub(first)) else { return false };
-        since < WATCHER_DISCOVERY_TIME || (since < DISCOVERY_TIME && !self.desk.watches_store())
+        since < WATCHER_DISCOVERY_TIME || (since < DISCOVERY_TIME && !self.dispatcher.watches_store())
     }
 
     /// Returns whether to leave probing of an unreachable store to the catalog's follower:
     /// all kinds are lost and regained together, and each probe is paid for.
     fn defers_to_catalog(&self) -> bool {
-        let is_lost = self.lost_since.is_some() && !self.desk.touched();
-        self.kind != Kind::Catalog && (is_lost || self.desk.doubts_store())
+        let is_lost = self.lost_since.is_some() && !self.dispatcher.last_store_call_succeeded();
+        self.kind != Kind::Catalog && (is_lost || self.dispatcher.suspects_store_outage())
     }
 
     /// Returns whether to wait before probing a store that others seem to have lost. The
     /// whole fleet learns of it at once, and usually the store is lost to all instances.
     fn defers_first_probe(&mut self) -> bool {
-        let doubts = self.kind == Kind::Catalog && self.desk.doubts_store() && !self.desk.looks_first();
+        let doubts = self.kind == Kind::Catalog
+            && self.dispatcher.suspects_store_outage()
+            && !self.dispatcher.probes_store_often();
         let is_first = doubts && !self.has_deferred_probe;
         self.has_deferred_probe = doubts;
         is_first
@@ -220,11 +224,12 @@
         self.revision = None;
         self.expire_lapses();
         self.lapses.clear_removals();
-        let asked_for = timeout(SYNCED_CHECK_PAUSE, self.desk.wanted(self.kind)).await.is_ok();
-        let wanted = asked_for && (self.kind != Kind::Catalog || self.desk.behind());
+        let asked_for = timeout(SYNCED_CHECK_PAUSE, self.dispatcher.wait_for_refresh(self.kind)).await.is_ok();
+        let wanted = asked_for && (self.kind != Kind::Catalog || self.dispatcher.is_behind());
         let asked = clock::now();
-        let probe =
-            self.kind == Kind::Catalog && !self.desk.touched() && asked > self.last_failure + SYNCED_PROBE_PAUSE;
+        let probe = self.kind == Kind::Catalog
+            && !self.dispatcher.last_store_call_succeeded()
+            && asked > self.last_failure + SYNCED_PROBE_PAUSE;
         // The store may reject this instance and serve all others, which then announce the
         // newer catalog sixteen times a second. Without a wait, each announcement causes two
         // more rejected calls, which made up a quarter of the cost of a day's calls.
@@ -255,9 +260,9 @@
     /// This helps when the store rejects this instance and serves the others. The store is
     /// still asked first, because callers are directed to instances in contact with it.
     async fn copy_catalog(&self) -> bool {
-        let Some(teller) = self.desk.teller() else { return false };
+        let Some(teller) = self.dispatcher.newer_catalog_peer() else { return false };
         match share::fetch(teller).await {
-            Ok(catalog) => self.desk.install(catalog),
+            Ok(catalog) => self.dispatcher.install(catalog),
             Err(cause) => {
                 tracing::info!(%teller, cause, "copying the catalog from another instance failed");
                 false
@@ -274,26 +279,26 @@
     /// long to transfer is not read twice: that would delay the change by half a second and
     /// fill the link.
     async fn catch_up(&mut self, asked: Duration) {
-        if self.cadence.is_long() {
+        if self.schedule.was_last_read_long() {
             self.read_latest(asked).await;
             if self.failures > 0 {
                 self.copy_catalog().await;
             }
             return;
         }
-        let version = |desk: &Desk| desk.catalog().map(|catalog| catalog.version);
-        let before = version(&self.desk);
+        let version = |dispatcher: &Dispatcher| dispatcher.catalog().map(|catalog| catalog.version);
+        let before = version(&self.dispatcher);
         match self.list(Read::AnyAge, asked).await {
             Err(fault) => {
-                self.note_failed_read(asked, &fault);
+                self.record_failed_read(asked, &fault);
                 self.copy_catalog().await;
             }
-            Ok(()) if version(&self.desk) == before => {
+            Ok(()) if version(&self.dispatcher) == before => {
                 if !self.copy_catalog().await {
                     self.read_latest(clock::now()).await;
                 }
             }
-            Ok(()) => self.note_success(),
+            Ok(()) => self.record_success(),
         }
     }
 
@@ -301,31 +306,31 @@
     async fn read_latest(&mut self, asked: Duration) {
         match self.list(Read::Latest, asked).await {
             Ok(()) => {
-                self.note_contact(true);
-                self.note_success();
+                self.record_contact(true);
+                self.record_success();
             }
-            Err(fault) => self.note_failed_read(asked, &fault),
+            Err(fault) => self.record_failed_read(asked, &fault),
         }
     }
 
     /// Logs and records a read that failed.
-    fn note_failed_read(&mut self, asked: Duration, fault: &Fault) {
+    fn record_failed_read(&mut self, asked: Duration, fault: &Fault) {
         tracing::info!(kind = ?self.kind, %fault, failures = self.failures, "store not read");
-        self.note_contact(false);
-        self.note_failure(asked);
+        self.record_contact(false);
+        self.record_failure(asked);
     }
 
     /// Records a failed call at time `at`.
-    fn note_failure(&mut self, at: Duration) {
+    fn record_failure(&mut self, at: Duration) {
         self.last_failure = at;
         self.failures += 1;
     }
 
     /// Records whether this instance's calls to the store succeed. Only the catalog's
     /// follower does so, on behalf of all kinds.
-    fn note_contact(&self, succeeded: bool) {
+    fn record_contact(&self, succeeded: bool) {
         if self.kind == Kind::Catalog {
-            self.desk.note_touch(succeeded);
+            self.dispatcher.record_store_call(succeeded);
         }
     }
 
@@ -340,15 +345,15 @@
         let call = self.source.list(self.kind, read, &self.progress);
         let listing = silence::bounded(&self.progress, Duration::ZERO, call).await?;
         // An empty listing is a proof only while no catalog has been read: then there is none.
-        let is_conclusive = !listing.records.is_empty() || self.desk.catalog().is_none();
+        let is_conclusive = !listing.records.is_empty() || self.dispatcher.catalog().is_none();
         let proves = self.kind == Kind::Catalog && read == Read::Latest && is_conclusive;
         if self.kind == Kind::Catalog {
-            self.cadence.note(self.progress.transfer(), clock::now());
-            self.desk.note_narrow(self.cadence.is_long());
+            self.schedule.record_read(self.progress.transfer_time(), clock::now());
+            self.dispatcher.set_narrow(self.schedule.was_last_read_long());
         }
         self.apply_listing(listing);
         if proves {
-            self.desk.renew(asked, Proof::Read);
+            self.dispatcher.renew(asked, Proof::Read);
         }
         Ok(())
     }
@@ -360,12 +365,12 @@
         let batch = silence::bounded(&self.progress, wait, call).await?;
         self.apply_batch(batch);
         if self.kind == Kind::Catalog {
-            self.desk.renew(asked, Proof::Quiet);
+            self.dispatcher.renew(asked, Proof::QuietWatch);
             // A watch without changes proves less than a read, since it may have missed
             // one. With a read after each watch, callers are still served for three fifths
             // of the bound on revoked keys once the store is lost; for a long catalog, which
             // is not read after each watch, it is a third.
-            if self.cadence.is_due(clock::now()) {
+            if self.schedule.is_due(clock::now()) {
                 self.revision = None;
             }
         }
@@ -375,7 +380,7 @@
     /// Returns how long the store may hold back its answer to a watch that starts at `asked`.
     fn watch_wait(&self, asked: Duration) -> Duration {
         match self.kind {
-            Kind::Catalog if !self.cadence.is_due(asked + CATALOG_WATCH_WAIT) => LONG_CATALOG_WATCH_WAIT,
+            Kind::Catalog if !self.schedule.is_due(asked + CATALOG_WATCH_WAIT) => LONG_CATALOG_WATCH_WAIT,
             Kind::Catalog => CATALOG_WATCH_WAIT,
             Kind::Endpoints if self.lapses.has_lapses() => LAPSED_WATCH_WAIT,
             Kind::Endpoints => ENDPOINTS_WATCH_WAIT,
@@ -384,7 +389,7 @@
     }
 
     /// Records a successful call, and logs it if the store was lost before.
-    fn note_success(&mut self) {
+    fn record_success(&mut self) {
         self.failures = 0;
         if let Some(since) = self.lost_since.take() {
             tracing::info!(kind = ?self.kind, after_ms = clock::millis(clock::now().saturating_sub(since)), "store regained");
@@ -394,8 +399,8 @@
     /// Removes lapsed endpoints that did not register again in time.
     fn expire_lapses(&mut self) {
         for lapse in self.lapses.expire(clock::now()) {
-            if self.desk.delist_lapsed(&lapse.id, lapse.since) {
-                self.lapses.note_removed(lapse.id);
+            if self.dispatcher.remove_lapsed_endpoint(&lapse.id, lapse.since) {
+                self.lapses.record_removed(lapse.id);
             }
         }
     }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::{desk::fleet::Said, dialect::Names};
+use crate::{dialect::Names, dispatcher::fleet::Announcement};
 
 /// Time limit for connecting: many round trips, and well below the time after which TCP
 /// resends a lost first packet.
@@ -43,13 +43,13 @@
     /// Outcome of the try.
     pub outcome: Outcome,
     /// What the endpoint said about its rate limit.
-    pub limit: Said,
+    pub limit: Announcement,
 }
 
 impl From<Outcome> for TryResult {
     /// Converts the outcome of a try in which the endpoint said nothing about its limit.
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, limit: Said::Nothing }
+        Self { outcome, limit: Announcement::Nothing }
     }
 }
 
@@ -106,17 +106,17 @@
     let per_s = parse_limit(&response, names);
     let outcome = check_answer(response, id, names, connection);
     let limit = match (per_s, &outcome) {
-        (Some(per_s), _) => Said::Limit(per_s),
-        (None, Outcome::Answer(_)) => Said::NoLimit,
+        (Some(per_s), _) => Announcement::Limit(per_s),
+        (None, Outcome::Answer(_)) => Announcement::NoLimit,
         // An endpoint that rejects a request need not name its limit.
-        (None, _) => Said::Nothing,
+        (None, _) => Announcement::Nothing,
     };
     TryResult { outcome, limit }
 }
 
 /// Returns the rate limit in an answer's headers, if it is valid.
 fn parse_limit(response: &Response<Incoming>, names: &Names) -> Option<f64> {
-    let text = response.headers().get(&names.limit)?.to_str().ok()?;
+    let text = response.headers().get(&names.rate_limit)?.to_str().ok()?;
     let per_s = text.trim().parse().ok().filter(|per_s: &f64| per_s.is_finite() && *per_s >= 0.0);
     if per_s.is_none() {
         tracing::debug!(text, "an endpoint's limit does not read");
--- a/crates/relay/tests/it/restarts.rs
+++ b/crates/relay/tests/it/restarts.rs
@@ -5,11 +5,11 @@
 use relay::{
     catalog::Kind,
     clock,
-    desk::{
-        Desk,
-        fleet::{Ended, Job, Load, Notice, start_hash},
-        peers::Word,
-        track::{Change, Reply},
+    dispatcher::{
+        Dispatcher,
+        fleet::{Job, Load, Notice, RunOutcome, start_hash},
+        peers::Status,
+        synchronization::{Change, Reply},
     },
     source::Endpoint,
 };
@@ -25,28 +25,28 @@
 /// Returns the registration of an endpoint that started at `born`, written at `revision` of the
 /// store.
 fn registration(id: &str, port: u16, born: u64, revision: u64) -> Endpoint {
-    Endpoint { born: Some(born), revision, ..endpoint(id, ([127, 0, 0, 1], port).into()) }
+    Endpoint { started_at_ms: Some(born), revision, ..endpoint(id, ([127, 0, 0, 1], port).into()) }
 }
 
 /// Returns an instance that knows the first starts of two endpoints, and another instance.
-fn instance_with_endpoints() -> Arc<Desk> {
-    let instance = Desk::new(settings(), dialect());
+fn instance_with_endpoints() -> Arc<Dispatcher> {
+    let instance = Dispatcher::new(settings(), dialect());
     instance.install(catalog(1, vec![route("/a/", Kind::Idempotent)]));
-    instance.enlist(registration("e0", 9, 100, 5));
-    instance.enlist(registration("e1", 10, 100, 6));
-    instance.note_listing(10);
-    instance.note_orders();
+    instance.register_endpoint(registration("e0", 9, 100, 5));
+    instance.register_endpoint(registration("e1", 10, 100, 6));
+    instance.record_listing(10);
+    instance.mark_orders_listed();
     instance.mark_listed();
-    instance.hear("other", ([127, 0, 0, 1], 1).into(), update(HashMap::new()));
+    instance.update_peer("other", ([127, 0, 0, 1], 1).into(), update(HashMap::new()));
     instance
 }
 
-fn update(loads: HashMap<u32, Load>) -> Word {
-    Word { pause: Duration::from_mins(1), loads, ..Word::default() }
+fn update(loads: HashMap<u32, Load>) -> Status {
+    Status { pause: Duration::from_mins(1), loads, ..Status::default() }
 }
 
 /// Returns the distinct endpoints that fifty short prompts are placed on, one after the other.
-fn placements(instance: &Arc<Desk>) -> Vec<String> {
+fn placements(instance: &Arc<Dispatcher>) -> Vec<String> {
     let place = |session| Job { session, own_tokens: 100, ..prompt_job(None, 10_000) };
     let mut ids: Vec<String> = (0..50)
         .map(|n| instance.place(&place(n)).expect("an endpoint should take the job").endpoint.id.clone())
@@ -56,7 +56,7 @@
     ids
 }
 
-fn place_long_prompts(instance: &Arc<Desk>) -> Vec<relay::desk::fleet::Run> {
+fn place_long_prompts(instance: &Arc<Dispatcher>) -> Vec<relay::dispatcher::fleet::Run> {
     (0..40)
         .map(|session| {
             instance.place(&Job { session, ..prompt_job(None, 10_000) }).expect("an endpoint should take the job")
@@ -70,13 +70,13 @@
 async fn restarted_endpoint_has_no_load() {
     let instance = instance_with_endpoints();
     let runs = place_long_prompts(&instance);
-    instance.enlist(registration("e0", 9, 200, 20));
+    instance.register_endpoint(registration("e0", 9, 200, 20));
     let loads: HashMap<u32, Load> = instance.own_loads().into_iter().collect();
     assert!(!loads.contains_key(&start_hash(&registration("e0", 9, 200, 20))));
     assert_eq!(placements(&instance), ["e0"]);
     // The ends of those runs say nothing about the new start either.
     for mut run in runs {
-        run.ended(Ended::Unreachable);
+        run.record_outcome(RunOutcome::Unreachable);
     }
     assert_eq!(placements(&instance), ["e0"]);
 }
@@ -88,15 +88,19 @@
     let instance = instance_with_endpoints();
     let old = start_hash(&registration("e0", 9, 100, 5));
     let load = |hash| HashMap::from([(hash, Load { runs: 40.0, backlog_ms: 9_000.0 })]);
-    instance.enlist(registration("e0", 9, 200, 20));
-    instance.hear("other", ([127, 0, 0, 1], 1).into(), update(load(old)));
-    instance.take_notice(Notice { endpoint: old, reading_ms: 9_000.0, part: None });
+    instance.register_endpoint(registration("e0", 9, 200, 20));
+    instance.update_peer("other", ([127, 0, 0, 1], 1).into(), update(load(old)));
+    instance.apply_notice(Notice { endpoint: old, reading_ms: 9_000.0, part: None });
     let _busy = instance.place(&Job { tried: &[], ..prompt_job(None, 10_000) });
     assert_eq!(placements(&instance).len(), 1, "one endpoint should be busy and the other free");
     // A status update on the new start counts.
     let instance = instance_with_endpoints();
-    instance.enlist(registration("e0", 9, 200, 20));
-    instance.hear("other", ([127, 0, 0, 1], 1).into(), update(load(start_hash(&registration("e0", 9, 200, 20)))));
+    instance.register_endpoint(registration("e0", 9, 200, 20));
+    instance.update_peer(
+        "other",
+        ([127, 0, 0, 1], 1).into(),
+        update(load(start_hash(&registration("e0", 9, 200, 20)))),
+    );
     assert_eq!(placements(&instance), ["e1"]);
 }
 
@@ -105,7 +109,7 @@
 #[tokio::test]
 async fn restarted_endpoint_has_no_cached_parts() {
     let instance = instance_with_endpoints();
-    instance.take_notice(Notice {
+    instance.apply_notice(Notice {
         endpoint: start_hash(&registration("e0", 9, 100, 5)),
         reading_ms: 0.0,
         part: Some(7),
@@ -113,14 +117,14 @@
     let run = instance.place(&prompt_job(Some(7), 10_000)).expect("an endpoint should take the job");
     assert!(run.choice.preferred && run.endpoint.id == "e0");
     drop(run);
-    instance.notices().await;
-    instance.enlist(registration("e0", 9, 200, 20));
+    instance.next_notices().await;
+    instance.register_endpoint(registration("e0", 9, 200, 20));
     let run = instance.place(&prompt_job(Some(7), 10_000)).expect("an endpoint should take the job");
     assert_eq!(run.source, None);
     // The expected load includes reading the part again.
     let backlog: f64 = instance.own_loads().iter().map(|(_, load)| load.backlog_ms).sum();
-    let announced: f64 = instance.notices().await.iter().map(|notice| notice.reading_ms).sum();
-    let whole = instance.expect_idle(&Job { own_tokens: 15_000, shared_tokens: 0, ..prompt_job(Some(7), 10_000) });
+    let announced: f64 = instance.next_notices().await.iter().map(|notice| notice.reading_ms).sum();
+    let whole = instance.expected_idle_ms(&Job { own_tokens: 15_000, shared_tokens: 0, ..prompt_job(Some(7), 10_000) });
     assert!(
         backlog + announced > 0.8 * whole,
         "backlog of {backlog} ms and {announced} ms announced, {whole} ms expected"
@@ -132,11 +136,11 @@
 #[tokio::test]
 async fn late_registration_of_an_earlier_start_is_ignored() {
     let instance = instance_with_endpoints();
-    instance.enlist(registration("e0", 9, 200, 20));
-    instance.enlist(Endpoint { draining: true, ..registration("e0", 9, 100, 15) });
+    instance.register_endpoint(registration("e0", 9, 200, 20));
+    instance.register_endpoint(Endpoint { draining: true, ..registration("e0", 9, 100, 15) });
     let known = instance.known_endpoints();
     let e0 = known.iter().find(|endpoint| endpoint.id == "e0").expect("e0 should be known");
-    assert_eq!((e0.born, e0.draining), (Some(200), false));
+    assert_eq!((e0.started_at_ms, e0.draining), (Some(200), false));
 }
 
 /// The clock of a server's machine is set back, and the server restarts: the new start looks
@@ -145,7 +149,7 @@
 async fn start_with_an_earlier_clock_time_counts_as_a_restart() {
     let instance = instance_with_endpoints();
     let _runs = place_long_prompts(&instance);
-    instance.enlist(registration("e0", 9, 50, 20));
+    instance.register_endpoint(registration("e0", 9, 50, 20));
     assert_eq!(placements(&instance), ["e0"]);
 }
 
@@ -156,13 +160,13 @@
     let (watcher, other) = (instance_with_endpoints(), instance_with_endpoints());
     let _runs = place_long_prompts(&other);
     watcher.renew(clock::now(), Proof::Read);
-    watcher.note_changes(20, vec![Change::Known(registration("e0", 9, 200, 20))]);
+    watcher.record_changes(20, vec![Change::Known(registration("e0", 9, 200, 20))]);
     let asked = other.question();
     let reply = watcher.reply(asked, 60).expect("the watcher should be able to reply");
     let late = Reply { changes: vec![Change::Gone("e0".into())], revision: 18, ..reply.clone() };
-    other.take_reply(clock::now(), reply);
+    other.apply_reply(clock::now(), reply);
     assert_eq!(placements(&other), ["e0"]);
-    other.take_reply(clock::now(), late);
+    other.apply_reply(clock::now(), late);
     assert_eq!(placements(&other), ["e0"]);
 }
 
@@ -173,7 +177,7 @@
 async fn restart_is_detected_by_a_listing() {
     let actions = || vec![Action::Write(ok_response("ok"))];
     let (silent, healthy) = (Server::start(vec![Action::Hang(String::new())]).await, Server::start(actions()).await);
-    let first = Endpoint { born: Some(100), revision: 1, ..endpoint("e0", silent.address) };
+    let first = Endpoint { started_at_ms: Some(100), revision: 1, ..endpoint("e0", silent.address) };
     let contents = StoreContents {
         catalog: Some(catalog(1, vec![route("/a/", Kind::Idempotent)])),
         endpoints: vec![first.clone(), endpoint("e1", healthy.address)],
@@ -187,9 +191,10 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     let restarted = Server::start(actions()).await;
-    let second = Endpoint { address: restarted.address, born: Some(200), revision: 9, ..first };
+    let second = Endpoint { address: restarted.address, started_at_ms: Some(200), revision: 9, ..first };
     site.store.change(|contents| contents.endpoints[0] = second);
-    let has_restarted = || site.relay.desk().known_endpoints().iter().any(|endpoint| endpoint.born == Some(200));
+    let has_restarted =
+        || site.relay.dispatcher().known_endpoints().iter().any(|endpoint| endpoint.started_at_ms == Some(200));
     while !has_restarted() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
--- a/crates/relay/tests/it/rollouts.rs
+++ b/crates/relay/tests/it/rollouts.rs
@@ -7,10 +7,10 @@
 
 use relay::{
     catalog::Kind,
-    desk::{
+    dispatcher::{
         fleet::short_hash,
-        peers::Word,
-        trials::{Report, Tallies},
+        peers::Status,
+        rollouts::{Report, Tallies},
     },
     rollout::Rollout,
 };
@@ -26,7 +26,7 @@
 const ROLLOUT_TIME: Duration = Duration::from_mins(1);
 
 fn rollout() -> Rollout {
-    Rollout { service: SERVICE.into(), target: "v2".into(), over: ROLLOUT_TIME, stage: None, revision: 1 }
+    Rollout { service: SERVICE.into(), target: "v2".into(), max_duration: ROLLOUT_TIME, stage: None, revision: 1 }
 }
 
 /// Starts a relay in front of one endpoint of each version, with an order to roll the new one
@@ -46,7 +46,7 @@
         ..StoreContents::default()
     };
     // The new version may get a large share of the requests, so that few requests suffice.
-    let site = Site::start_with(contents, |settings| settings.exposure = 1.0).await;
+    let site = Site::start_with(contents, |settings| settings.max_exposure = 1.0).await;
     (old, new, site)
 }
 
@@ -133,15 +133,15 @@
 #[test]
 fn evidence_of_many_instances_reverts_a_version() {
     let instance = instance_with_catalog(1);
-    instance.order(rollout());
-    let order = instance.trial_reports().remove(0).order;
+    instance.apply_order(rollout());
+    let order = instance.rollout_reports().remove(0).order;
     let tally = |runs, bad| Tally { runs, bad, lateness: Lateness::default() };
     for number in 0..30_u16 {
         let name = format!("i{number}");
-        instance.hear(&name, ([127, 0, 0, 1], 2_000 + number).into(), Word::default());
+        instance.update_peer(&name, ([127, 0, 0, 1], 2_000 + number).into(), Status::default());
         let own = Tallies { new: tally(3, 2), old: tally(40, 1) };
         let report = Report { order, stage: Stage::Trial, elapsed: Duration::from_secs(3), own };
-        instance.take_reports(short_hash(&name), vec![report]);
+        instance.apply_reports(short_hash(&name), vec![report]);
     }
-    assert!(instance.advance_trials().iter().any(|(_, stage)| *stage == Stage::Reverted));
+    assert!(instance.advance_rollouts().iter().any(|(_, stage)| *stage == Stage::Reverted));
 }
