--- a/crates/entry/src/drive/dispatch.rs
+++ b/crates/entry/src/driver/dispatch.rs
@@ -1,9 +1,10 @@
-//! Dispatches: to which endpoint, what its refusal means, when again.
+//! Dispatching a request: selecting the endpoint, classifying failures and
+//! deciding about retries.
 
 use std::{sync::Arc, time::Duration};
 
-use control::observation::Outcome as Seen;
-use endpoint::{Attempt as Name, Dispatch, Error, error::Refusal};
+use control::observation::Outcome as Observed;
+use endpoint::{Attempt as AttemptId, Dispatch, Error, error::Refusal};
 use http::{HeaderName, header};
 use route::{endpoint as placing, endpoint::Failure, endpoint::Target, quality::Cell, retry};
 use timeline::{Ran, Step};
@@ -12,58 +13,60 @@
 
 use super::{Attempt, Driver};
 use crate::{
-    ask, clock,
-    desk::{Ending, Place, Wanted},
-    life::Event,
+    buffer::Reply,
+    clock,
+    dispatcher::{Ending, EndpointQuery, Reservation},
+    machine::Event,
+    parsing,
     problem::{Kind, Problem},
     request::Work,
-    tape::Reply,
 };
 
-/// When to come back when no endpoint takes the work.
+/// Retry delay in milliseconds for callers whose request no endpoint accepts.
 const NO_ENDPOINT_RETRY_MS: u64 = 500;
-/// Headers of a plain service's answer that its caller gets.
-const PASSED_ON: [HeaderName; 5] =
+/// Headers of a plain service's answer that are forwarded to the caller.
+const FORWARDED_HEADERS: [HeaderName; 5] =
     [header::CONTENT_TYPE, header::CONTENT_LANGUAGE, header::LOCATION, header::ETAG, header::CACHE_CONTROL];
 
 impl Driver {
+    /// Sends the request to an endpoint.
     pub(super) async fn dispatch(&mut self) -> Event {
-        if let Err(problem) = self.renew().await {
+        if let Err(problem) = self.ensure_version_permitted().await {
             return self.decline(problem);
         }
         let Some(target) = self.request.target(self.version().as_ref()) else {
             return self.decline(Problem::not_run(Kind::Internal, "no version was chosen"));
         };
-        let place = match self.place(target).await {
-            Ok(place) => place,
+        let reservation = match self.select_endpoint(target).await {
+            Ok(reservation) => reservation,
             Err(problem) => return self.decline(problem),
         };
         self.tries += 1;
-        self.answer.matched = 0;
-        self.shared.note(
+        self.answer.matched_bytes = 0;
+        self.shared.record_step(
             self.request.id(),
             Step::Dispatched {
                 attempt: self.tries,
                 version: self.version(),
-                endpoint: place.endpoint.clone(),
-                reason: place.reason.clone(),
+                endpoint: reservation.endpoint.clone(),
+                reason: reservation.reason.clone(),
             },
         );
         match self.request.work.clone() {
-            Work::Chat(_) => self.run(place).await,
-            Work::Call(visit) => {
-                let call = visit.call(name(), place.address, &self.request);
-                self.call(call, place).await
+            Work::Chat(_) => self.run(reservation).await,
+            Work::Call(call) => {
+                let call = call.addressed_to(new_attempt_id(), reservation.address, &self.request);
+                self.call(call, reservation).await
             }
         }
     }
 
-    /// Makes sure that the version may still run.
+    /// Checks that the chosen version may still run, and chooses again if not.
     ///
-    /// While the request waited its version may have been withdrawn: it gets
-    /// no new work then, and the request another version. Text that was sent
-    /// binds it to its version; it fails openly then.
-    async fn renew(&mut self) -> Result<(), Problem> {
+    /// The version may have been withdrawn while the request waited; a withdrawn
+    /// version gets no new work. Once text was sent, the request cannot change
+    /// its version and fails with an explicit problem.
+    async fn ensure_version_permitted(&mut self) -> Result<(), Problem> {
         let Some(chosen) = &self.chosen else {
             return Ok(());
         };
@@ -72,17 +75,18 @@
         if chosen.choice.steps()[chosen.step].renew(&catalog, &stops).is_some() {
             return Ok(());
         }
-        if !self.tape.is_empty() || chosen.step > 0 {
+        if !self.buffer.is_empty() || chosen.step > 0 {
             let detail = "the version was withdrawn before its answer was whole";
             return Err(Problem::not_run(Kind::NoVersion, detail));
         }
         if let Some(chosen) = self.chosen.take() {
-            self.shared.desk.void(chosen.entered);
+            self.shared.dispatcher.discard(chosen.record);
         }
         self.choose_versions().await.map(drop)
     }
 
-    async fn place(&mut self, target: Target) -> Result<Place, Problem> {
+    /// Selects an endpoint that serves `target`.
+    async fn select_endpoint(&mut self, target: Target) -> Result<Reservation, Problem> {
         let prefix = match &self.request.work {
             Work::Chat(chat) => Some(chat.prefix),
             Work::Call(_) => None,
@@ -90,13 +94,14 @@
         let draw = hash::rendezvous(self.request.id().hash(), &self.tries.to_le_bytes());
         let cell = Cell::new(self.request.customer(), &self.request.terms.class);
         let stopping = |_| Problem::not_run(Kind::Leaving, "this instance is stopping");
-        let wanted = Wanted { target: target.clone(), prefix, avoid: self.avoid.clone(), draw, cell };
-        let placed = match self.shared.desk.place(wanted).await.map_err(stopping)? {
-            Err(placing::Refusal::NoneLeft) if !self.avoid.is_empty() => {
-                // All have failed it once: any may have recovered.
-                self.avoid.clear();
-                let wanted = Wanted { target, prefix, avoid: Vec::new(), draw, cell };
-                self.shared.desk.place(wanted).await.map_err(stopping)?
+        let query =
+            EndpointQuery { target: target.clone(), prefix, avoid: self.excluded_endpoints.clone(), draw, cell };
+        let placed = match self.shared.dispatcher.reserve_endpoint(query).await.map_err(stopping)? {
+            Err(placing::Refusal::NoneLeft) if !self.excluded_endpoints.is_empty() => {
+                // Every endpoint failed this request once; any may have recovered.
+                self.excluded_endpoints.clear();
+                let query = EndpointQuery { target, prefix, avoid: Vec::new(), draw, cell };
+                self.shared.dispatcher.reserve_endpoint(query).await.map_err(stopping)?
             }
             placed => placed,
         };
@@ -105,55 +110,57 @@
                 placing::Refusal::NoPool => "no pool serves it; have one added",
                 placing::Refusal::NoneLeft => "all its endpoints are leaving, failing or without the version",
             };
-            Problem::not_run(Kind::NoEndpoint, detail).after(NO_ENDPOINT_RETRY_MS)
+            Problem::not_run(Kind::NoEndpoint, detail).with_retry_after(NO_ENDPOINT_RETRY_MS)
         })
     }
 
-    async fn run(&mut self, place: Place) -> Event {
+    /// Starts a chat request on the selected endpoint.
+    async fn run(&mut self, reservation: Reservation) -> Event {
         let (Work::Chat(chat), Some(chosen)) = (&self.request.work, &self.chosen) else {
             return Event::Fault;
         };
         let permit = &chosen.choice.steps()[chosen.step];
         let limit = chat.max_tokens.map_or(permit.max_output(), |asked| asked.min(permit.max_output()));
         let dispatch = Dispatch {
-            attempt: name(),
-            address: place.address,
+            attempt: new_attempt_id(),
+            address: reservation.address,
             version: permit.version().clone(),
             body: chat.body(permit.version(), limit),
-            priority: self.turn.as_ref().map_or(0, |turn| turn.priority),
+            priority: self.admission.as_ref().map_or(0, |admission| admission.priority),
             deadline: self.request.deadline,
         };
         let started = Instant::now();
         match self.shared.links.endpoint.run(dispatch.clone()).await {
             Ok(run) => {
-                self.attempt = Some(Attempt { dispatch, place, run: Some(run), started, first_frame: None });
+                self.attempt = Some(Attempt { dispatch, reservation, run: Some(run), started, first_frame: None });
                 Event::Started
             }
-            Err(error) => self.failed(&error, place),
+            Err(error) => self.handle_failure(&error, reservation),
         }
     }
 
-    async fn call(&mut self, call: endpoint::service::Call, place: Place) -> Event {
+    /// Calls a plain service and takes its whole answer.
+    async fn call(&mut self, call: endpoint::service::Call, reservation: Reservation) -> Event {
         let started = Instant::now();
         match self.shared.links.endpoint.call_service(call).await {
             Ok(response) => {
-                place.end(Ending::Whole { millis: clock::millis(started.elapsed()), tokens: 1 });
+                reservation.end(Ending::Whole { millis: clock::millis(started.elapsed()), tokens: 1 });
                 let (parts, body) = response.into_parts();
-                let headers = ask::only(&parts.headers, &PASSED_ON);
+                let headers = parsing::select_headers(&parts.headers, &FORWARDED_HEADERS);
                 self.answer.reply = Some(Arc::new(Reply { status: parts.status, headers, body }));
                 Event::Started
             }
-            Err(error) => self.failed(&error, place),
+            Err(error) => self.handle_failure(&error, reservation),
         }
     }
 
-    /// Takes in that a dispatch ended without an answer.
-    fn failed(&mut self, error: &Error, place: Place) -> Event {
+    /// Records a dispatch that ended without an answer and classifies its failure.
+    fn handle_failure(&mut self, error: &Error, reservation: Reservation) -> Event {
         let (ran, failure, event) = match error {
             Error::Refused { refusal, retry_after } => {
                 self.failure = retry::Failure::NotRun { retry_after: retry_after.map(clock::millis) };
                 let arrived = *refusal != Refusal::Unreachable;
-                (Ran::No, health(*refusal), Event::Refused { arrived })
+                (Ran::No, endpoint_failure(*refusal), Event::Refused { arrived })
             }
             Error::Unknown { .. } => {
                 self.failure = retry::Failure::MayHaveRun;
@@ -161,29 +168,30 @@
             }
         };
         let cause = error.to_string();
-        self.shared.note(self.request.id(), Step::Failed { attempt: self.tries, ran, cause: cause.clone() });
+        self.shared.record_step(self.request.id(), Step::Failed { attempt: self.tries, ran, cause: cause.clone() });
         let kind = if ran == Ran::No { Kind::NoEndpoint } else { Kind::EndpointFailed };
         let problem = Problem::not_run(kind, cause);
-        self.cause = Some(if ran == Ran::No { problem.after(self.retry_after()) } else { problem });
-        self.expected_ms = place.expected_ms;
-        self.avoid.push(place.key());
-        place.end(Ending::Failed(failure));
+        self.cause = Some(if ran == Ran::No { problem.with_retry_after(self.retry_after()) } else { problem });
+        self.expected_ms = reservation.expected_ms;
+        self.excluded_endpoints.push(reservation.key());
+        reservation.end(Ending::Failed(failure));
         match error {
             Error::Refused { refusal: Refusal::Status(status @ 400..=499), .. } => {
                 self.cause = Some(Problem::not_run(Kind::Malformed, format!("the engine refused it: status {status}")));
                 Event::Declined
             }
-            // The endpoint is well and the version is not: its guard must
-            // hear of it, although nothing was run.
+            // The endpoint works but the version does not, so the guard must count
+            // this failure although nothing ran.
             Error::Refused { refusal: Refusal::Status(_), .. } => {
-                self.observe(Seen::Failed);
-                self.shun();
+                self.report_to_guard(Observed::Failed);
+                self.exclude_failed_version();
                 event
             }
             _ => event,
         }
     }
 
+    /// Returns the retry delay for the caller, in milliseconds.
     fn retry_after(&self) -> u64 {
         match self.failure {
             retry::Failure::NotRun { retry_after: Some(after) } => after,
@@ -191,21 +199,21 @@
         }
     }
 
-    /// Asks for another dispatch; waits as the decision says.
+    /// Decides whether to dispatch again, and waits for the decided pause.
     pub(super) async fn retry(&mut self) -> Event {
         let asked = retry::Request {
             repeat: self.request.repeat,
             tries: self.tries,
-            deadline: self.request.due(),
+            deadline: self.request.wall_clock_deadline(),
             expected_ms: self.expected_ms,
         };
-        match self.shared.desk.retry(self.request.customer(), asked, self.failure).await {
+        match self.shared.dispatcher.request_retry(self.request.customer(), asked, self.failure).await {
             Ok(retry::Decision::Retry { after_ms }) => {
                 metrics::counter!("entry_retries_total").increment(1);
                 sleep(Duration::from_millis(after_ms)).await;
                 Event::Again
             }
-            // The final answer goes out at once; when to come back is said in it.
+            // The final answer is sent at once and contains the retry delay.
             Ok(retry::Decision::GiveUp(reason)) => {
                 if let Some(cause) = &mut self.cause {
                     cause.detail = format!("{}; {reason}", cause.detail);
@@ -217,13 +225,13 @@
     }
 }
 
-/// A name that no other dispatch has.
-fn name() -> Name {
-    Name::parse(&uuid::Uuid::now_v7().to_string()).unwrap_or_else(|_| unreachable!("a UUID is a name"))
+/// Returns a new, unique attempt name.
+fn new_attempt_id() -> AttemptId {
+    AttemptId::parse(&uuid::Uuid::now_v7().to_string()).unwrap_or_else(|_| unreachable!("a UUID is a name"))
 }
 
-/// What a refusal says of an endpoint's health.
-fn health(refusal: Refusal) -> Failure {
+/// Maps a refusal to the kind of failure counted against the endpoint.
+fn endpoint_failure(refusal: Refusal) -> Failure {
     match refusal {
         Refusal::Unreachable => Failure::Broken,
         Refusal::Full => Failure::Full,
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP.
+//! HTTP server for callers: listener, routes and request dispatch.
 
 mod addresses;
 mod answer;
@@ -22,11 +22,12 @@
     shared::Shared,
 };
 
-/// Most bytes of a request's head that are read before the connection is
-/// closed; the settings' limit lies below and answers with a problem.
-const HEAD_BUFFER: usize = 256 * 1024;
+/// Size of the buffer for a request's head, in bytes. A larger head closes the
+/// connection. The limit in the settings is lower and is answered with a problem
+/// document.
+const HEAD_BUFFER_BYTES: usize = 256 * 1024;
 
-/// The callers' listener; dropping it cuts every connection.
+/// The listener for callers. Dropping it closes every connection.
 #[derive(Debug)]
 pub(crate) struct Listener {
     pub address: SocketAddr,
@@ -35,24 +36,24 @@
 }
 
 impl Listener {
-    /// Serves callers on a bound socket.
+    /// Starts serving callers on a bound socket.
     pub fn spawn(listener: TcpListener, shared: &Arc<Shared>) -> std::io::Result<Self> {
         let address = listener.local_addr()?;
         no_delay(&listener)?;
         let acceptor = TcpAcceptor::try_from(listener).map_err(std::io::Error::other)?;
         let mut server = Server::new(acceptor).max_connections(shared.settings.max_connections);
-        server.http1_mut().max_buf_size(HEAD_BUFFER);
+        server.http1_mut().max_buf_size(HEAD_BUFFER_BYTES);
         let handle = server.handle();
         let service = Service::new(router(shared));
         let task = tokio::spawn(async move {
             if let Err(error) = server.try_serve(service).await {
-                tracing::error!(%error, "callers' listener ended");
+                tracing::error!(%error, "listener for callers failed");
             }
         });
         Ok(Self { address, server: handle, task })
     }
 
-    /// Takes no new connection and waits until all answers are sent.
+    /// Stops accepting connections and waits up to `within` until all answers are sent.
     pub async fn close(&mut self, within: Duration) {
         self.server.stop_graceful(within);
         drop(timeout(within, &mut self.task).await);
@@ -65,33 +66,33 @@
     }
 }
 
-/// Has every accepted connection send at once.
+/// Sets `TCP_NODELAY` on every connection that the listener accepts.
 ///
-/// With Nagle's algorithm on, the second event of a stream waits for the
-/// caller's delayed acknowledgement of the first: some 40 ms in the middle of
-/// every answer. The acceptor gives no access to its sockets, but on Linux
-/// they inherit the option from the listening one.
+/// With Nagle's algorithm, the second event of a stream waits for the caller's
+/// delayed acknowledgement of the first, which adds about 40 ms to every answer.
+/// The acceptor gives no access to its sockets, but on Linux they inherit the
+/// option from the listening socket.
 ///
 /// # Errors
 ///
-/// The socket takes no options.
+/// Returns an error if the option cannot be set.
 pub fn no_delay(listener: &TcpListener) -> std::io::Result<()> {
     socket2::SockRef::from(listener).set_tcp_nodelay(true)
 }
 
 fn router(shared: &Arc<Shared>) -> Router {
-    let entry = |call| Entry { shared: shared.clone(), call };
+    let handler = |call| CallHandler { shared: shared.clone(), call };
     Router::new()
-        .push(Router::with_path("v1/addresses").goal(entry(Call::Addresses)))
-        .push(Router::with_path("v1/chat/completions").goal(entry(Call::Chat)))
-        .push(Router::with_path("v1/requests/{key}").goal(entry(Call::Outcome)))
-        .push(Router::with_path("v1/services/{service}").goal(entry(Call::Service)))
-        .push(Router::with_path("v1/services/{service}/{**rest}").goal(entry(Call::Service)))
-        .push(Router::with_path("{**rest}").goal(entry(Call::Unknown)))
-        .goal(entry(Call::Unknown))
+        .push(Router::with_path("v1/addresses").goal(handler(Call::Addresses)))
+        .push(Router::with_path("v1/chat/completions").goal(handler(Call::Chat)))
+        .push(Router::with_path("v1/requests/{key}").goal(handler(Call::Outcome)))
+        .push(Router::with_path("v1/services/{service}").goal(handler(Call::Service)))
+        .push(Router::with_path("v1/services/{service}/{**rest}").goal(handler(Call::Service)))
+        .push(Router::with_path("{**rest}").goal(handler(Call::Unknown)))
+        .goal(handler(Call::Unknown))
 }
 
-/// What a path asks for.
+/// The operation that a path selects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Call {
     Addresses,
@@ -102,7 +103,8 @@
 }
 
 impl Call {
-    /// The one method a call takes; nothing when any will do.
+    /// Returns the HTTP method that the call requires, or `None` if any method is
+    /// allowed.
     fn method(self) -> Option<http::Method> {
         match self {
             Self::Addresses | Self::Outcome => Some(http::Method::GET),
@@ -112,26 +114,26 @@
     }
 }
 
-/// One path's handler.
-struct Entry {
+/// Handler for the paths of one call.
+struct CallHandler {
     shared: Arc<Shared>,
     call: Call,
 }
 
 #[async_trait]
-impl Handler for Entry {
+impl Handler for CallHandler {
     async fn handle(&self, request: &mut Request, _: &mut Depot, response: &mut Response, _: &mut FlowCtrl) {
         if let Err(problem) = self.answer(request, response).await {
             answer::problem(response, &problem);
         }
         if self.shared.closed.load(Ordering::Acquire) {
-            // Kept connections would be used for more requests here.
+            // On a kept-alive connection the caller would send more requests to this instance.
             response.headers_mut().insert(http::header::CONNECTION, http::HeaderValue::from_static("close"));
         }
     }
 }
 
-impl Entry {
+impl CallHandler {
     async fn answer(&self, request: &mut Request, response: &mut Response) -> Result<(), Problem> {
         read::check_headers(request.headers(), self.shared.settings.max_headers)?;
         if let Some(method) = self.call.method()
--- a/crates/entry/src/http/addresses.rs
+++ b/crates/entry/src/http/addresses.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/addresses`: which instances a caller uses.
+//! `GET /v1/addresses`: the instances that a caller should use.
 
 use std::sync::Arc;
 
@@ -9,22 +9,24 @@
 
 use super::answer;
 use crate::{
-    ask,
+    parsing,
     problem::{Address, Kind, Problem},
     shared::Shared,
 };
 
-/// The answer's form.
+/// The response document.
 #[derive(Debug, Serialize)]
-struct List {
+struct AddressList {
     addresses: Vec<Address>,
     keep_ms: Millis,
 }
 
 pub(super) fn answer(shared: &Arc<Shared>, request: &Request, response: &mut Response) -> Result<(), Problem> {
-    let customer = ask::customer(&shared.catalog(), request.headers())?;
-    let domain =
-        query(request, "domain")?.map(|text| Domain::parse(&text)).transpose().map_err(|e| bad("domain", &e))?;
+    let customer = parsing::authenticate(&shared.catalog(), request.headers())?;
+    let domain = query(request, "domain")?
+        .map(|text| Domain::parse(&text))
+        .transpose()
+        .map_err(|e| malformed_query("domain", &e))?;
     let session = match query(request, "session")? {
         Some(text) => session_id(shared, &customer, &text)?,
         None => None,
@@ -34,19 +36,21 @@
     let load = shared.load(&customer);
     let caller = Caller { customer: &customer, session: session.as_ref(), domain: domain.as_ref(), load };
     let list = address::list(&shared.settings.addresses, &instances, &caller);
-    let list = List { addresses: list.instances.into_iter().map(Address::from).collect(), keep_ms: list.keep_ms };
+    let list =
+        AddressList { addresses: list.instances.into_iter().map(Address::from).collect(), keep_ms: list.keep_ms };
     answer::json(response, http::StatusCode::OK, &list);
     Ok(())
 }
 
-/// The session's own name, from a handle or as the caller gave it.
+/// Returns the session's id, taken from a signed handle or from a name chosen by
+/// the caller.
 fn session_id(
     shared: &Shared,
     customer: &world::contract::Customer,
     text: &str,
 ) -> Result<Option<session::Id>, Problem> {
-    match crate::session::read(&shared.settings.session_keys, customer, text)? {
-        crate::session::Named::Handle { id, .. } | crate::session::Named::Caller(id) => Ok(Some(id)),
+    match crate::session::parse(&shared.settings.session_keys, customer, text)? {
+        crate::session::Reference::Handle { id, .. } | crate::session::Reference::CallerNamed(id) => Ok(Some(id)),
     }
 }
 
@@ -58,6 +62,6 @@
     }
 }
 
-fn bad(name: &str, invalid: &world::Invalid) -> Problem {
+fn malformed_query(name: &str, invalid: &world::Invalid) -> Problem {
     Problem::not_run(Kind::Malformed, format!("query `{name}`: {invalid}"))
 }
--- a/crates/entry/src/http/calls.rs
+++ b/crates/entry/src/http/calls.rs
@@ -1,4 +1,4 @@
-//! Chat requests, plain services' calls, and what became of a request.
+//! Chat requests, calls of plain services, and queries for a request's outcome.
 
 use std::sync::Arc;
 
@@ -16,23 +16,23 @@
 
 use super::{answer, read};
 use crate::{
-    ask::{self, Chat, Terms},
+    answers::Lookup,
+    buffer::{Buffer, Reader},
     clock,
-    drive::Driver,
-    held::Found,
+    driver::Driver,
+    parsing::{self, Chat, Terms},
     problem::{Kind, Problem},
-    request::{Request, Visit, Work},
+    request::{Request, ServiceCall, Work},
     session,
     shared::Shared,
-    tape::{Reader, Tape},
 };
 
-/// Headers of a call that a plain service gets.
-const PASSED_ON: [HeaderName; 4] =
+/// Request headers that are forwarded to a plain service.
+const FORWARDED_HEADERS: [HeaderName; 4] =
     [header::CONTENT_TYPE, header::ACCEPT, header::ACCEPT_LANGUAGE, header::CONTENT_LANGUAGE];
-/// Longest wait for the journal's word on a request.
-const OUTCOME_WITHIN: std::time::Duration = std::time::Duration::from_secs(2);
-/// When to ask again for an outcome that could not be had.
+/// Maximum time to wait for the journal's record of a request.
+const OUTCOME_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
+/// Retry delay for an outcome that could not be read, in milliseconds.
 const OUTCOME_RETRY_MS: u64 = 500;
 
 pub(super) async fn chat(shared: &Arc<Shared>, http: &mut Http, response: &mut Response) -> Result<(), Problem> {
@@ -41,7 +41,7 @@
     let (key, repeat) = (terms.id.key.clone(), terms.repeat());
     let body = match body(shared, http).await {
         Ok(body) => body,
-        Err(problem) => return Err(shared.truthful(problem, &terms, repeat).await),
+        Err(problem) => return Err(shared.correct_ran(problem, &terms, repeat).await),
     };
     let chat = Chat::parse(&body)?;
     let stream = chat.stream;
@@ -51,10 +51,10 @@
     });
     let (contract, session) = match checked {
         Ok(checked) => checked,
-        Err(problem) => return Err(shared.truthful(problem, &terms, repeat).await),
+        Err(problem) => return Err(shared.correct_ran(problem, &terms, repeat).await),
     };
     let request = Request::new(terms, repeat, Work::Chat(chat), session, contract);
-    let reader = start(shared, request, contract).await.map_err(|problem| problem.about(&key))?;
+    let reader = start(shared, request, contract).await.map_err(|problem| problem.with_request(&key))?;
     answer::write(response, reader, stream).await
 }
 
@@ -75,52 +75,53 @@
     });
     let (contract, spec, session) = match checked {
         Ok(checked) => checked,
-        Err(problem) => return Err(shared.truthful(problem, &terms, terms.repeat()).await),
+        Err(problem) => return Err(shared.correct_ran(problem, &terms, terms.repeat()).await),
     };
     let plain = path.split('?').next().unwrap_or_default();
     let repeat = if spec.repeatable(http.method().as_str(), plain) { terms.repeat() } else { Repeat::Never };
     let method = http.method().clone();
-    let headers = ask::only(http.headers(), &PASSED_ON);
+    let headers = parsing::select_headers(http.headers(), &FORWARDED_HEADERS);
     let body = match body(shared, http).await {
         Ok(body) => body,
-        Err(problem) => return Err(shared.truthful(problem, &terms, repeat).await),
+        Err(problem) => return Err(shared.correct_ran(problem, &terms, repeat).await),
     };
-    let visit = Visit { service: id, method, path, headers, body };
-    let request = Request::new(terms, repeat, Work::Call(visit), session, contract);
-    let reader = start(shared, request, contract).await.map_err(|problem| problem.about(&key))?;
+    let call = ServiceCall { service: id, method, path, headers, body };
+    let request = Request::new(terms, repeat, Work::Call(call), session, contract);
+    let reader = start(shared, request, contract).await.map_err(|problem| problem.with_request(&key))?;
     answer::write(response, reader, false).await
 }
 
-/// What became of a request, as its customer is told.
+/// Outcome of a request as sent to its customer.
 #[derive(Debug, Serialize)]
-struct Became<'a> {
+struct OutcomeDocument<'a> {
     request: &'a request::Key,
     outcome: Outcome,
 }
 
 pub(super) async fn outcome(shared: &Arc<Shared>, http: &mut Http, response: &mut Response) -> Result<(), Problem> {
-    let customer = ask::customer(&shared.catalog(), http.headers())?;
+    let customer = parsing::authenticate(&shared.catalog(), http.headers())?;
     let text: String = http.param("key").unwrap_or_default();
     let unknown = || Problem::new(Kind::UnknownRequest, Ran::Unknown, "no record of it under this customer");
     let key = request::Key::parse(&text).map_err(|_| unknown())?;
-    // The customer is part of the request's name: another's is not found.
+    // The customer is part of the request's id, so other customers' requests are not
+    // found.
     let id = request::Id { customer, key };
-    let outcome = if shared.held.running(&id) {
+    let outcome = if shared.answers.is_running(&id) {
         Some(Outcome::Running)
     } else {
-        shared.links.journal.outcome(&id, Instant::now() + OUTCOME_WITHIN).await.map_err(|error| {
+        shared.links.journal.outcome(&id, Instant::now() + OUTCOME_TIMEOUT).await.map_err(|error| {
             let problem = Problem::new(Kind::PlatformDown, Ran::Unknown, error.to_string());
-            problem.after(OUTCOME_RETRY_MS).about(&id.key)
+            problem.with_retry_after(OUTCOME_RETRY_MS).with_request(&id.key)
         })?
     };
     let outcome = outcome.ok_or_else(unknown)?;
-    answer::json(response, StatusCode::OK, &Became { request: &id.key, outcome });
+    answer::json(response, StatusCode::OK, &OutcomeDocument { request: &id.key, outcome });
     Ok(())
 }
 
 fn terms(catalog: &Catalog, headers: &HeaderMap) -> Result<Terms, Problem> {
-    let customer = ask::customer(catalog, headers)?;
-    ask::terms(customer, headers, clock::now())
+    let customer = parsing::authenticate(catalog, headers)?;
+    parsing::parse_terms(customer, headers, clock::now())
 }
 
 fn contract<'a>(catalog: &'a Catalog, terms: &Terms) -> Result<&'a Contract, Problem> {
@@ -142,60 +143,60 @@
     Ok(())
 }
 
-/// The session that a call names.
-fn session(shared: &Shared, terms: &Terms) -> Result<Option<session::Named>, Problem> {
-    let read = |text: &String| session::read(&shared.settings.session_keys, &terms.customer, text);
-    terms.session.as_ref().map(read).transpose()
+/// Returns the session that a call names, if any.
+fn session(shared: &Shared, terms: &Terms) -> Result<Option<session::Reference>, Problem> {
+    let parse = |text: &String| session::parse(&shared.settings.session_keys, &terms.customer, text);
+    terms.session.as_ref().map(parse).transpose()
 }
 
-/// Starts a request, or joins it where it runs here already.
+/// Starts a request, or joins it if it is already running on this instance.
 async fn start(shared: &Arc<Shared>, request: Request, contract: &Contract) -> Result<Reader, Problem> {
-    if !request.terms.keyed {
+    if !request.terms.has_caller_key {
         shared.may_start(request.customer(), contract)?;
-        let tape = Tape::open();
-        let reader = tape.reader();
-        spawn(shared, request, tape);
+        let buffer = Buffer::new();
+        let reader = buffer.reader();
+        spawn(shared, request, buffer);
         return Ok(reader);
     }
-    match shared.held.find_or_open(request.id(), request.fingerprint()) {
-        Found::Same(reader) => {
-            shared.note(request.id(), Step::Joined { home: shared.settings.instance.clone() });
+    match shared.answers.find_or_create(request.id(), request.fingerprint()) {
+        Lookup::Same(reader) => {
+            shared.record_step(request.id(), Step::Joined { home: shared.settings.instance.clone() });
             Ok(reader)
         }
-        Found::Other => Err(Problem::not_run(Kind::KeyReused, "the key came with another body before")),
-        Found::New(tape, reader) => {
+        Lookup::OtherRequest => Err(Problem::not_run(Kind::KeyReused, "the key came with another body before")),
+        Lookup::New(buffer, reader) => {
             if let Err(problem) = shared.may_start(request.customer(), contract) {
-                shared.held.forget(request.id(), &tape);
-                return Err(shared.truthful(problem, &request.terms, request.repeat).await);
+                shared.answers.remove(request.id(), &buffer);
+                return Err(shared.correct_ran(problem, &request.terms, request.repeat).await);
             }
-            spawn(shared, request, tape);
+            spawn(shared, request, buffer);
             Ok(reader)
         }
     }
 }
 
-fn spawn(shared: &Arc<Shared>, request: Request, tape: Tape) {
+fn spawn(shared: &Arc<Shared>, request: Request, buffer: Buffer) {
     let (model, service) = match &request.work {
         Work::Chat(chat) => (Some(chat.model.clone()), None),
-        Work::Call(visit) => (None, Some(visit.service.clone())),
+        Work::Call(call) => (None, Some(call.service.clone())),
     };
     let session = request.session.as_ref().and(request.session_id());
-    shared.note(request.id(), Step::Received { model, service, repeat: request.repeat, session });
-    tokio::spawn(Driver::new(shared.clone(), request, tape).drive());
+    shared.record_step(request.id(), Step::Received { model, service, repeat: request.repeat, session });
+    tokio::spawn(Driver::new(shared.clone(), request, buffer).drive());
 }
 
-/// The service's name, and its path and query.
+/// Returns the service's name, and the path with its query.
 fn service_path(http: &Http) -> Result<(String, String), Problem> {
     let target = http.uri().path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
     let rest = target.strip_prefix("/v1/services/").unwrap_or_default();
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (name, path) = rest.split_at(end);
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
-    // A path that climbs could name a call that may not be repeated by
-    // another spelling, and would then be repeated.
-    let climbs = path.split(['/', '?']).any(|part| part == ".." || part == "." || part.contains('%'));
-    let doubled = path.split('?').next().is_some_and(|path| path.contains("//"));
-    if climbs || doubled {
+    // A path that is not normalized could name a call under another spelling. A call
+    // that must not be repeated would then be treated as repeatable.
+    let has_unsafe_segment = path.split(['/', '?']).any(|part| part == ".." || part == "." || part.contains('%'));
+    let has_double_slash = path.split('?').next().is_some_and(|path| path.contains("//"));
+    if has_unsafe_segment || has_double_slash {
         return Err(Problem::not_run(Kind::Malformed, "the path must be plain: no `..`, `.`, `//` or `%` escapes"));
     }
     Ok((name.to_owned(), path))
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,27 +1,28 @@
-//! Callers' HTTP and one request's life.
+//! HTTP interface for callers and the life cycle of one request.
 //!
 //! [`bind`] serves callers on a bound socket. A request is read and checked
-//! ([`ask`]), then driven by one task (`drive`) through the state machine of
-//! [`life`]; what its caller sees is written to a [`tape`], which repeats of
-//! it read too, here or over a peer link (`join`). Decisions are asked of the
-//! [`desk`], which holds what `route` needs.
+//! ([`parsing`]), then one task (`driver`) takes it through the state machine of
+//! [`machine`]. The task writes everything that the caller receives to a [`buffer`].
+//! Repeats of the request read the same buffer, on this instance or over a peer link
+//! (`join`). Routing decisions are requested from the [`dispatcher`], which owns the
+//! state that `route` needs.
 
-pub mod ask;
+mod answers;
+pub mod buffer;
 pub mod clock;
-pub mod desk;
-mod drive;
-mod feed;
+pub mod dispatcher;
+mod driver;
 mod handle;
-mod held;
 mod http;
 mod join;
-pub mod life;
+pub mod machine;
+pub mod parsing;
 pub mod problem;
+mod ran_status;
 mod request;
 pub mod session;
 mod shared;
-pub mod tape;
-mod truth;
+mod updates;
 
 use std::io;
 
@@ -31,11 +32,11 @@
 pub use http::no_delay;
 pub use shared::{Links, Settings};
 
-/// Serves callers; must run inside a tokio runtime.
+/// Starts serving callers. Must be called inside a tokio runtime.
 ///
 /// # Errors
 ///
-/// The socket cannot be served.
+/// Returns an error if the socket cannot be served.
 pub fn bind(listener: TcpListener, settings: Settings, links: Links) -> io::Result<Handle> {
     Handle::start(listener, settings, links)
 }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! One request as it goes through this instance.
+//! A checked request, ready to run at this instance.
 
 use bytes::Bytes;
 use endpoint::service::Call;
@@ -15,40 +15,40 @@
 };
 
 use crate::{
-    ask::{Chat, Terms},
     clock,
-    desk::Line,
-    session::Named,
+    dispatcher::QueueKey,
+    parsing::{Chat, Terms},
+    session::Reference,
 };
 
-/// What is to be run.
+/// The work of a request.
 #[derive(Debug, Clone)]
 pub enum Work {
     /// A chat request.
     Chat(Chat),
-    /// A plain service's call.
-    Call(Visit),
+    /// A call of a plain service.
+    Call(ServiceCall),
 }
 
-/// A call of a plain service as the caller made it.
+/// A call of a plain service as received from the caller.
 #[derive(Debug, Clone)]
-pub struct Visit {
-    /// The service.
+pub struct ServiceCall {
+    /// Service to call.
     pub service: service::Id,
     /// HTTP method.
     pub method: Method,
-    /// Path and query, from `/` on.
+    /// Path and query, starting with `/`.
     pub path: String,
-    /// Headers worth passing on.
+    /// Headers forwarded to the service.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
-impl Visit {
-    /// The same call for one server.
+impl ServiceCall {
+    /// Returns the call addressed to one server of the service.
     #[must_use]
-    pub fn call(&self, attempt: endpoint::Attempt, address: std::net::SocketAddr, request: &Request) -> Call {
+    pub fn addressed_to(&self, attempt: endpoint::Attempt, address: std::net::SocketAddr, request: &Request) -> Call {
         Call {
             attempt,
             address,
@@ -61,6 +61,7 @@
         }
     }
 
+    /// Returns the hash of the method, path and body.
     fn fingerprint(&self) -> u64 {
         let head = format!("{} {} ", self.method, self.path);
         hash::rendezvous(hash::stable(head.as_bytes()), &self.body)
@@ -70,90 +71,93 @@
 /// One request, checked and ready to run.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Whose it is and on what terms.
+    /// Customer, key and other terms given by the headers.
     pub terms: Terms,
-    /// Whether it may be repeated; the terms' word, or its service's.
+    /// Whether the request may be repeated, according to its terms or its service.
     pub repeat: Repeat,
-    /// What is to be run.
+    /// Work to run.
     pub work: Work,
-    /// The session it names.
-    pub session: Option<Named>,
-    /// When its answer must be whole.
+    /// Session named by the caller.
+    pub session: Option<Reference>,
+    /// Time by which the answer must be whole.
     pub deadline: Instant,
-    /// When it was received.
+    /// Time at which the request was received.
     pub received: Instant,
 }
 
 impl Request {
-    /// A request received now under its contract.
+    /// Creates a request that is received now; `contract` gives the default deadline.
     #[must_use]
-    pub fn new(terms: Terms, repeat: Repeat, work: Work, session: Option<Named>, contract: &Contract) -> Self {
+    pub fn new(terms: Terms, repeat: Repeat, work: Work, session: Option<Reference>, contract: &Contract) -> Self {
         let received = Instant::now();
         let allowed = terms.deadline_ms.unwrap_or(contract.rank.deadline_ms);
         let deadline = received + std::time::Duration::from_millis(allowed);
         Self { terms, repeat, work, session, deadline, received }
     }
 
-    /// Which request.
+    /// Returns the identifier of the request.
     #[must_use]
     pub fn id(&self) -> &Id {
         &self.terms.id
     }
 
-    /// Whose.
+    /// Returns the customer that sent the request.
     #[must_use]
     pub fn customer(&self) -> &Customer {
         &self.terms.customer
     }
 
-    /// Its deadline on the wall clock.
+    /// Returns the deadline as wall-clock time.
     #[must_use]
-    pub fn due(&self) -> Timestamp {
-        clock::now().plus(clock::left(self.deadline))
+    pub fn wall_clock_deadline(&self) -> Timestamp {
+        clock::now().plus(clock::remaining_ms(self.deadline))
     }
 
-    /// Where it waits.
+    /// Returns the admission queue in which the request waits.
     #[must_use]
-    pub fn line(&self) -> Line {
+    pub fn queue_key(&self) -> QueueKey {
         match &self.work {
-            Work::Chat(chat) => Line::Model(chat.model.clone()),
-            Work::Call(visit) => Line::Service(visit.service.clone()),
+            Work::Chat(chat) => QueueKey::Model(chat.model.clone()),
+            Work::Call(call) => QueueKey::Service(call.service.clone()),
         }
     }
 
-    /// Hash of what is to be run; one key must have one.
+    /// Returns the hash of the work; requests with the same key must have the same one.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         match &self.work {
             Work::Chat(chat) => chat.fingerprint,
-            Work::Call(visit) => visit.fingerprint(),
+            Work::Call(call) => call.fingerprint(),
         }
     }
 
-    /// The name of its session; its own key where it starts one.
+    /// Returns the identifier of the session; a request that starts one uses its own
+    /// key.
     #[must_use]
     pub fn session_id(&self) -> Option<session::Id> {
         match &self.session {
-            Some(Named::Handle { id, .. } | Named::Caller(id)) => Some(id.clone()),
+            Some(Reference::Handle { id, .. } | Reference::CallerNamed(id)) => Some(id.clone()),
             None => session::Id::parse(self.terms.id.key.as_str()).ok(),
         }
     }
 
-    /// Its session as roll-outs count it.
+    /// Returns the unit that roll-outs assign to a version: the session, or the request
+    /// itself if it has none.
     #[must_use]
-    pub fn unit(&self) -> Unit {
+    pub fn rollout_unit(&self) -> Unit {
         match self.session_id() {
             Some(id) => Unit::session(self.customer(), &id),
             None => Unit::request(self.id()),
         }
     }
 
-    /// Endpoints it may go to.
+    /// Returns the target that its endpoints must serve: `version` for a chat request,
+    /// or the service.
     #[must_use]
     pub fn target(&self, version: Option<&Version>) -> Option<Target> {
         match &self.work {
             Work::Chat(_) => version.cloned().map(Target::Version),
-            Work::Call(visit) => Some(Target::Service(visit.service.clone())),
+            Work::Call(call) => Some(Target::Service(call.service.clone())),
         }
     }
 }
