--- a/crates/budget/src/task.rs
+++ b/crates/budget/src/task.rs
@@ -118,7 +118,7 @@
                 }
             }
             Message::GrantClosed { customer, grant } => {
-                self.on_grant_closed(&Key { customer, period: grant.period }, &grant.holder)
+                self.on_grant_closed(&Key { customer, period: grant.period }, &grant.holder);
             }
             Message::Unspent(customer, reply) => {
                 let own = self.escrows.iter().filter(|(key, _)| key.customer == customer);
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -47,7 +47,7 @@
 pub(crate) struct Loads {
     calls: mpsc::Sender<Call>,
     /// Largest number of concurrent loads.
-    max_loads: usize,
+    max_concurrent: usize,
     placements: HashMap<(Version, Id), Placement>,
     queries: JoinSet<QueryResult>,
 }
@@ -75,8 +75,8 @@
 }
 
 impl Loads {
-    pub fn new(calls: mpsc::Sender<Call>, max_loads: usize) -> Self {
-        Self { calls, max_loads, placements: HashMap::new(), queries: JoinSet::new() }
+    pub fn new(calls: mpsc::Sender<Call>, max_concurrent: usize) -> Self {
+        Self { calls, max_concurrent, placements: HashMap::new(), queries: JoinSet::new() }
     }
 
     /// Sets the wanted state of each version's endpoints and forgets endpoints
@@ -156,7 +156,7 @@
     fn take_due_orders(&mut self, fence: u64) -> Vec<((Version, Id), Order)> {
         let now = Instant::now();
         let loading_count = self.placements.values().filter(|placement| placement.is_loading(now)).count();
-        let free_slots = self.max_loads.saturating_sub(loading_count);
+        let free_slots = self.max_concurrent.saturating_sub(loading_count);
         let due = self.placements.iter_mut().filter(|(_, placement)| placement.is_order_due(now));
         let mut orders = Vec::new();
         let mut loads = 0;
--- a/crates/control/tests/it/lease.rs
+++ b/crates/control/tests/it/lease.rs
@@ -82,7 +82,7 @@
             Fault::Slow(by) => self.platform.set_slow(by),
             Fault::Lose(number, n, loss) => self.holders[number].client.lose(n, loss),
             Fault::CheckFree => {
-                assert!(self.holders.iter().all(|holder| holder.epoch().is_none()), "an instance holds the lease")
+                assert!(self.holders.iter().all(|holder| holder.epoch().is_none()), "an instance holds the lease");
             }
         }
     }
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -197,7 +197,7 @@
 
     /// Removes and returns the next request to run, if one may run now.
     ///
-    /// The caller must report the end of each run with [`Queue::finished`]. A request
+    /// The caller must report the end of each run with [`Queue::record_finish`]. A request
     /// that would finish late is never returned; [`Queue::shed`] removes it.
     pub fn next(&mut self, now: Timestamp) -> Option<Admitted> {
         if self.running >= self.limit {
