--- a/crates/route/benches/site.rs
+++ b/crates/route/benches/site.rs
@@ -90,8 +90,8 @@
 
     pub fn choose_endpoint(&self, target: &Target, n: u64) -> route::endpoint::Choice {
         let draw = hash::stable(&n.to_le_bytes());
-        let wanted = RunRequest { target, prefix: Some(draw % 500), avoid: &[], draw };
-        self.fleet.choose(&wanted, NOW).expect("the site has endpoints")
+        let request = RunRequest { target, prefix: Some(draw % 500), avoid: &[], draw };
+        self.fleet.choose(&request, NOW).expect("the site has endpoints")
     }
 }
 
--- a/crates/route/src/address.rs
+++ b/crates/route/src/address.rs
@@ -1,10 +1,10 @@
 //! Selects the instances that a customer's callers use.
 //!
-//! Each customer gets a small set, the same at every instance that is asked. This needs
-//! fewer budget grants, keeps prefix caches warm, and limits a misbehaving customer to few
-//! instances. Sets are selected by rendezvous hashing, so the loss of an instance changes
-//! only the sets that contain it, each by one member. A set covers all failure domains
-//! before it contains a second instance of one.
+//! Each customer gets a small set, the same at every instance that is asked. Few instances
+//! then need a part of the customer's budget, prefix caches stay warm, and a misbehaving
+//! customer affects few instances. Sets are selected by rendezvous hashing, so the loss of
+//! an instance changes only the sets that contain it, each by one member. A set covers all
+//! failure domains before it contains a second instance of one.
 
 use world::{
     Millis,
@@ -18,14 +18,15 @@
 /// Parameters for the size and lifetime of sets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Minimum number of instances in a set, if there are as many.
+    /// Minimum number of instances in a set. A set contains all instances if there are
+    /// fewer.
     pub min: usize,
     /// Number of concurrent requests of a customer that one instance of its set should
     /// handle.
     pub load_per_instance: f64,
-    /// Time for which callers may cache an answer, in milliseconds.
+    /// Time for which callers may cache a list, in milliseconds.
     pub keep_ms: Millis,
-    /// Time for which callers may cache an answer that contains a suspect instance, in
+    /// Time for which callers may cache a list that contains a suspect instance, in
     /// milliseconds.
     pub suspect_keep_ms: Millis,
 }
@@ -49,19 +50,19 @@
     pub load: f64,
 }
 
-/// The answer to a caller.
+/// The instances listed to a caller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct List<'a> {
     /// Instances to use, in order of preference.
     pub instances: Vec<&'a Instance>,
-    /// Time for which the answer may be cached, in milliseconds.
+    /// Time for which the list may be cached, in milliseconds.
     pub keep_ms: Millis,
 }
 
 /// Returns the instances that a caller should use.
 ///
 /// Instances that are leaving or gone are omitted. Suspect instances are listed last, since
-/// a suspicion is often wrong and omitting them at once would move customers twice.
+/// a suspicion is often wrong and omitting them at once would move customers away and back.
 #[must_use]
 pub fn list<'a>(policy: &Policy, instances: &'a [Instance], caller: &Caller<'_>) -> List<'a> {
     let mut set = set(policy, instances, caller);
@@ -97,7 +98,8 @@
     chosen
 }
 
-/// Returns the number of instances that a load needs, including one spare.
+/// Returns the size of the set for a load: the number of instances that it needs and one
+/// spare, but at least [`Policy::min`].
 fn size(policy: &Policy, load: f64) -> usize {
     let needed = (load.max(0.0) / policy.load_per_instance).ceil();
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded by u32, never negative")]
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -2,8 +2,8 @@
 //!
 //! Each customer with waiting requests receives a share of the runs proportional to
 //! its weight (start-time fair queueing). Within one customer, the earliest deadline
-//! goes first. A request that would not finish by its deadline is refused on
-//! arrival, with the time after which it would fit, instead of waiting in vain.
+//! goes first. A request that would not finish by its deadline is refused on arrival,
+//! with a time after which to retry, instead of waiting in vain.
 
 mod flow;
 mod rate;
@@ -23,19 +23,20 @@
 
 /// Maximum number of waiting requests in a queue, to bound memory.
 const MAX_WAITING_REQUESTS: usize = 10_000;
-/// Number of customers in a queue from which on idle ones are removed.
+/// Number of customers at which idle ones are removed from a queue.
 const MIN_FLOWS_FOR_CLEANUP: usize = 256;
 /// Minimum retry time of a refused request, in milliseconds.
 const MIN_RETRY_MS: Millis = 100;
-/// Divisor of a retry time; up to the quotient is added to it, so that callers
-/// refused at the same time don't retry at the same time.
+/// Divisor of a retry time that gives the maximum delay added to it. The delay differs
+/// between requests, so that callers refused at the same time don't retry at the same
+/// time.
 const RETRY_SPREAD_DIVISOR: u64 = 4;
-/// Percentage of the expected duration of a run that its deadline must leave under
-/// backlog.
+/// Time that must be left until the deadline under backlog, in percent of the expected
+/// duration of the run.
 const BACKLOG_RUN_PERCENT: u64 = 160;
-/// Lowest priority by slack; 0 is the most urgent.
-const LOWEST_SLACK_PRIORITY: u8 = 4;
-/// Recent usage up to which a customer counts as idle, in milliseconds.
+/// Largest priority value that slack alone gives; 0 is the most urgent.
+const MAX_SLACK_PRIORITY: u8 = 4;
+/// Recent usage up to which a customer counts as idle, in milliseconds of run time.
 const MAX_IDLE_USAGE_MS: f64 = 1.0;
 /// Multiple of its fair share beyond which a customer's runs get a lower priority
 /// than those of others.
@@ -197,7 +198,7 @@
 
     /// Removes and returns the next request to run, if one may run now.
     ///
-    /// The caller must report the end of each run with [`Queue::finished`]. A request
+    /// The caller must report the end of each run with [`Queue::record_finish`]. A request
     /// that would finish late is never returned; [`Queue::shed`] removes it.
     pub fn next(&mut self, now: Timestamp) -> Option<Admitted> {
         if self.running >= self.limit {
@@ -256,9 +257,9 @@
     /// Returns the expected time in the queue of a request that arrives now, in
     /// milliseconds.
     ///
-    /// The runs ahead of it are those of its own customer with earlier deadlines,
-    /// multiplied by the inverse of the customer's share, and at most all waiting
-    /// requests.
+    /// The number of runs ahead of it is the number of its own customer's requests
+    /// with earlier deadlines, divided by the customer's share of the runs, but at
+    /// most the number of all waiting requests.
     fn expected_wait_ms(&self, ticket: &Ticket<'_>) -> Millis {
         if self.running < self.limit && self.waiting.is_empty() {
             return 0;
@@ -277,7 +278,8 @@
     ///
     /// The expected duration is that of a run on an idle engine. Under backlog the
     /// engines are full and durations vary. If the expected duration sufficed for
-    /// admission, half of the last admitted requests would run and finish too late.
+    /// admission, half of the requests that only just fit would run and finish too
+    /// late.
     fn required_ms(&self, expected_ms: Millis) -> Millis {
         if self.waiting.is_empty() && self.running < self.limit {
             return expected_ms;
@@ -292,7 +294,7 @@
     /// only, a flood of runs of a customer over its share would precede a single run
     /// of a small customer in the queue of an engine.
     fn priority(&self, customer: &Customer, slack_ms: Millis, run_ms: Millis, now: Timestamp) -> u8 {
-        let urgency = u8::try_from(slack_ms / run_ms.max(1)).unwrap_or(u8::MAX).min(LOWEST_SLACK_PRIORITY);
+        let slack_priority = u8::try_from(slack_ms / run_ms.max(1)).unwrap_or(u8::MAX).min(MAX_SLACK_PRIORITY);
         let recent_usage_ms: f64 = self.flows.values().map(|flow| flow.recent_usage_ms(now)).sum();
         let weights: u32 =
             self.flows.values().filter(|flow| flow.recent_usage_ms(now) > MAX_IDLE_USAGE_MS).map(Flow::weight).sum();
@@ -300,7 +302,7 @@
             flow.recent_usage_ms(now) * f64::from(weights)
                 > OVER_SHARE_FACTOR * recent_usage_ms * f64::from(flow.weight())
         });
-        if over { urgency + LOWEST_SLACK_PRIORITY + 1 } else { urgency }
+        if over { slack_priority + MAX_SLACK_PRIORITY + 1 } else { slack_priority }
     }
 }
 
--- a/crates/route/src/admission/flow.rs
+++ b/crates/route/src/admission/flow.rs
@@ -39,8 +39,8 @@
         self.by_deadline.remove(&(deadline, key));
     }
 
-    /// Advances the virtual time of the next turn by the duration of a run that starts
-    /// now, and adds it to the usage.
+    /// Records a run that starts now: advances the virtual time of the next turn by its
+    /// duration divided by the weight, and adds its duration to the usage.
     #[expect(clippy::cast_precision_loss, reason = "run times are far below 2^52 milliseconds")]
     pub fn charge(&mut self, run_ms: Millis, from: f64, now: Timestamp) {
         let run_ms = run_ms.max(1) as f64;
@@ -68,7 +68,7 @@
         self.by_deadline.is_empty()
     }
 
-    /// Returns the number of requests ahead of one with this deadline.
+    /// Returns the number of requests that run before a new one with this deadline.
     pub fn count_ahead(&self, deadline: Timestamp) -> u64 {
         self.by_deadline.iter().take_while(|(due, _)| *due <= deadline).count() as u64
     }
--- a/crates/route/src/endpoint.rs
+++ b/crates/route/src/endpoint.rs
@@ -5,11 +5,11 @@
 //! task. It is updated by [`Event`]s and queried with [`Fleet::choose`]. Time and random
 //! numbers are arguments.
 //!
-//! A prompt prefix has a preferred endpoint, the same at every instance, so that the
-//! engine's prefix cache is hit. The preferred endpoint is skipped while it exceeds its
-//! bounded share of the load. Then the less loaded of two randomly drawn endpoints is
-//! chosen rather than the least loaded of all: every instance sees the same old reports and
-//! would send its work to the same endpoint.
+//! A prompt prefix prefers the endpoints in an order that is the same at every instance, so
+//! that the engine's prefix cache is hit. Endpoints that are loaded above the mean are
+//! skipped, unless most of their slots are free. A run without a prefix goes to the less
+//! loaded of two randomly drawn endpoints rather than to the least loaded of all: every
+//! instance sees the same old reports and would send its work to the same endpoint.
 
 mod choice;
 mod health;
@@ -41,7 +41,8 @@
 /// Runs that an endpoint is given, as a multiple of its slots. Without headroom a batch
 /// would be partly empty until the instance learns of each completed run.
 const HEADROOM: f64 = 1.1;
-/// Maximum number of prefixes whose holder is stored. All are dropped when it is exceeded.
+/// Maximum number of prefixes for which the endpoint that has them in its cache (the
+/// holder) is stored. All are dropped when it is exceeded.
 const MAX_HOLDERS: usize = 8_192;
 /// Maximum fraction of a target's endpoints that may be ejected at a time.
 const MAX_EJECTED: f64 = 0.34;
@@ -129,12 +130,12 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if no endpoint accepts the run.
-    pub fn choose(&self, wanted: &RunRequest<'_>, now: Timestamp) -> Result<Choice, Refusal> {
-        let subset = self.targets.get(wanted.target).ok_or(Refusal::NoPool)?;
+    pub fn choose(&self, request: &RunRequest<'_>, now: Timestamp) -> Result<Choice, Refusal> {
+        let subset = self.targets.get(request.target).ok_or(Refusal::NoPool)?;
         if subset.members.is_empty() {
             return Err(Refusal::NoPool);
         }
-        self.choose_from(subset, wanted, now).ok_or(Refusal::NoneLeft)
+        self.choose_from(subset, request, now).ok_or(Refusal::NoneLeft)
     }
 
     /// Returns the key of an endpoint in this instance's subset.
@@ -154,9 +155,9 @@
         self.servers.iter().map(|(key, server)| (key, &server.endpoint))
     }
 
-    /// Returns the number of runs that this instance may have active for any of `targets`.
-    /// It is the number of its active runs plus its part of the free slots, and at least an
-    /// equal part of all slots.
+    /// Returns the number of runs that this instance may have active for all of `targets`
+    /// together. It is the number of its active runs plus its part of the free slots, and
+    /// at least an equal part of all slots.
     ///
     /// Runs that wait in an engine's queue can no longer be prioritized, so work beyond
     /// this limit waits in the instance's own queue. An endpoint that serves several of the
@@ -172,7 +173,7 @@
         let usable = |key: &Key| self.servers.get(*key).filter(|s| !s.leaving && !s.health.is_ejected(now));
         let snapshots: Vec<_> = keys.iter().filter_map(usable).map(Server::load_snapshot).collect();
 
-        let estimator = LoadEstimator::of(snapshots.iter(), run_ms, self.instances);
+        let estimator = LoadEstimator::new(snapshots.iter(), run_ms, self.instances);
         let (mut own, mut others, mut slots) = (0.0, 0.0, 0.0);
         for server in &snapshots {
             own += server.own;
--- a/crates/route/src/endpoint/choice.rs
+++ b/crates/route/src/endpoint/choice.rs
@@ -11,8 +11,8 @@
 /// Load up to which a preferred endpoint is chosen regardless of the mean. While most slots
 /// are free, a cache hit saves more than balanced load.
 const FREE_LOAD: f64 = 0.3;
-/// Tolerance for rounding of a mean. Without it all of several equal loads might exceed
-/// their mean.
+/// Tolerance for the rounding of a mean. Without it, equal loads might all exceed their
+/// mean.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 /// Load added to an endpoint of another failure domain, as a fraction of its slots.
 const REMOTE_LOAD: f64 = 0.05;
@@ -39,12 +39,12 @@
 
 impl Fleet {
     /// Chooses an endpoint of a subset for a run, or returns `None` if none accepts it.
-    pub(super) fn choose_from(&self, subset: &Subset, wanted: &RunRequest<'_>, now: Timestamp) -> Option<Choice> {
-        let usable = subset.members.iter().filter(|member| self.is_usable(subset, member, wanted, now));
-        let mut candidates: Vec<Candidate> = usable.map(|member| self.candidate(member, wanted, now)).collect();
+    pub(super) fn choose_from(&self, subset: &Subset, request: &RunRequest<'_>, now: Timestamp) -> Option<Choice> {
+        let usable = subset.members.iter().filter(|member| self.is_usable(subset, member, request, now));
+        let mut candidates: Vec<Candidate> = usable.map(|member| self.candidate(member, request, now)).collect();
         let considered = u32::try_from(candidates.len()).unwrap_or(u32::MAX);
         let count = f64::from(considered.max(1));
-        let estimator = LoadEstimator::of(candidates.iter().map(|c| &c.snapshot), subset.run_ms(), self.instances);
+        let estimator = LoadEstimator::new(candidates.iter().map(|c| &c.snapshot), subset.run_ms(), self.instances);
         for candidate in &mut candidates {
             candidate.estimate_load(&estimator, now);
         }
@@ -53,7 +53,7 @@
         if candidates.len() < 2 {
             return candidates.first().and_then(|only| chosen(only, Rule::Only));
         }
-        if let Some(prefix) = wanted.prefix {
+        if let Some(prefix) = request.prefix {
             let mean = candidates.iter().map(|c| c.score).sum::<f64>() / count;
             let bound = mean.max(FREE_LOAD) + ROUNDING_TOLERANCE;
             let within = || candidates.iter().filter(|c| c.score <= bound);
@@ -65,16 +65,16 @@
                 return chosen(preferred, Rule::Preferred);
             }
         }
-        let (first, second) = draw_two(wanted.draw, candidates.len());
+        let (first, second) = draw_two(request.draw, candidates.len());
         let (first, second) = (&candidates[first], &candidates[second]);
         chosen(if second.score < first.score { second } else { first }, Rule::LessLoaded)
     }
 
-    fn candidate(&self, member: &subset::Member, wanted: &RunRequest<'_>, now: Timestamp) -> Candidate {
+    fn candidate(&self, member: &subset::Member, request: &RunRequest<'_>, now: Timestamp) -> Candidate {
         let server = &self.servers[member.key];
         Candidate {
             key: member.key,
-            affinity: wanted.prefix.map_or(0, |prefix| subset::rendezvous_weight(prefix, member.hash)),
+            affinity: request.prefix.map_or(0, |prefix| subset::rendezvous_weight(prefix, member.hash)),
             snapshot: server.load_snapshot(),
             load: 0.0,
             weight: server.health.weight(now),
@@ -83,12 +83,12 @@
         }
     }
 
-    fn is_usable(&self, subset: &Subset, member: &subset::Member, wanted: &RunRequest<'_>, now: Timestamp) -> bool {
+    fn is_usable(&self, subset: &Subset, member: &subset::Member, request: &RunRequest<'_>, now: Timestamp) -> bool {
         let Some(server) = self.servers.get(member.key) else { return false };
         !server.leaving
             && !server.health.is_ejected(now)
             && !subset.is_absent(member.key, now)
-            && !wanted.avoid.contains(&member.key)
+            && !request.avoid.contains(&member.key)
     }
 }
 
@@ -97,6 +97,6 @@
     let len = len as u64;
     let first = (draw >> 32) % len;
     let second = (first + 1 + (draw & 0xffff_ffff) % (len - 1)) % len;
-    #[expect(clippy::cast_possible_truncation, reason = "both are below a usize")]
+    #[expect(clippy::cast_possible_truncation, reason = "both are below `len`, which was a usize")]
     (first as usize, second as usize)
 }
--- a/crates/route/src/endpoint/health.rs
+++ b/crates/route/src/endpoint/health.rs
@@ -45,7 +45,8 @@
 pub(super) struct Health {
     /// Failures since the last successful run.
     consecutive_failures: u32,
-    /// Ejections since the endpoint was last healthy for long enough.
+    /// Ejections since the count was last reset, which happens when the endpoint succeeds a
+    /// long time after its last ejection.
     ejections: u32,
     /// End of the last ejection.
     ejected_until: Timestamp,
--- a/crates/route/src/endpoint/message.rs
+++ b/crates/route/src/endpoint/message.rs
@@ -1,4 +1,4 @@
-//! Inputs and results of a fleet of endpoints.
+//! Input and result types of [`Fleet`](super::Fleet).
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use super::{Key, health::Failure};
 
-/// What a run needs an endpoint for.
+/// A version or service that a run needs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
@@ -52,7 +52,8 @@
 pub enum Rule {
     /// The endpoint holds the prompt's prefix according to its cache events.
     Holder,
-    /// The endpoint is the preferred one of the prompt's prefix.
+    /// The endpoint is the first in the order of the prompt's prefix that is not loaded
+    /// above the mean, or of which most slots are free.
     Preferred,
     /// The endpoint is the less loaded of two randomly drawn ones.
     LessLoaded,
@@ -142,7 +143,7 @@
     },
 }
 
-/// An instance, as far as it matters for computing subsets.
+/// Name and failure domain of an instance, from which subsets are computed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// Name of the instance.
--- a/crates/route/src/endpoint/server.rs
+++ b/crates/route/src/endpoint/server.rs
@@ -13,7 +13,7 @@
 const HISTORY_RESOLUTION_MS: Millis = 50;
 /// Maximum number of runs that each other instance is assumed to send per own run.
 const MAX_SENT_RATIO: f64 = 2.0;
-/// Minimum age of a report, as a multiple of a run's duration.
+/// Minimum age of a report, as a multiple of a run's duration. Avoids a division by zero.
 const MIN_AGE_RUNS: f64 = 0.01;
 
 /// State of one endpoint.
@@ -65,7 +65,7 @@
 }
 
 impl LoadEstimator {
-    pub fn of<'a>(snapshots: impl Iterator<Item = &'a LoadSnapshot>, run_ms: f64, instances: usize) -> Self {
+    pub fn new<'a>(snapshots: impl Iterator<Item = &'a LoadSnapshot>, run_ms: f64, instances: usize) -> Self {
         let (mut others, mut own) = (0.0, 0.0);
         for server in snapshots {
             others += server.others;
@@ -93,8 +93,10 @@
         let total_at_report = self.own_at_report + self.others;
         let arrived = estimator.ratio * self.sent;
         if total_at_report <= self.slots {
+            // No run was queued, so runs end independently, those sent since the report too.
             return self.others * decayed + arrived * (1.0 - decayed) / runs;
         }
+        // A queue keeps the batch full, so `slots` runs end per duration of a run.
         let left = ((total_at_report - self.slots * runs) / total_at_report).max(decayed);
         self.others * left + arrived
     }
--- a/crates/route/src/endpoint/subset.rs
+++ b/crates/route/src/endpoint/subset.rs
@@ -1,10 +1,10 @@
 //! Selects the subset of a target's endpoints that one instance uses.
 //!
 //! Endpoints and instances are each ordered by hash. An instance uses a contiguous range of
-//! endpoints that starts in proportion to its own rank. Every endpoint is in as many
-//! subsets as any other (give or take one), none is left out, and adding or removing an
-//! instance shifts the ranges only slightly. Ranks are computed in one pass over the
-//! instances and one over the endpoints, never over pairs.
+//! endpoints that starts in proportion to its own rank. In this way all endpoints are in
+//! nearly the same number of subsets, none is left out, and adding or removing an instance
+//! shifts the ranges only slightly. Computing a subset takes one pass over the instances
+//! and one over the endpoints, never one over pairs.
 
 use std::collections::HashMap;
 
@@ -14,14 +14,14 @@
 
 /// Number of a target's endpoints used in the instance's own failure domain.
 const LOCAL_ENDPOINTS: usize = 24;
-/// Number of a target's endpoints used in any failure domain.
+/// Number of a target's endpoints used regardless of their failure domain.
 const ANY_DOMAIN_ENDPOINTS: usize = 8;
 /// Time for which an endpoint that answered "not loaded" is skipped.
 const NOT_LOADED_MS: Millis = 2_000;
-/// Weight of the newest run in the typical time per token.
-const PACE_STEP: f64 = 0.02;
+/// Weight of the latest run in the moving average of the time per token.
+const TOKEN_TIME_STEP: f64 = 0.02;
 
-/// Relative step by which the estimated run duration follows each run.
+/// Relative change of the estimated run duration with each run.
 const RUN_MS_STEP: f64 = 0.005;
 /// Estimated run duration before the first run has ended.
 const INITIAL_RUN_MS: f64 = 1_000.0;
@@ -70,7 +70,7 @@
         let typical = self.typical_ms_per_token.get_or_insert(ms_per_token);
         // Averages logarithms, so that one run that hung for minutes does not make every
         // slow endpoint look typical.
-        *typical = (PACE_STEP.mul_add(ms_per_token.ln() - typical.ln(), typical.ln())).exp();
+        *typical = (TOKEN_TIME_STEP.mul_add(ms_per_token.ln() - typical.ln(), typical.ln())).exp();
         ms_per_token / *typical
     }
 
--- a/crates/route/src/guard.rs
+++ b/crates/route/src/guard.rs
@@ -17,8 +17,8 @@
 //! likelihoods multiply. `alpha` is divided among the signals and three tests:
 //!
 //! - the roll-out as a whole;
-//! - windows of a step: otherwise, the good record of a version that becomes bad
-//!   late would hide this for about as long again;
+//! - consecutive time windows of a step: otherwise, a version that becomes bad late
+//!   would stay undetected for about as long as it was good;
 //! - a step that exposes nearly all sessions and leaves no control arm: there the
 //!   new version is compared with the previous step, by a test of two rates that
 //!   tolerates a margin, since rates change over time.
@@ -218,7 +218,7 @@
 /// must favor "no worse" before a version is exposed to more sessions.
 const MAX_LN_E_TO_ADVANCE: f64 = 0.0;
 
-/// Latest window of a step.
+/// Latest of the consecutive time windows that a step is divided into.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Window {
     /// Index of the window within the step, from 0.
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,8 +1,8 @@
 //! Routing decisions as pure functions: no I/O, no clock, no global random source.
 //!
-//! Every function takes all its inputs as arguments, including the current time
-//! and the random source, and returns the decision together with its reason,
-//! which `explain` prints.
+//! Functions take all their inputs as arguments, including the current time and
+//! random numbers. Choices of versions and endpoints carry their reason, which
+//! `arbutuslug explain` prints.
 
 pub mod address;
 pub mod admission;
--- a/crates/route/src/model/ladder.rs
+++ b/crates/route/src/model/ladder.rs
@@ -1,12 +1,12 @@
 //! Enumerates ladders of versions and selects one.
 //!
-//! A ladder is one to three versions of rising tiers: the next one runs if the
-//! previous answer has failed its rating. Each ladder has an expected quality,
-//! cost and time. Only ladders on the lower convex hull of cost over quality are
-//! worth running, alone or alternating: any other is more expensive than a mix of
-//! two hull points of the same quality. [`LadderSearch::decide`] walks the hull up to
-//! the required quality and alternates between the two hull points around it
-//! depending on the credit of the account.
+//! A ladder is one to three versions of rising tiers: the next one runs if the previous
+//! answer has failed its rating. Each ladder has an expected quality, cost and time. Only
+//! ladders on the lower convex hull of cost over quality are worth running, alone or
+//! alternating: any other is more expensive than alternating between two hull points at the
+//! same average quality. [`LadderSearch::decide`] walks the hull up to the required quality
+//! and alternates between the two hull points around it depending on the credit of the
+//! account.
 
 use world::{Millis, contract::Objective, money::Amount, request::Repeat};
 
@@ -23,7 +23,8 @@
 const MAX_TIERS: usize = 8;
 /// Time to rate an answer while the caller waits, in milliseconds.
 const RATING_MS: f64 = 100.0;
-/// Share of the requests passed by the first tier that a later tier passes too.
+/// Assumed share of the requests answered well enough by the first tier that a later tier
+/// answers well enough too.
 const NESTED_PASS_SHARE: f64 = 0.97;
 /// Assumed pass rate of the first tier before any rating.
 const PRIOR_FIRST_TIER_RATE: f64 = 0.5;
@@ -31,27 +32,28 @@
 const PRIOR_LAST_TIER_RATE: f64 = 0.9;
 /// Standard deviations subtracted from an estimated pass rate.
 const CAUTION_DEVIATIONS: f64 = 0.5;
-/// Standard deviations subtracted from an estimated pass rate under the
-/// objective exposure.
+/// Standard deviations subtracted from an estimated pass rate under
+/// [`Objective::Exposure`].
 const EXPOSURE_CAUTION_DEVIATIONS: f64 = 2.0;
 /// Standard deviations subtracted from the pass rate that a pending answer is
 /// recorded with in the account.
 const ACCOUNT_CAUTION_DEVIATIONS: f64 = 0.0;
-/// Passes that the account keeps in reserve. One failed answer costs less.
+/// Number of passes by which the quality account should stay ahead of the target. One
+/// failed answer costs the account less than one pass.
 const RESERVE_PASSES: f64 = 1.0;
-/// Number of answers within which an account below its reserve catches up.
+/// Number of answers within which an account that is below [`RESERVE_PASSES`] catches up.
 const CATCH_UP_ANSWERS: f64 = 200.0;
 /// Maximum increase of the target while catching up.
 const MAX_CATCH_UP: f64 = 0.05;
 /// Quality differences up to this value are ignored.
 const MIN_QUALITY_DIFFERENCE: f64 = 0.005;
-/// Weight of time relative to cost under the objective latency.
+/// Weight of time relative to cost under [`Objective::Latency`].
 const LATENCY_WEIGHT: f64 = 0.3;
-/// Weight of a run on a version under roll-out relative to cost under the
-/// objective exposure.
+/// Weight of a run on a version under roll-out relative to cost under
+/// [`Objective::Exposure`].
 const NEW_VERSION_WEIGHT: f64 = 0.5;
 
-/// Permitted versions of a request, with its limits.
+/// The versions that a request may run on and the limits that its ladders must keep.
 #[derive(Debug)]
 pub(super) struct LadderSearch {
     candidates: Vec<Candidate>,
@@ -114,7 +116,7 @@
     candidates: [u8; MAX_STEPS],
     len: u8,
     quality: Estimate,
-    /// Quality minus the subtracted deviations.
+    /// Mean quality minus the standard deviations subtracted as caution.
     lower_bound: f64,
     /// Normalized cost plus the weighted term of the objective; lower is better.
     objective_cost: f64,
--- a/crates/route/src/model/permit.rs
+++ b/crates/route/src/model/permit.rs
@@ -15,10 +15,10 @@
 
 /// A permit to run a customer's request on one version.
 ///
-/// Its fields are private and only [`Permits::resolve`] and [`Permit::renew`]
-/// create one. A permit therefore proves that the contract allows the version,
-/// that the version was not withdrawn in [`Permit::generation`], and that the
-/// session's pin was honoured.
+/// Its fields are private and only [`Permits::resolve`] and [`Permit::renew`] create
+/// one. A permit therefore proves that the contract allows the version, that the
+/// version was not withdrawn in [`Permit::generation`], and that the session's pin
+/// was respected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Permit {
     customer: Customer,
@@ -184,8 +184,9 @@
         }
     }
 
-    /// Assigns the version to its tier, unless the tier has a pinned version, or one
-    /// under roll-out and this one is not. Of two equal ones, the later release wins.
+    /// Assigns the version to its tier, replacing an earlier release. A pinned
+    /// version is never replaced, and a version under roll-out only by another one
+    /// under roll-out.
     fn add_unpinned(&mut self, catalog: &Catalog, customer: &Customer, version: &Version) {
         let Some(release) = catalog.release(version) else { return };
         let permit = Permit::new(catalog, customer, version, release, false);
--- a/crates/route/src/quality.rs
+++ b/crates/route/src/quality.rs
@@ -28,15 +28,16 @@
 pub use pending_answers::{Answer, LAPSE_MS, PendingAnswers};
 pub use speed::Speed;
 
-/// Hasher of keys that are already hashes: fast and deterministic.
+/// Deterministic hasher, sufficient for keys that are already hashes.
 type Hasher = BuildHasherDefault<DefaultHasher>;
 
-/// Maximum number of cells; those updated least recently are evicted first.
-const MAX_CELLS: usize = 65_536;
+/// Maximum number of stored rating counts, and of stored speeds. The counts that were
+/// not updated recently are evicted first; of the speeds, all are dropped.
+const MAX_ENTRIES: usize = 65_536;
 /// Maximum number of classes learned per customer; further classes share one cell.
 const MAX_CLASSES: usize = 64;
-/// Number of ratings at which the older ratings of a cell start to decay, so that
-/// a regression of a version shows within some hundreds of answers.
+/// Number of ratings at which the older ratings counted under a key start to decay, so
+/// that a regression of a version shows within some hundreds of answers.
 const DECAY_RATINGS: f64 = 1_000.0;
 /// Maximum weight of a parent level in its child, in ratings.
 const MAX_PARENT_WEIGHT: f64 = 30.0;
@@ -54,7 +55,8 @@
 pub enum Stage {
     /// First answer to the request.
     First,
-    /// Answer after that of an earlier step failed its rating.
+    /// Answer of a later step, given after the answer of the previous step failed its
+    /// rating.
     Escalated,
 }
 
@@ -66,7 +68,8 @@
 }
 
 impl Cell {
-    /// No particular customer and class: selects the figures of a version in general.
+    /// Selects the estimates of a version in general, for no particular customer and
+    /// class.
     pub const ANY: Self = Self { customer: 0, class: 0 };
 
     /// Returns the cell of a customer's class.
@@ -102,7 +105,7 @@
 pub struct Profile {
     /// Pass rate of first answers.
     pub first: Estimate,
-    /// Pass rate of answers after another version's answer failed.
+    /// Pass rate of answers given after another version's answer failed its rating.
     pub escalated: Estimate,
     /// Duration of its runs.
     pub speed: Speed,
@@ -214,7 +217,7 @@
     pub fn record_run(&mut self, cell: Cell, version: &Version, millis: Millis, output_tokens: u32, now: Timestamp) {
         let general = version_key(version);
         let class = combine(general, self.register_class(cell).class);
-        if self.speeds.len() >= MAX_CELLS {
+        if self.speeds.len() >= MAX_ENTRIES {
             self.speeds.clear();
         }
         for key in [general, class] {
@@ -231,18 +234,18 @@
     fn count(&mut self, key: u64, pass: bool) {
         self.updates += 1;
         let updates = self.updates;
-        if self.counts.len() >= MAX_CELLS && !self.counts.contains_key(&key) {
+        if self.counts.len() >= MAX_ENTRIES && !self.counts.contains_key(&key) {
             self.evict();
         }
         self.counts.entry(key).or_default().add(pass, updates);
     }
 
-    /// Evicts the cells that were not updated within the last [`MAX_CELLS`] updates,
-    /// or all cells if none are that old. Takes linear time, but runs rarely.
+    /// Evicts the counts that were not updated within the last [`MAX_ENTRIES`] updates,
+    /// or all counts if none are that old. Takes linear time, but runs rarely.
     fn evict(&mut self) {
-        let horizon = self.updates.saturating_sub(MAX_CELLS as u64);
+        let horizon = self.updates.saturating_sub(MAX_ENTRIES as u64);
         self.counts.retain(|_, counts| counts.last_update > horizon);
-        if self.counts.len() >= MAX_CELLS {
+        if self.counts.len() >= MAX_ENTRIES {
             self.counts.clear();
         }
     }
--- a/crates/route/src/quality/account.rs
+++ b/crates/route/src/quality/account.rs
@@ -5,7 +5,7 @@
 
 /// Maximum number of passes that an account may be ahead. If even the cheapest
 /// version exceeds the target, an unbounded account would grow for months, and
-/// would then tolerate a version that has become bad for as long.
+/// would then tolerate a bad version for as long.
 const MAX_AHEAD_PASSES: f64 = 60.0;
 /// Maximum number of passes that an account may be behind. A bad day is compensated
 /// for, but not by paying for the best version all year.
@@ -24,17 +24,24 @@
 /// is added up, so that an hour without ratings makes the account more cautious.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
+    /// Passes ahead of the target from answers that were rated or have lapsed.
     rated: f64,
+    /// Passes ahead of the target expected from pending answers.
     pending: f64,
+    /// Variance of the passes of pending answers.
     pending_variance: f64,
+    /// Variance of the passes of lapsed answers.
     lapsed_variance: f64,
 }
 
 /// An answer whose rating is pending.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Pending {
+    /// Target pass rate.
     target: f64,
+    /// Expected pass rate minus the target.
     expected: f64,
+    /// Variance of the answer's rating.
     variance: f64,
 }
 
--- a/crates/route/src/quality/pending_answers.rs
+++ b/crates/route/src/quality/pending_answers.rs
@@ -9,8 +9,8 @@
 /// Maximum number of answers with a pending rating at an instance; beyond it the
 /// oldest lapses.
 const MAX_PENDING_ANSWERS: usize = 100_000;
-/// Age difference to a rated answer, in milliseconds, above which an older answer
-/// lapses.
+/// Time after which an unrated answer lapses, in milliseconds: as soon as an answer
+/// given more than this time later has been rated.
 pub const LAPSE_MS: Millis = 10 * 60 * 1_000;
 
 /// A final answer, with the data needed to record its rating.
--- a/crates/route/src/quality/speed.rs
+++ b/crates/route/src/quality/speed.rs
@@ -21,10 +21,15 @@
 /// Moving averages over the runs of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Speed {
+    /// Duration of a run, in milliseconds.
     millis: f64,
+    /// Absolute deviation of the duration, in milliseconds.
     deviation: f64,
+    /// Number of output tokens of a run.
     output: f64,
+    /// Number of recorded runs.
     runs: u64,
+    /// Time at which the last run was recorded.
     seen: Timestamp,
 }
 
--- a/crates/route/src/relay.rs
+++ b/crates/route/src/relay.rs
@@ -1,15 +1,15 @@
 //! Decisions about requests that are relayed to endpoints unchanged.
 //!
-//! [`placement`] picks the endpoint, [`ladder`] picks the model, and [`mod@first_byte_timeout`] sets
-//! the timeout for the first byte, based on the latency that [`latency`] estimates.
-//! [`holders`] tracks which endpoints have a prompt prefix in their cache, and [`notice`]
-//! tracks the prompt processing that other instances have sent to them. [`allowance`]
-//! bounds retries over the whole fleet, and [`throttle`] divides the rate limits that
-//! endpoints announce among the instances. [`freshness`] decides how long access keys and
-//! the catalog may be used without confirmation. [`canary`] assigns requests to a version
-//! under roll-out and evaluates it. [`fronts`] picks the instances that are listed to a
-//! caller. [`content`] identifies equal requests, and [`quarantine`] refuses those that
-//! crash endpoints.
+//! [`placement`] picks the endpoint, [`ladder`] picks the model, and
+//! [`mod@first_byte_timeout`] sets the timeout for the first byte, based on the estimate of
+//! [`latency`]. [`holders`] tracks which endpoints have a prompt prefix in their cache, and
+//! [`notice`] tracks the prompt processing that other instances have sent to them.
+//! [`allowance`] bounds retries over the whole fleet, and [`throttle`] divides the rate
+//! limits that endpoints announce among the instances. [`freshness`] decides how long
+//! access keys and the catalog may be used without confirmation. [`canary`] assigns
+//! requests to a version under roll-out and evaluates it. [`fronts`] picks the instances
+//! that are listed to a caller. [`content`] identifies equal requests, and [`quarantine`]
+//! refuses those that crash endpoints.
 //!
 //! Time is a [`std::time::Duration`] since an arbitrary fixed moment of the process, on a
 //! clock that also counts time in which the machine is suspended.
--- a/crates/route/src/relay/allowance.rs
+++ b/crates/route/src/relay/allowance.rs
@@ -17,7 +17,8 @@
 pub struct Policy {
     /// Extra dispatches per first dispatch, over the fleet.
     pub ratio: f64,
-    /// Additional extra dispatches per window, over the fleet.
+    /// Extra dispatches per window that are allowed without any first dispatch, over the
+    /// fleet.
     pub reserve: f64,
     /// Length of the window.
     pub window: Duration,
--- a/crates/route/src/relay/canary.rs
+++ b/crates/route/src/relay/canary.rs
@@ -26,15 +26,16 @@
 /// Fraction of the roll-out time after which the roll-out is declared done.
 const DONE_FRACTION: f64 = 0.88;
 
-/// Minimum number of answers of a version before it can be accepted.
-const MIN_ANSWERS: u32 = 20;
+/// Minimum number of runs of a version, including failed ones, before it can be accepted.
+const MIN_RUNS_TO_ACCEPT: u32 = 20;
 
-/// Lower bound of the estimated variance of the logarithms. A handful of runs may agree by
-/// chance.
+/// Lower bound of the estimated variance of the logarithms. The times of a handful of runs
+/// may agree by chance.
 const MIN_VARIANCE: f64 = 0.1;
 
-/// Minimum number of bad answers for which a version can be rejected. Fewer may be chance.
-const MIN_BAD: u32 = 5;
+/// Minimum number of failures, or of timed runs of each version, for which a version can be
+/// rejected. Fewer may be chance.
+const MIN_SAMPLES_TO_REJECT: u32 = 5;
 
 /// Excess of the failure rate over the old version's rate above which a version is
 /// rejected, if it is also statistically significant. A smaller excess may come from
@@ -47,7 +48,8 @@
 const FAILURE_SIGNIFICANCE: f64 = 3.5;
 
 /// Largest excess of the failure rate over the old version's rate with which a version may
-/// leave the trial. A version that is not rejected only for lack of evidence must not.
+/// leave the trial. A version that avoids rejection only for lack of evidence must stay on
+/// trial.
 const MAX_ACCEPTED_EXCESS: f64 = 0.06;
 
 /// Factor between the typical first-byte times of the new and the old version above which a
@@ -142,8 +144,9 @@
 /// Returns whether the evidence shows that a version is worse than its predecessor.
 #[must_use]
 pub fn is_regression(new: Tally, old: Tally) -> bool {
-    let fails_more =
-        new.bad >= MIN_BAD && new.rate() > old.rate() + MAX_EXCESS && failure_z_score(new, old) > FAILURE_SIGNIFICANCE;
+    let fails_more = new.bad >= MIN_SAMPLES_TO_REJECT
+        && new.rate() > old.rate() + MAX_EXCESS
+        && failure_z_score(new, old) > FAILURE_SIGNIFICANCE;
     fails_more || is_slower(new.lateness, old.lateness)
 }
 
@@ -152,8 +155,8 @@
 fn is_slower(new: Lateness, old: Lateness) -> bool {
     let log_slowdown = new.mean() - old.mean();
     let standard_error = (new.variance_of_mean() + old.variance_of_mean()).sqrt();
-    new.runs >= MIN_BAD
-        && old.runs >= MIN_BAD
+    new.runs >= MIN_SAMPLES_TO_REJECT
+        && old.runs >= MIN_SAMPLES_TO_REJECT
         && log_slowdown > MAX_SLOWDOWN.ln()
         && log_slowdown > SLOWDOWN_SIGNIFICANCE * standard_error
 }
@@ -170,7 +173,7 @@
 /// Returns whether the evidence suffices to accept a version.
 fn is_acceptable(new: Tally, old: Tally) -> bool {
     let log_slowdown = new.lateness.mean() - old.lateness.mean();
-    new.runs >= MIN_ANSWERS && new.rate() <= old.rate() + MAX_ACCEPTED_EXCESS && log_slowdown < MAX_SLOWDOWN.ln()
+    new.runs >= MIN_RUNS_TO_ACCEPT && new.rate() <= old.rate() + MAX_ACCEPTED_EXCESS && log_slowdown < MAX_SLOWDOWN.ln()
 }
 
 /// Returns the stage that follows from the elapsed time and the evidence.
--- a/crates/route/src/relay/first_byte_timeout.rs
+++ b/crates/route/src/relay/first_byte_timeout.rs
@@ -1,11 +1,11 @@
 //! Sets how long a run may take until its first byte before another one is tried.
 //!
 //! Engines can become several times slower for some seconds; in one load pattern a third of
-//! them turn six times slower. A short prompt on such an engine used up most of its goal,
-//! and the retry on another engine, which answers within a tenth of the goal, came too
-//! late. With a timeout of a quarter of the goal the second run is still in time, and so is
-//! a larger model after it. Under overload the expected time grows with the queues, so that
-//! requests are not retried on top of an existing backlog.
+//! them turn six times slower. A short prompt on such an engine used up most of its route's
+//! goal for the first byte, and the retry on another engine, which answers within a tenth
+//! of the goal, came too late. With a timeout of a quarter of the goal the second run is
+//! still in time, and so is a larger model after it. Under overload the expected time grows
+//! with the queues, so that requests are not retried on top of an existing backlog.
 
 use std::time::Duration;
 
--- a/crates/route/src/relay/freshness.rs
+++ b/crates/route/src/relay/freshness.rs
@@ -7,14 +7,15 @@
 //! count suspension. Otherwise an instance that was suspended during the withdrawal would
 //! consider its keys fresh after it resumes.
 //!
-//! The rest of the catalog remains valid until the instance learns of a newer one, because
-//! no operator can have had a change confirmed without the store. After that, the old
-//! catalog may be used only for the time that operators allow ([`AnnouncedCatalogs`]).
+//! The rest of the catalog remains valid until the instance learns of a newer one: if the
+//! store is unavailable, no change can have been confirmed to an operator. After that, the
+//! old catalog may be used only for the time that operators allow ([`AnnouncedCatalogs`]).
 
 use std::time::Duration;
 
-/// Time for which a watch may miss changes before it is cut, as the store specifies it. An
-/// empty answer confirms nothing more recent than that.
+/// Time after which the store ends a watch that misses changes, as the store specifies. A
+/// watch that ended without a change therefore confirms only the state as of that long
+/// before its request.
 const WATCH_DELAY: Duration = Duration::from_secs(1);
 
 /// Safety margin for the path from the check to the endpoint: queues of a slowed instance
--- a/crates/route/src/relay/holders.rs
+++ b/crates/route/src/relay/holders.rs
@@ -18,10 +18,11 @@
 /// used prefixes are spread over.
 const MAX_HOLDERS_PER_PREFIX: usize = 4;
 
-/// Maximum number of prefixes stored. An instance learns of fewer within the time above.
+/// Maximum number of prefixes stored. An instance learns of fewer within
+/// [`CACHE_LIFETIME`].
 const MAX_PREFIXES: usize = 8_192;
 
-/// Endpoints that hold shared prompt prefixes in their cache.
+/// Shared prompt prefixes and the endpoints that are assumed to hold them in their cache.
 #[derive(Debug, Clone, Default)]
 pub struct Prefixes {
     prefixes: HashMap<u32, Vec<Holder>>,
--- a/crates/route/src/relay/ladder.rs
+++ b/crates/route/src/relay/ladder.rs
@@ -1,10 +1,10 @@
 //! Selects which model of a ladder answers a request.
 //!
-//! A ladder orders models from the smallest to the largest. A small model reads and writes
-//! several times faster and answers about half of the requests correctly. Its answer comes
-//! with its own rough confidence before any of it has reached the caller. A request
-//! therefore starts at a small model and escalates to the largest one if the confidence is
-//! low. The dropped answer costs only the small model's first tokens.
+//! A ladder orders models from the smallest to the largest. A small model processes prompts
+//! and generates tokens several times faster and answers about half of the requests
+//! correctly. Its answer comes with its own rough confidence before any of it has reached
+//! the caller. A request therefore starts at a small model and escalates to the largest one
+//! if the confidence is low. The dropped answer costs only the small model's first tokens.
 
 use std::ops::RangeInclusive;
 
@@ -18,14 +18,14 @@
 
 /// Deducted from the confidence on the most urgent routes. Their requests have few tokens
 /// and a high value, so a doubtful answer is escalated.
-const FIRST_DEDUCTION: u32 = 10;
+const MOST_URGENT_DEDUCTION: u32 = 10;
 
 /// Added to the confidence on the least urgent routes.
 ///
 /// The most frequent requests are checks with a long prompt and a few tokens of output.
-/// Under heavy load every second one escalated to the largest model, which read 2,400
-/// tokens for each, and urgent requests waited behind them.
-const LAST_BONUS: u32 = 20;
+/// Without the bonus, every second one escalated under heavy load to the largest model,
+/// which processed 2,400 prompt tokens for each, and urgent requests waited behind them.
+const LEAST_URGENT_BONUS: u32 = 20;
 
 /// Urgency of a route among those that have a ladder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -58,9 +58,9 @@
     /// Adjusts a confidence by the route's urgency.
     fn adjust(self, confidence: u32) -> u32 {
         match self {
-            Self::First => confidence.saturating_sub(FIRST_DEDUCTION),
+            Self::First => confidence.saturating_sub(MOST_URGENT_DEDUCTION),
             Self::Usual => confidence,
-            Self::Last => confidence.saturating_add(LAST_BONUS),
+            Self::Last => confidence.saturating_add(LEAST_URGENT_BONUS),
         }
     }
 }
@@ -116,9 +116,9 @@
 /// time if it is asked at once, but not after the small one. Those go to the large model
 /// directly, and even longer ones to the largest model that is in time. When endpoints are
 /// lost or many callers arrive at once, queues grow for everybody and all requests look
-/// like that. The large model, which reads ten times longer, would then prolong the
-/// overload. So a prompt's length is judged by the time at an idle endpoint, and queues
-/// only ever count against the large model.
+/// like long prompts. The large model, which takes ten times longer to process a prompt,
+/// would then prolong the overload. So a prompt's length is judged by the time at an idle
+/// endpoint, and queues can only prevent a start at the large model, never cause one.
 #[must_use]
 pub fn first_model(remaining: Remaining, times: &[RelativeTime]) -> usize {
     let last = times.len().saturating_sub(1);
@@ -130,22 +130,22 @@
     if large.idle > MAX_IN_TIME {
         return times.iter().rposition(in_time).unwrap_or(0);
     }
-    let after_the_small_one = small.idle + large.idle <= MAX_IN_TIME;
-    if in_time(large) && !(remaining.allowance && after_the_small_one) { last } else { 0 }
+    let fits_after_small = small.idle + large.idle <= MAX_IN_TIME;
+    if in_time(large) && !(remaining.allowance && fits_after_small) { last } else { 0 }
 }
 
 /// Decides what to do with the answer of the model at `index`. `outlooks` holds the
 /// expected time of each model, smallest first.
 ///
 /// If the largest model would be late because of a long prompt or full queues, an answer of
-/// low confidence can still escalate to a model in between. Such a model reads four times
-/// faster than the largest and answers most requests correctly that the small one nearly
-/// answers, so it is used if it is in time.
+/// low confidence can still escalate to a model in between. Such a model processes prompts
+/// four times faster than the largest and answers most requests correctly that the small
+/// one nearly answers, so it is used if it is in time.
 ///
-/// If only the current queues would make a short prompt late, half of the small models'
-/// answers are likely wrong. Escalating each of them would occupy the largest model for
-/// seconds, make other requests late and prolong the overload. Such an answer is not
-/// escalated to the largest model.
+/// If a prompt would be late only because of the current queues, its answer is not
+/// escalated to the largest model. Half of the small models' answers are likely wrong.
+/// Escalating each of them would occupy the largest model for seconds, make other requests
+/// late and prolong the overload.
 #[must_use]
 pub fn next_step(
     index: usize,
--- a/crates/route/src/relay/latency.rs
+++ b/crates/route/src/relay/latency.rs
@@ -1,4 +1,5 @@
-//! Estimates how long an idle endpoint takes until the first byte of a job.
+//! Estimates how long an idle endpoint takes until the first byte of a job, which is one
+//! run of a request.
 //!
 //! Most prompts are short, and a few are hundreds of times longer. An estimate per token
 //! alone would be learned from the short ones, whose time is nearly all overhead, and would
@@ -21,7 +22,8 @@
 pub struct Estimate {
     /// Fixed part, in milliseconds.
     base_ms: f64,
-    /// Time per unit of prompt processing, in milliseconds.
+    /// Time per unit of prompt processing, in milliseconds. Callers define the unit, such
+    /// as a token weighted by the size of the model.
     unit_ms: f64,
 }
 
@@ -39,7 +41,8 @@
         self.base_ms + self.processing_ms(units)
     }
 
-    /// Returns the part of that time during which other jobs have to wait, in milliseconds.
+    /// Returns the time to process the prompt of a job of `units`, in milliseconds. Other
+    /// jobs have to wait during it.
     #[must_use]
     pub fn processing_ms(&self, units: f64) -> f64 {
         self.unit_ms * units
--- a/crates/route/src/relay/notice.rs
+++ b/crates/route/src/relay/notice.rs
@@ -13,7 +13,7 @@
 
 /// Shortest prompt processing that is worth a notice, in milliseconds. Waiting for shorter
 /// prompts does not matter for a goal of a second.
-pub const MIN_READING_MS: f64 = 80.0;
+pub const MIN_PROCESSING_MS: f64 = 80.0;
 
 /// Maximum rate of notice datagrams of an instance, per second. At some twenty microseconds
 /// for each one sent or received, they use at most two hundredths of a core. With 74
@@ -32,9 +32,9 @@
 }
 
 impl Backlog {
-    /// Adds a prompt whose processing takes `reading_ms` milliseconds.
-    pub fn add(&mut self, now: Duration, reading_ms: f64) {
-        self.until = self.until.max(now) + Duration::from_secs_f64(reading_ms.max(0.0) / 1_000.0);
+    /// Adds a prompt whose processing takes `processing_ms` milliseconds.
+    pub fn add(&mut self, now: Duration, processing_ms: f64) {
+        self.until = self.until.max(now) + Duration::from_secs_f64(processing_ms.max(0.0) / 1_000.0);
     }
 
     /// Returns the remaining processing time in milliseconds.
@@ -62,13 +62,13 @@
     /// Decides whether the `others` instances are notified of a prompt, and if so counts
     /// the notice. Prompts whose processing takes long are announced, and those that
     /// contain a shared prefix worth caching (`has_shared_prefix`), while the budget lasts.
-    pub fn try_notify(&mut self, now: Duration, reading_ms: f64, has_shared_prefix: bool, others: usize) -> bool {
+    pub fn try_notify(&mut self, now: Duration, processing_ms: f64, has_shared_prefix: bool, others: usize) -> bool {
         #[expect(clippy::cast_precision_loss, reason = "instances are far fewer than 2^53")]
         let rate = MAX_DATAGRAMS_PER_S / others.max(1) as f64;
         let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.left = (self.left + passed * rate).min(MAX_BURST);
         self.refilled_at = now;
-        if others == 0 || !(has_shared_prefix || reading_ms >= MIN_READING_MS) || self.left < 1.0 {
+        if others == 0 || !(has_shared_prefix || processing_ms >= MIN_PROCESSING_MS) || self.left < 1.0 {
             return false;
         }
         self.left -= 1.0;
--- a/crates/route/src/relay/placement.rs
+++ b/crates/route/src/relay/placement.rs
@@ -23,8 +23,8 @@
 /// of a run divided by the slots that may become free meanwhile.
 const QUEUED_RUN_MS: f64 = 150.0;
 
-/// Wait added by each run on an endpoint because it makes the endpoint's steps longer, in
-/// milliseconds for a typical first step.
+/// Wait added by each active run on an endpoint, in milliseconds. Each run makes the engine
+/// step that produces the first byte longer.
 const ACTIVE_RUN_MS: f64 = 3.0;
 
 /// Penalty for an endpoint in another failure domain, in milliseconds. It covers the
@@ -50,8 +50,8 @@
 /// Number of drawn endpoints that are also compared by older load updates.
 const MAX_SHORTLIST: usize = 4;
 
-/// Part of the cost of processing a shared prefix again that is accepted as a longer wait
-/// at an endpoint selected only by the prefix's hash.
+/// Additional wait that is accepted at an endpoint selected only by the prefix's hash, as a
+/// fraction of the cost of processing the prefix again.
 const HASH_PREFERENCE: f64 = 0.25;
 
 /// Cost of processing a shared prefix again, as a multiple of the time that it takes the
@@ -60,15 +60,14 @@
 
 /// Additional cost of processing one token of a shared prefix again, in milliseconds of
 /// waiting, for any model. A small model processes tokens ten times faster than the
-/// largest, so that with time as the only cost six in ten of its requests left the
-/// endpoints that hold their prefix, and each evicted other prefixes from an endpoint's
-/// memory.
+/// largest. With time as the only cost, six in ten of its requests left the endpoints that
+/// hold their prefix, and each evicted other prefixes from an endpoint's memory.
 const REPROCESSING_TOKEN_MS: f64 = 0.05;
 
 /// Cost of copying one token of a shared prefix from its holder, in milliseconds of
 /// waiting. The copy itself takes a twelfth of the largest model's prompt processing. The
-/// rest accounts for the transferred bytes, at about two thirds of the cost per token
-/// above.
+/// rest accounts for the transferred bytes, at about two thirds of
+/// [`REPROCESSING_TOKEN_MS`].
 const COPY_TOKEN_MS: f64 = 0.035;
 
 /// State of an endpoint as input to the decision.
@@ -126,12 +125,12 @@
 
 /// Chooses an endpoint, or returns `None` if there is no candidate.
 ///
-/// `tie` is a random number that selects the endpoints to compare.
+/// `seed` is a random number that determines which endpoints are compared.
 #[must_use]
-pub fn choose(candidates: &[Candidate<'_>], request: Request, tie: u64) -> Option<Choice> {
+pub fn choose(candidates: &[Candidate<'_>], request: Request, seed: u64) -> Option<Choice> {
     let with_wait = |index: usize| (index, wait_ms(&candidates[index], request));
     let (best_index, wait_ms) =
-        shortlist(candidates, request, tie).into_iter().map(with_wait).min_by(|a, b| a.1.total_cmp(&b.1))?;
+        shortlist(candidates, request, seed).into_iter().map(with_wait).min_by(|a, b| a.1.total_cmp(&b.1))?;
     let other = Choice { index: best_index, wait_ms, preferred: false, source: None };
     let least_busy = |is_holder: fn(&Candidate<'_>) -> bool| {
         let holders = (0..candidates.len()).filter(|&index| is_holder(&candidates[index])).map(with_wait);
@@ -160,9 +159,9 @@
 
 /// Draws local endpoints and endpoints of any domain at random, and returns the few with
 /// the shortest wait by up-to-date information.
-fn shortlist(candidates: &[Candidate<'_>], request: Request, tie: u64) -> Vec<usize> {
+fn shortlist(candidates: &[Candidate<'_>], request: Request, seed: u64) -> Vec<usize> {
     let local_indices: Vec<usize> = (0..candidates.len()).filter(|&index| candidates[index].local).collect();
-    let draw = hash::stable(&tie.to_le_bytes());
+    let draw = hash::stable(&seed.to_le_bytes());
     let of_all = draw_indices(candidates.len(), draw.rotate_left(32));
     let mut of_local = draw_indices(local_indices.len(), draw).map(|place| local_indices[place]);
     let mut drawn: Vec<usize> = Vec::with_capacity(2 * DRAWN_PER_GROUP);
@@ -183,14 +182,14 @@
         + candidate.excess_failure_rate * FAILURE_PENALTY_MS
 }
 
-/// Draws up to `wanted` different indices below `count` that fit, by the random number
-/// `draw`.
+/// Draws up to `wanted` different indices below `count` for which `fits` returns true.
+/// `draw` is a random number.
 ///
 /// Examines at most a few times as many indices as are wanted, whatever the count. If few
 /// fit, fewer are returned.
 pub fn sample(count: usize, wanted: usize, draw: u64, mut fits: impl FnMut(usize) -> bool) -> Vec<usize> {
-    const LOOKS_PER_WANTED: usize = 4;
-    let places = permuted_indices(count, draw).take((LOOKS_PER_WANTED * wanted).min(count));
+    const EXAMINED_PER_WANTED: usize = 4;
+    let places = permuted_indices(count, draw).take((EXAMINED_PER_WANTED * wanted).min(count));
     places.filter(|place| fits(*place)).take(wanted).collect()
 }
 
--- a/crates/route/src/relay/quarantine.rs
+++ b/crates/route/src/relay/quarantine.rs
@@ -15,7 +15,8 @@
 
 use super::content::Content;
 
-/// Number of endpoints that must crash under a request before it is refused.
+/// Number of crashes of different endpoint processes while they run a request, after which
+/// it is refused.
 pub const CRASH_LIMIT: usize = 3;
 
 /// Time for which a request is refused after its last crash. The endpoints may have been
@@ -93,7 +94,7 @@
 /// State of one request.
 #[derive(Debug, Clone)]
 struct Record {
-    /// Distinct endpoint starts that crashed under it, at most [`CRASH_LIMIT`].
+    /// Distinct endpoint processes that crashed while they ran it, at most [`CRASH_LIMIT`].
     starts: Vec<u32>,
     /// Whether it is refused, or on probation after a refusal.
     held: bool,
@@ -119,27 +120,28 @@
         self.records.get(&content)?.refusal_left(now)
     }
 
-    /// Returns whether an endpoint crashed under a request that has not completed since.
+    /// Returns whether an endpoint crashed while it ran the request and the request has not
+    /// completed since.
     #[must_use]
     pub fn is_suspect(&self, now: Duration, content: Content) -> bool {
         self.suspect(now, content).is_some()
     }
 
-    /// Returns whether a crash under a run sent at `sent` is new evidence. A run that was
-    /// already active at the last counted crash may have been hit by the same cause.
+    /// Returns whether a crash that ended a run sent at `sent` is new evidence. A run that
+    /// was already active at the last counted crash may have been hit by the same cause.
     #[must_use]
     pub fn is_new_evidence(&self, now: Duration, content: Content, sent: Duration) -> bool {
         self.suspect(now, content).is_none_or(|record| sent > record.last)
     }
 
-    /// Returns at most `most` refused requests, the ones with the latest crash first.
+    /// Returns at most `limit` refused requests, the ones with the latest crash first.
     #[must_use]
-    pub fn refused(&self, now: Duration, most: usize) -> Vec<Finding> {
+    pub fn refused(&self, now: Duration, limit: usize) -> Vec<Finding> {
         let mut held: Vec<_> = self.records.iter().filter(|(_, record)| record.refusal_left(now).is_some()).collect();
         held.sort_by_key(|(_, record)| std::cmp::Reverse(record.last));
         let finding =
             |(content, record): (&Content, &Record)| Finding::Held { content: *content, age: record.age(now) };
-        held.into_iter().take(most).map(finding).collect()
+        held.into_iter().take(limit).map(finding).collect()
     }
 
     /// Returns the number of records.
--- a/crates/route/src/relay/throttle.rs
+++ b/crates/route/src/relay/throttle.rs
@@ -7,9 +7,9 @@
 //! instances, selected by rendezvous hashing, share the limit evenly, and the others send
 //! nothing while it is in force.
 //!
-//! A sender's tokens accrue evenly and few can be saved: one if there are as many senders
-//! as allowed. Over any window an endpoint thus gets its part of the limit and at most one
-//! request more for each sender that is allowed.
+//! A sender's tokens accrue at a constant rate and only a few can be saved: one if there
+//! are as many senders as allowed. Over any window an endpoint thus gets at most its limit
+//! plus one request for each sender that is allowed.
 
 use std::time::Duration;
 
@@ -19,9 +19,10 @@
 /// the membership.
 const USABLE_FRACTION: f64 = 0.9;
 
-/// Number of senders to an endpoint in addition to one for each request per second that it
-/// accepts, and so the number of tokens that all senders may have saved. More senders would
-/// send more requests at once than an endpoint with a small limit can take.
+/// Number of senders allowed to an endpoint in addition to one for each request per second
+/// that it accepts. All senders together can save as many tokens as senders are allowed.
+/// More senders would send more requests at once than an endpoint with a small limit can
+/// take.
 const MIN_SENDERS: usize = 4;
 
 /// Time after the endpoint's last announcement at which its limit expires.
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Outcome of the last failed attempt.
+/// Kind of failure of the last attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// The request certainly did not run.
@@ -183,7 +183,7 @@
     if request.repeat == Repeat::Never {
         return Hedge::Never(Reason::NotRepeatable);
     }
-    if request.tries >= policy.max_tries.min(MAX_PARALLEL_DISPATCHES) {
+    if request.tries >= policy.max_tries.min(MAX_DISPATCHES_WITH_HEDGE) {
         return Hedge::Never(Reason::Tries);
     }
     let latest = Timestamp(request.deadline.0.saturating_sub(request.expected_ms));
@@ -200,9 +200,9 @@
     Hedge::Dispatch
 }
 
-/// Maximum number of dispatches of a request for it to be hedged.
-const MAX_PARALLEL_DISPATCHES: u32 = 2;
+/// Number of dispatches, retries included, at which a request is no longer hedged.
+const MAX_DISPATCHES_WITH_HEDGE: u32 = 2;
 
-/// Divisor of the expected duration of a dispatch; the quotient is the margin before
-/// the latest possible time of a hedge.
+/// Divisor of the expected duration of a dispatch that gives the time by which a hedge
+/// precedes its latest possible time.
 const HEDGE_MARGIN_DIVISOR: Millis = 4;
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -40,7 +40,8 @@
         Self(id.hash())
     }
 
-    /// Returns the position of the unit for a version, from 0 to 1.
+    /// Returns a uniformly distributed number from 0 to 1, determined by the unit and a
+    /// version.
     fn fraction(self, version: &Version) -> f64 {
         let salted = hash::rendezvous(self.0, version.model.as_str().as_bytes());
         let mixed = hash::rendezvous(salted, version.number.as_str().as_bytes());
@@ -182,8 +183,8 @@
 
 /// Returns the share of a step as limited by a contract.
 fn capped_share(share: f64, contract: &Contract) -> f64 {
-    // Customers with the objective exposure are exposed late: the square of the
-    // share is close to 0 at the first steps and 1 at the last.
+    // Customers with `Objective::Exposure` are exposed late: the square of the share is
+    // close to 0 at the first steps and 1 at the last.
     let share = if contract.objective == Objective::Exposure { share * share } else { share };
     share.min(contract.exposure.new_version_share)
 }
@@ -214,7 +215,7 @@
 /// Progress of a roll-out in its current state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
-    /// Time since the current step was seen in force, in milliseconds.
+    /// Time since the current step was first observed to be in force, in milliseconds.
     pub at_step_ms: Millis,
     /// Number of endpoints that have the version loaded.
     pub loaded: usize,
--- a/crates/route/tests/address.rs
+++ b/crates/route/tests/address.rs
@@ -114,13 +114,13 @@
     let first = address::list(&policy, &instances, &asked).instances[0].clone();
     assert_eq!(first.domain, domain);
 
-    let place = instances.iter().position(|instance| instance.id == first.id).unwrap();
-    instances[place].state = State::Leaving;
+    let position = instances.iter().position(|instance| instance.id == first.id).unwrap();
+    instances[position].state = State::Leaving;
     let list = address::list(&policy, &instances, &asked);
     assert!(list.instances.iter().all(|instance| instance.id != first.id));
     assert_eq!(list.instances[0].domain, domain, "the domain's other instance takes its place");
 
-    instances[place].state = State::Suspect;
+    instances[position].state = State::Suspect;
     let list = address::list(&policy, &instances, &asked);
     assert_eq!(list.instances.last().unwrap().id, first.id, "a suspect instance is last");
     assert_eq!(list.keep_ms, policy.suspect_keep_ms);
--- a/crates/route/tests/endpoint.rs
+++ b/crates/route/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! Choice of the endpoint for a run, and which endpoints are excluded.
+//! Choice of an endpoint for a run, exclusion of endpoints, and subsets.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -149,15 +149,15 @@
     assert_eq!(share(&fleet, back.plus(19_999)), 0);
 }
 
-/// An endpoint answers ten times slower than the others, so that callers miss deadlines
-/// without an error. It is ejected and tried again later.
+/// An endpoint answers ten times slower than the others, so that answers miss their
+/// deadlines without an error. It must be ejected and tried again later.
 #[test]
 fn a_very_slow_endpoint_is_ejected() {
     let mut fleet = fleet(1, 6);
     let keys: Vec<_> = fleet.endpoints().map(|(key, _)| key).collect();
     for _ in 0..20 {
-        for (place, key) in keys.iter().enumerate() {
-            let millis = if place == 0 { 20_000 } else { 2_000 };
+        for (index, key) in keys.iter().enumerate() {
+            let millis = if index == 0 { 20_000 } else { 2_000 };
             fleet.handle(Event::Dispatched(*key), NOW);
             fleet.handle(Event::Finished { key: *key, target: &target(), millis, tokens: 100 }, NOW);
         }
@@ -310,7 +310,7 @@
     prop_oneof![
         6 => (0..8u64, any::<u64>(), 0..8usize).prop_map(|(prefix, draw, avoid)| Action::Choose { prefix, draw, avoid }),
         3 => (0..8usize, 1..60_000u64).prop_map(|(endpoint, millis)| Action::Finish(endpoint, millis)),
-        3 => (0..8usize, 0..4u8).prop_map(|(endpoint, how)| Action::Fail(endpoint, how)),
+        3 => (0..8usize, 0..4u8).prop_map(|(endpoint, kind)| Action::Fail(endpoint, kind)),
         2 => (0..8usize, 0..20_000u64, 0..100u32)
             .prop_map(|(endpoint, age_ms, running)| Action::Report { endpoint, age_ms, running }),
         1 => (0..8usize, any::<bool>()).prop_map(|(endpoint, leaving)| Action::Leaving(endpoint, leaving)),
@@ -352,22 +352,22 @@
                         }
                     }
                 }
-                Action::Finish(place, millis) => {
-                    fleet.handle(Event::Finished { key: all[place].0, target: &target, millis, tokens: 10 }, now);
+                Action::Finish(index, millis) => {
+                    fleet.handle(Event::Finished { key: all[index].0, target: &target, millis, tokens: 10 }, now);
                 }
-                Action::Fail(place, how) => {
-                    let failure = failures[usize::from(how)];
-                    fleet.handle(Event::Failed { key: all[place].0, target: &target, failure }, now);
+                Action::Fail(index, kind) => {
+                    let failure = failures[usize::from(kind)];
+                    fleet.handle(Event::Failed { key: all[index].0, target: &target, failure }, now);
                 }
                 Action::Report { endpoint, age_ms, running } => {
                     let as_of = Timestamp(now.0 - age_ms.min(now.0));
                     let report = Report { as_of, running, queued: 0, slots: 16, loaded: None };
                     fleet.handle(Event::Load { endpoint: &all[endpoint].1, report }, now);
                 }
-                Action::Leaving(place, is) => {
-                    let (key, endpoint) = &all[place];
-                    fleet.handle(Event::Leaving { endpoint, leaving: is }, now);
-                    if is { leaving.insert(*key) } else { leaving.remove(key) };
+                Action::Leaving(index, is_leaving) => {
+                    let (key, endpoint) = &all[index];
+                    fleet.handle(Event::Leaving { endpoint, leaving: is_leaving }, now);
+                    if is_leaving { leaving.insert(*key) } else { leaving.remove(key) };
                 }
                 Action::Pass(millis) => now = now.plus(millis),
             }
--- a/crates/route/tests/guard.rs
+++ b/crates/route/tests/guard.rs
@@ -20,8 +20,8 @@
 }
 
 /// Adds an answer to a random arm at the share of a step. Returns true if it is an
-/// answer of the new version that failed its rating: only then the evidence against
-/// the version grows.
+/// answer of the new version that failed its rating, because the evidence against the
+/// version grows only then.
 fn add_random_answer(
     random: &mut ChaCha8Rng,
     evidence: &mut Evidence,
@@ -91,6 +91,7 @@
 }
 
 power_tests! {
+    // The percentages are shares of the otherwise passing answers that fail on the new version.
     stops_a_version_with_30_percent_more_failed_ratings: 0.05 to 0.335, half within 60;
     stops_a_version_with_10_percent_more_failed_ratings: 0.05 to 0.145, half within 330;
     stops_a_version_with_3_percent_more_failed_ratings: 0.05 to 0.0785, half within 2_500;
--- a/crates/route/tests/properties.rs
+++ b/crates/route/tests/properties.rs
@@ -177,7 +177,7 @@
         quality
     }
 
-    fn most_cost(&self, catalog: &Catalog, version: &Version) -> Amount {
+    fn max_cost(&self, catalog: &Catalog, version: &Version) -> Amount {
         let release = catalog.release(version).expect("the catalog contains the version");
         let tokens = self.max_tokens.unwrap_or(u32::MAX).min(release.max_output);
         release.price.cost(PROMPT.into(), tokens.into())
@@ -204,9 +204,9 @@
         Standing::Serving => true,
         Standing::Exposed { share, .. } => {
             let exposure_objective = OBJECTIVES[case.objective] == "exposure";
-            let most =
+            let max_share =
                 (if exposure_objective { share * share } else { share }).min(contract.exposure.new_version_share);
-            pinned || (most > 0.0 && rollout::is_exposed(catalog, stops, contract, at, Unit(case.unit)))
+            pinned || (max_share > 0.0 && rollout::is_exposed(catalog, stops, contract, at, Unit(case.unit)))
         }
         Standing::Held { .. } => pinned,
         Standing::Withdrawn | Standing::Unknown => false,
@@ -288,11 +288,11 @@
             prop_assert!(step.is_none_or(|step| *step.version() == pin.version), "moved away from its pin {}", pin.version);
         }
 
-        let most = steps.iter().fold(Amount::ZERO, |sum, step| sum.saturating_add(case.most_cost(&catalog, step)));
-        prop_assert_eq!(choice.ceiling(), most);
-        prop_assert!(most <= Amount(case.ceiling));
-        let least: f64 = steps.iter().map(|step| quality.speed(cell, step, NOW).least_ms()).sum();
-        prop_assert!(least <= f64::from(u32::try_from(case.left_ms).expect("less than a minute")));
+        let max_cost = steps.iter().fold(Amount::ZERO, |sum, step| sum.saturating_add(case.max_cost(&catalog, step)));
+        prop_assert_eq!(choice.ceiling(), max_cost);
+        prop_assert!(max_cost <= Amount(case.ceiling));
+        let min_ms: f64 = steps.iter().map(|step| quality.speed(cell, step, NOW).least_ms()).sum();
+        prop_assert!(min_ms <= f64::from(u32::try_from(case.left_ms).expect("less than a minute")));
 
         let reason = choice.reason();
         prop_assert!((0.0..=1.0).contains(&reason.quality.mean) && reason.quality.deviation.is_finite());
--- a/crates/route/tests/relay/allowance.rs
+++ b/crates/route/tests/relay/allowance.rs
@@ -1,4 +1,4 @@
-//! Retries stay within their bound whatever fails.
+//! Bound on retries over the whole fleet and at one instance.
 
 use std::time::Duration;
 
--- a/crates/route/tests/relay/canary.rs
+++ b/crates/route/tests/relay/canary.rs
@@ -4,7 +4,7 @@
 
 use route::relay::canary::{Lateness, Stage, Tally, is_in_trial_group, is_regression, next_stage, uses_new_version};
 
-const OVER: Duration = Duration::from_secs(24);
+const TOTAL: Duration = Duration::from_secs(24);
 const GOOD: Tally = tally(60, 2);
 const BAD: Tally = tally(30, 12);
 const OLD: Tally = tally(600, 20);
@@ -18,7 +18,7 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            assert_eq!(next_stage($from, Duration::from_secs($seconds), OVER, $new, OLD), $to);
+            assert_eq!(next_stage($from, Duration::from_secs($seconds), TOTAL, $new, OLD), $to);
         }
     )*};
 }
@@ -60,8 +60,8 @@
 /// A bad version that is never detected stays within its share of sessions.
 #[test]
 fn trial_share_stays_far_below_the_exposure_limit() {
-    let met = (0..10_000).filter(|&session| is_in_trial_group(session, 0.15)).count();
-    assert!((400..800).contains(&met), "{met}");
+    let selected = (0..10_000).filter(|&session| is_in_trial_group(session, 0.15)).count();
+    assert!((400..800).contains(&selected), "{selected}");
 }
 
 macro_rules! assignments {
@@ -79,7 +79,7 @@
     new_session_uses_the_version_on_trial: Stage::Trial, 3_000, settled false => true;
     // The session's last request, a second ago, was answered by the old version.
     active_session_stays_on_the_old_version: Stage::Trial, 3_000, settled true => false;
-    // Other instances may know of requests that this one has not been told of yet.
+    // Other instances may have sent requests that this one has not been notified of yet.
     no_session_uses_it_before_sessions_are_exchanged: Stage::Trial, 500, settled false => false;
     all_sessions_move_after_the_trial: Stage::Shift, 16_000, settled true => true;
     no_session_uses_a_reverted_version: Stage::Reverted, 16_000, settled false => false;
--- a/crates/route/tests/relay/content.rs
+++ b/crates/route/tests/relay/content.rs
@@ -1,4 +1,4 @@
-//! Which requests have the same content identity.
+//! Equality of the content identities of requests.
 
 use route::relay::content::Content;
 
--- a/crates/route/tests/relay/patience.rs
+++ b/crates/route/tests/relay/first_byte_timeout.rs
@@ -1,4 +1,4 @@
-//! The timeout after which a run without a first byte is replaced by another one.
+//! Timeout for the first byte of a run, after which another run is tried.
 
 use std::time::Duration;
 
--- a/crates/route/tests/relay/freshness.rs
+++ b/crates/route/tests/relay/freshness.rs
@@ -11,13 +11,13 @@
 }
 
 macro_rules! lease_cases {
-    ($($(#[$doc:meta])* $name:ident: $proof:expr, at $now:expr => $holds:expr;)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $proof:expr, at $now:expr => $is_valid:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
             let mut lease = Lease::new(Some(BOUND));
             lease.renew(at(10_000), $proof);
-            assert_eq!(lease.is_valid(at($now)), $holds);
+            assert_eq!(lease.is_valid(at($now)), $is_valid);
         }
     )*};
 }
@@ -73,26 +73,26 @@
 
 /// Checks whether the catalog in force may be used at `now`, after announcements of
 /// versions at given times and the installation of one version.
-fn check_succession(announced: &[(u64, u64)], installed: u64, now: u64, holds: bool) {
+fn check_announced_catalogs(announced: &[(u64, u64)], installed: u64, now: u64, is_valid: bool) {
     let mut announced_catalogs = AnnouncedCatalogs::new(Some(BOUND));
     for (version, announced_at) in announced {
         announced_catalogs.announce(*version, at(*announced_at));
     }
     announced_catalogs.install(installed);
-    assert_eq!(announced_catalogs.is_valid(at(now)), holds);
+    assert_eq!(announced_catalogs.is_valid(at(now)), is_valid);
 }
 
-macro_rules! successions {
-    ($($(#[$doc:meta])* $name:ident: $announced:expr, installed $installed:expr, at $now:expr => $holds:expr;)*) => {$(
+macro_rules! announcement_cases {
+    ($($(#[$doc:meta])* $name:ident: $announced:expr, installed $installed:expr, at $now:expr => $is_valid:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
-            check_succession($announced, $installed, $now, $holds);
+            check_announced_catalogs($announced, $installed, $now, $is_valid);
         }
     )*};
 }
 
-successions! {
+announcement_cases! {
     catalog_is_valid_without_an_announcement: &[], installed 1, at 60_000 => true;
     catalog_is_valid_while_the_newer_one_is_read: &[(2, 10_000)], installed 1, at 14_000 => true;
     // The bound counts from the confirmation, of which this instance was notified later.
--- a/crates/route/tests/relay/fronts.rs
+++ b/crates/route/tests/relay/fronts.rs
@@ -44,9 +44,9 @@
     let answers = answers(&fleet, 500);
     assert_eq!(answers.len(), fleet.len());
     let small = |index: &usize| fleet[*index].cores < LARGE_CORES;
-    let most = answers.iter().filter(|(index, _)| small(index)).map(|(_, count)| *count).max().unwrap();
+    let max_count = answers.iter().filter(|(index, _)| small(index)).map(|(_, count)| *count).max().unwrap();
     let mean = 500 * MAX_LISTED / fleet.len();
-    assert!(most < 2 * mean, "{most} of {mean}");
+    assert!(max_count < 2 * mean, "{max_count} of {mean}");
 }
 
 /// Guards against an instance with four times the processor cores getting no more callers
--- a/crates/route/tests/relay/main.rs
+++ b/crates/route/tests/relay/main.rs
@@ -3,13 +3,13 @@
 mod allowance;
 mod canary;
 mod content;
+mod first_byte_timeout;
 mod freshness;
 mod fronts;
 mod holders;
 mod ladder;
+mod latency;
 mod notice;
-mod pace;
-mod patience;
 mod placement;
 mod quarantine;
 mod throttle;
--- a/crates/route/tests/relay/notice.rs
+++ b/crates/route/tests/relay/notice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use route::relay::notice::{Backlog, Budget, MIN_READING_MS};
+use route::relay::notice::{Backlog, Budget, MIN_PROCESSING_MS};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -33,7 +33,7 @@
 /// when long prompts arrive continuously.
 fn sent_notices(others: usize) -> usize {
     let mut budget = Budget::new(ms(0));
-    (0..10_000).filter(|&at| budget.try_notify(ms(at), MIN_READING_MS, false, others)).count()
+    (0..10_000).filter(|&at| budget.try_notify(ms(at), MIN_PROCESSING_MS, false, others)).count()
 }
 
 /// The number of datagrams that an instance sends for many long prompts must stay bounded
@@ -50,7 +50,7 @@
 #[test]
 fn only_relevant_prompts_are_announced() {
     let mut budget = Budget::new(ms(0));
-    assert!(!budget.try_notify(ms(0), MIN_READING_MS - 1.0, false, 6));
+    assert!(!budget.try_notify(ms(0), MIN_PROCESSING_MS - 1.0, false, 6));
     assert!(
         budget.try_notify(ms(0), 5.0, true, 6),
         "a shared prefix worth caching is announced whatever its processing time"
--- a/crates/route/tests/relay/placement.rs
+++ b/crates/route/tests/relay/placement.rs
@@ -43,16 +43,16 @@
 /// worthwhile and is never processed again.
 #[test]
 fn hot_prefix_spreads_only_as_far_as_worthwhile() {
-    let wanted = Request { affinity: Some(7), reprocess_ms: 150.0, shared_tokens: 5_000, first_byte_ms: 60.0 };
+    let request = Request { affinity: Some(7), reprocess_ms: 150.0, shared_tokens: 5_000, first_byte_ms: 60.0 };
     let mut candidates = idle();
     let mut taken = Vec::new();
     for _ in 0..5 {
-        let choice = choose(&candidates, wanted, 0).unwrap();
+        let choice = choose(&candidates, request, 0).unwrap();
         assert!(!taken.contains(&choice.index));
         assert!(taken.is_empty() || taken.contains(&choice.source.unwrap()));
         candidates[choice.index].holds_prefix = true;
         candidates[choice.index].backlog_ms = 170.0;
-        let stays = choose(&candidates, wanted, 0).unwrap();
+        let stays = choose(&candidates, request, 0).unwrap();
         assert_eq!((stays.index, stays.preferred, stays.source), (choice.index, true, None));
         taken.push(choice.index);
         candidates[choice.index].backlog_ms = 180.0;
@@ -65,16 +65,16 @@
 /// same applies to a prompt without a shared prefix.
 #[test]
 fn request_goes_to_the_holder_of_its_whole_prompt() {
-    let wanted = Request { affinity: Some(7), reprocess_ms: 150.0, shared_tokens: 5_000, first_byte_ms: 300.0 };
-    for wanted in [wanted, Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, ..wanted }] {
+    let request = Request { affinity: Some(7), reprocess_ms: 150.0, shared_tokens: 5_000, first_byte_ms: 300.0 };
+    for request in [request, Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, ..request }] {
         let mut candidates = idle();
         candidates[2].holds_prefix = true;
         candidates[4].holds_prompt = true;
         candidates[4].backlog_ms = 290.0;
-        let choice = choose(&candidates, wanted, 0).unwrap();
+        let choice = choose(&candidates, request, 0).unwrap();
         assert_eq!((choice.index, choice.preferred, choice.source), (4, true, None));
         candidates[4].backlog_ms = 480.0;
-        assert_ne!(choose(&candidates, wanted, 0).unwrap().index, 4);
+        assert_ne!(choose(&candidates, request, 0).unwrap().index, 4);
     }
 }
 
@@ -83,14 +83,14 @@
 /// and half of all shared prefixes would be processed again.
 #[test]
 fn small_model_requests_stay_with_the_prefix_holder() {
-    let wanted = Request { affinity: Some(7), reprocess_ms: 15.0, shared_tokens: 5_000, first_byte_ms: 10.0 };
+    let request = Request { affinity: Some(7), reprocess_ms: 15.0, shared_tokens: 5_000, first_byte_ms: 10.0 };
     let mut candidates = idle();
-    let first = choose(&candidates, wanted, 0).unwrap().index;
+    let first = choose(&candidates, request, 0).unwrap().index;
     candidates[first].holds_prefix = true;
     candidates[first].backlog_ms = 170.0;
-    assert_eq!(choose(&candidates, wanted, 0).unwrap().index, first);
+    assert_eq!(choose(&candidates, request, 0).unwrap().index, first);
     candidates[first].backlog_ms = 180.0;
-    let elsewhere = choose(&candidates, wanted, 0).unwrap();
+    let elsewhere = choose(&candidates, request, 0).unwrap();
     assert!(elsewhere.index != first && elsewhere.source == Some(first));
 }
 
@@ -98,11 +98,11 @@
 /// almost nothing.
 #[test]
 fn short_prefix_does_not_wait_for_its_holder() {
-    let wanted = Request { affinity: Some(7), reprocess_ms: 1.0, shared_tokens: 200, first_byte_ms: 10.0 };
+    let request = Request { affinity: Some(7), reprocess_ms: 1.0, shared_tokens: 200, first_byte_ms: 10.0 };
     let mut candidates = idle();
     candidates[2].holds_prefix = true;
     candidates[2].backlog_ms = 10.0;
-    assert_ne!(choose(&candidates, wanted, 0).unwrap().index, 2);
+    assert_ne!(choose(&candidates, request, 0).unwrap().index, 2);
 }
 
 /// No endpoint holds the prefix yet. The request need not wait for the endpoint that the
@@ -149,7 +149,7 @@
         ..IDLE
     };
     let candidates: Vec<Candidate<'_>> = (0..60).map(candidate).collect();
-    let behind = (0..1_000).filter(|&tie| reads(choose(&candidates, plain, tie).unwrap().index)).count();
+    let behind = (0..1_000).filter(|&seed| reads(choose(&candidates, plain, seed).unwrap().index)).count();
     assert!(behind <= 10, "{behind} of 1000 placed behind a prompt");
 }
 
@@ -159,11 +159,11 @@
         #[test]
         fn $name() {
             let plain = Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, first_byte_ms: 40.0 };
-            for tie in 0..30 {
+            for seed in 0..30 {
                 let mut candidates = idle();
                 let degrade: fn(&mut Candidate<'_>) = $degrade;
                 degrade(&mut candidates[2]);
-                assert_ne!(choose(&candidates, plain, tie).unwrap().index, 2);
+                assert_ne!(choose(&candidates, plain, seed).unwrap().index, 2);
             }
         }
     )*};
@@ -182,8 +182,8 @@
 fn equal_endpoints_share_the_load() {
     let plain = Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, first_byte_ms: 40.0 };
     let mut counts = [0_u32; 6];
-    for tie in 0..600 {
-        counts[choose(&idle(), plain, tie).unwrap().index] += 1;
+    for seed in 0..600 {
+        counts[choose(&idle(), plain, seed).unwrap().index] += 1;
     }
     assert!(counts.iter().all(|&count| (60..150).contains(&count)), "{counts:?}");
 }
@@ -195,13 +195,13 @@
     let names: Vec<String> = (0..60).map(|n| format!("e{n}")).collect();
     let plain = Request { affinity: None, reprocess_ms: 0.0, shared_tokens: 0, first_byte_ms: 40.0 };
     let mut placed = [0_u32; 60];
-    for tie in 0..740 {
+    for seed in 0..740 {
         // Instances of four failure domains in turn.
-        let local = |n: usize| n % 4 == usize::try_from(tie % 4).unwrap();
+        let local = |n: usize| n % 4 == usize::try_from(seed % 4).unwrap();
         let runs = |n: usize| if n == 17 { 0.0 } else { 5.0 };
         let candidates: Vec<Candidate<'_>> =
             (0..60).map(|n| Candidate { id: &names[n], local: local(n), runs: runs(n), ..IDLE }).collect();
-        placed[choose(&candidates, plain, tie).unwrap().index] += 1;
+        placed[choose(&candidates, plain, seed).unwrap().index] += 1;
     }
     // 740 requests on 60 endpoints: about 12 each, and at most a few times that.
     assert!(placed.iter().all(|&count| count <= 60), "{placed:?}");
--- a/crates/route/tests/relay/quarantine.rs
+++ b/crates/route/tests/relay/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused because endpoints crash under them.
+//! Refusal of requests that crash the endpoints that run them.
 
 use std::time::Duration;
 
--- a/crates/route/tests/retry.rs
+++ b/crates/route/tests/retry.rs
@@ -97,11 +97,11 @@
         let policy = Policy::default();
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut budget = Budget::new(&policy);
-        for (idempotent, kind, asked, tries, now, expected_ms) in steps {
+        for (idempotent, kind, requested_ms, tries, now, expected_ms) in steps {
             let repeat = if idempotent { Repeat::Idempotent } else { Repeat::Never };
             let failure = match kind {
                 0 => NOT_RUN,
-                1 => Failure::NotRun { retry_after: Some(asked) },
+                1 => Failure::NotRun { retry_after: Some(requested_ms) },
                 _ => Failure::MayHaveRun,
             };
             let request = Request { repeat, tries, deadline: Timestamp(10_000), expected_ms };
@@ -110,7 +110,7 @@
             if let Decision::Retry { after_ms } = decision {
                 prop_assert!(idempotent || failure != Failure::MayHaveRun);
                 prop_assert!(now + after_ms + expected_ms <= 10_000);
-                prop_assert!(kind != 1 || after_ms >= asked);
+                prop_assert!(kind != 1 || after_ms >= requested_ms);
                 prop_assert!((before - budget.remaining() - 1.0).abs() < 1e-9);
             } else {
                 prop_assert!((before - budget.remaining()).abs() < 1e-9, "a refusal costs nothing");
