--- a/crates/route/src/model/reason.rs
+++ b/crates/route/src/model/reason.rs
@@ -7,7 +7,7 @@
 
 use crate::quality::Estimate;
 
-/// Reason why a ladder was chosen; printed by `explain`.
+/// Reason why a ladder was chosen; printed by `arbutuslug explain`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Reason {
     /// Configuration generation that the choice was made under.
