--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -2,9 +2,9 @@
 //!
 //! It covers the catalog and access keys ([`Dispatcher::is_fresh`], [`Dispatcher::is_catalog_valid`]),
 //! endpoints and their loads ([`fleet`]), other instances ([`peers`]), roll-outs
-//! ([`rollouts`]) and requests that crash endpoints (`crashes`). Every piece of
-//! state has a source and an age; [`synchronization`] synchronizes the state with the
-//! store through other instances.
+//! ([`rollouts`]) and requests that crash endpoints (`crashes`). [`synchronization`]
+//! keeps the state current through other instances, so that few instances have to watch
+//! the store.
 //!
 //! One thread runs all tasks and the lock is never held across an await, so
 //! locking never blocks; the lock only lets tasks share the state without
@@ -43,7 +43,8 @@
     source::{Kind, Progress},
 };
 
-/// Share of the grace period in which callers may not know yet that the instance leaves.
+/// Share of the grace period, from its start, in which callers may not know yet that the
+/// instance leaves.
 const LEAVE_UNNOTICED_SHARE: f64 = 0.3;
 
 /// Share of the grace period by which requests must have ended; the rest is for the process to
@@ -58,7 +59,8 @@
 /// milliseconds; without this wait 413 requests were refused in one second.
 const MAX_STARTUP_WAIT: Duration = Duration::from_millis(500);
 
-/// Time after the start in which an instance waits for the first message of a seed.
+/// Time after the start in which an instance waits for the first message of a seed, an
+/// instance whose address the settings list.
 /// Machines that start together are up within 300 ms of each other.
 const SEED_WAIT: Duration = Duration::from_millis(700);
 
@@ -73,7 +75,8 @@
     created_at: Duration,
     /// Signals progress of the start-up, which early requests wait for.
     startup_progressed: Notify,
-    /// Signals that news must be sent without waiting for the next round.
+    /// Signals that news must be sent to other instances at once instead of at the next
+    /// regular time.
     urgent_news: Notify,
     /// Signals that notices of long prompts are ready to send.
     notices_ready: Notify,
@@ -83,7 +86,8 @@
     quarantine_changes_ready: Notify,
     /// Signals that updates of endpoints' rate limits are ready to send.
     limits_ready: Notify,
-    /// Signals that an instance has become alive, for the first time or again.
+    /// Signals that another instance has become alive, for the first time or again, and
+    /// should be sent news at once.
     peers_to_greet: Notify,
     /// Signals that the catalog must be read again.
     catalog_wanted: Notify,
@@ -98,7 +102,9 @@
 #[derive(Debug)]
 struct State {
     catalog: Option<Arc<Catalog>>,
+    /// Lease on the access keys in the catalog.
     lease: Lease,
+    /// Limits on retries and escalations, by service.
     allowances: HashMap<String, Allowance>,
     fleet: fleet::Fleet,
     notices: fleet::Notices,
@@ -222,7 +228,8 @@
         Arc::clone(&self.catalog_progress)
     }
 
-    /// Renews the lease on access keys by a proof that was requested at `asked`.
+    /// Renews the lease on access keys with an answer of the store that proves them current.
+    /// The store was asked for it at `requested_at`.
     pub fn renew(&self, asked: Duration, proof: Proof) {
         self.lock().lease.renew(asked, proof);
     }
@@ -381,12 +388,13 @@
         self.urgent_news.notify_one();
     }
 
-    /// Waits until there is news that must be sent without waiting for the next round.
+    /// Waits until there is news that must be sent at once instead of at the next regular time.
     pub async fn wait_for_urgent_news(&self) {
         self.urgent_news.notified().await;
     }
 
-    /// Credits the service's allowance for a request's first dispatch.
+    /// Records a request's first dispatch, which increases the service's allowance for extra
+    /// ones.
     pub fn record_first_dispatch(&self, service: &str) {
         self.with_allowance(service, |allowance, _| allowance.record_first_dispatch(clock::now()));
     }
@@ -401,6 +409,7 @@
         self.with_allowance(service, |allowance, members| allowance.remaining(clock::now(), members, purpose) >= 1.0)
     }
 
+    /// Calls `apply` with the service's allowance and the number of live instances.
     fn with_allowance<T>(&self, service: &str, apply: impl FnOnce(&mut Allowance, usize) -> T) -> T {
         let mut state = self.lock();
         let members = state.update_peer_loads(clock::now()) + 1;
--- a/crates/relay/src/dispatcher/crashes.rs
+++ b/crates/relay/src/dispatcher/crashes.rs
@@ -11,9 +11,9 @@
 use super::{Dispatcher, State, fleet::Key};
 use crate::{clock, quarantine::Change, source::Refused};
 
-/// Time for which an abandoned run still counts as running at its endpoint. After an
-/// answer was dropped or a caller disconnected, the endpoint takes a moment to notice
-/// and may crash meanwhile.
+/// Time for which an abandoned run still counts as running at its endpoint. After this
+/// instance drops an answer or the caller disconnects, the endpoint takes a moment to notice,
+/// and the run may crash it meanwhile.
 const UNFINISHED_RUN_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Maximum number of unfinished runs kept for an endpoint. A run that crashes it at once
@@ -84,7 +84,7 @@
     fn record_finding(&mut self, finding: Finding, now: Duration) {
         let effect = self.apply_finding(finding, now);
         if effect != Effect::None {
-            tracing::info!(content = %finding.content(), ?finding, ?effect, "finding about a request");
+            tracing::info!(content = %finding.content(), ?finding, ?effect, "finding about a request recorded");
         }
         if effect != Effect::None && self.findings.len() < MAX_UNSENT_FINDINGS {
             self.findings.push(finding);
@@ -121,8 +121,8 @@
                 metrics::counter!("relay_quarantined_total").increment(1);
             }
             Effect::Released => tracing::info!(%content, "request released from quarantine after a success"),
-            // At debug level: each instance receives a finding for every run that a mass
-            // crash interrupts.
+            // At debug level: when many endpoints crash together, each instance receives a
+            // finding for every run that was interrupted.
             Effect::Counted | Effect::Cleared => tracing::debug!(%content, ?finding, "finding about request applied"),
             Effect::None | Effect::Disproved => {}
         }
@@ -159,11 +159,12 @@
         let mut state = self.lock();
         for finding in findings {
             let effect = state.apply_finding(finding, now);
+            // The sender does not know that the request has succeeded since.
             if effect == Effect::Disproved && state.findings.len() < MAX_UNSENT_FINDINGS {
                 state.findings.push(Finding::EndedWell { content: finding.content() });
             }
-            // The instance that found the last crash may lack the findings before it, and
-            // so not know that the request is quarantined now.
+            // The instance that found the last crash may have missed earlier findings and so
+            // not know that the request is quarantined now. The leader writes it to the store.
             if leads && effect == Effect::Held && matches!(finding, Finding::Crash { .. }) {
                 state.queue_finding_change(finding, effect);
             }
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Returns up to `most` quarantined requests, the latest first, for instances that
+    /// Returns up to `max` quarantined requests, the latest first, for instances that
     /// missed the findings.
     #[must_use]
     pub fn refused_requests(&self, most: usize) -> Vec<Finding> {
@@ -242,8 +243,9 @@
     }
 }
 
-/// Returns the wall-clock time. It only has to compare ages of minutes, across restarts
-/// and machines.
+/// Returns the wall-clock time in milliseconds since the Unix epoch. Only ages of minutes
+/// are computed from it, across restarts and machines, so small clock differences are
+/// harmless.
 fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
--- a/crates/relay/src/dispatcher/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -46,15 +46,16 @@
     pub struct Key;
 }
 
-/// Minimum number of runs added to the load of an endpoint that was full a moment ago; an
-/// endpoint with more slots gets as many runs as slots.
+/// Minimum number of runs added to the load of an endpoint that was full a moment ago. An
+/// endpoint with more slots than this gets the number of its slots added.
 const MIN_FULL_RUNS: f64 = 2.0;
 
 /// Initial estimate of the time to read a prompt token in the largest model, in
 /// milliseconds.
 const INITIAL_TOKEN_MS: f64 = 0.03;
 
-/// Initial estimate of the time to the first byte without reading, in milliseconds.
+/// Initial estimate of the time to the first byte excluding the reading of the prompt, in
+/// milliseconds.
 const INITIAL_BASE_MS: f64 = 15.0;
 
 /// Initial estimate of the time to the first byte of a call without a model, in milliseconds.
@@ -76,9 +77,10 @@
     /// Pools of endpoints by service.
     pools: HashMap<String, pool::Pool>,
     latencies: HashMap<LatencyKey, latency::Estimate>,
-    /// Mean ratio of actual to expected time to the first byte, by service.
+    /// Mean ratio of actual to nominal time to the first byte, by service. The nominal time is
+    /// the expected time if no endpoint were late.
     usual_lateness: HashMap<String, f64>,
-    /// Endpoints whose prompt caches hold a part.
+    /// Endpoints that cache each prompt part.
     holders: Prefixes,
     limited: limits::LimitedEndpoints,
 }
@@ -106,7 +108,7 @@
     peer_load: Load,
     /// Prompt reading that notices of other instances announced.
     announced_backlog: Backlog,
-    /// Ratio of actual to expected time to the first byte, relative to the service's mean.
+    /// Ratio of actual to nominal time to the first byte, relative to the service's mean.
     slowness: DecayingMean,
     /// Share of runs that failed.
     failure_rate: DecayingMean,
--- a/crates/relay/src/dispatcher/fleet/caches.rs
+++ b/crates/relay/src/dispatcher/fleet/caches.rs
@@ -1,4 +1,5 @@
-//! Contents of the engines' prompt caches, as the engines list them.
+//! Contents of the engines' prompt caches, as the engines list them. An engine is an endpoint
+//! of a service with prompt caches.
 //!
 //! If all instances restart at once, they lose the record of which engine caches which
 //! part of a prompt. Some hundred callers then resume their streams within milliseconds,
--- a/crates/relay/src/dispatcher/fleet/limits.rs
+++ b/crates/relay/src/dispatcher/fleet/limits.rs
@@ -55,7 +55,7 @@
 }
 
 impl Run {
-    /// Records what the endpoint said about its limit, and queues a change for the other instances.
+    /// Records what the endpoint announced about its limit, and queues a change for the other instances.
     pub fn record_limit(&self, announced: Announcement) {
         let now = clock::now();
         let announcement = match announced {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns up to `most` recent updates of limits, drawn at random, for instances that missed them.
+    /// Returns up to `max` recent updates of limits, drawn at random, for instances that missed them.
     #[must_use]
     pub fn recent_limits(&self, most: usize) -> Vec<Limit> {
         let now = clock::now();
@@ -179,7 +179,7 @@
 }
 
 impl Server {
-    /// Whether the endpoint announces a limit or has ended one recently.
+    /// Whether the endpoint has a limit, or announced recently that it no longer has one.
     fn is_limited(&self, now: Duration) -> bool {
         self.throttle.limit(now).is_some()
             || self.throttle.last_announcement().is_some_and(|announcement| now < announcement.at + MAX_REPEATED_AGE)
--- a/crates/relay/src/dispatcher/fleet/notices.rs
+++ b/crates/relay/src/dispatcher/fleet/notices.rs
@@ -45,8 +45,8 @@
 }
 
 impl State {
-    /// Queues a notice of a prompt if it is long enough and the budget allows, and returns
-    /// whether it did.
+    /// Records that an endpoint will cache a prompt's shared part if that is long enough, and
+    /// queues a notice of the prompt if the budget allows. Returns whether a notice was queued.
     pub(super) fn queue_notice(&mut self, key: Key, job: &Job<'_>, reading_ms: f64, now: Duration) -> bool {
         self.update_peer_loads(now);
         let fanout = self.peers.fanout();
--- a/crates/relay/src/dispatcher/fleet/pool.rs
+++ b/crates/relay/src/dispatcher/fleet/pool.rs
@@ -2,8 +2,8 @@
 //!
 //! With ten thousand endpoints, examining all of them took a millisecond for each decision,
 //! and a request needs several decisions. A decision compares only a few endpoints drawn
-//! at random and those that cache the request's prompt. All endpoints matter only for
-//! means, which may be slightly out of date.
+//! at random and those that cache the request's prompt. Only the means over a service's
+//! endpoints need all of them, and those may be slightly out of date.
 
 use std::time::Duration;
 
@@ -64,10 +64,10 @@
         self.pools.insert(service.to_owned(), pool);
     }
 
-    /// Returns some endpoints that may run a job, and their pool: a random sample, and the
-    /// endpoints that cache its prompt or, if none does, those that its hash selects. Returns
-    /// `None` if all endpoints must be examined, because they are few or no sampled one may
-    /// run the job.
+    /// Returns some endpoints that may run a job, and their pool: a random sample, the
+    /// endpoints that cache the shared part of its prompt or, if none does, those that the
+    /// part's hash selects, and the endpoints that cache the whole prompt. Returns `None` if
+    /// all endpoints must be examined, because they are few or no sampled one may run the job.
     pub(super) fn sample_endpoints(
         &self,
         job: &Job<'_>,
--- a/crates/relay/src/dispatcher/fleet/registry.rs
+++ b/crates/relay/src/dispatcher/fleet/registry.rs
@@ -43,8 +43,9 @@
     /// An endpoint that restarted under its name counts as a new one, without the
     /// runs, backlog, cached parts and statistics of its earlier start. Kept, they would
     /// keep requests away from an idle server, or send prompts to a server that no
-    /// longer caches their parts. A late registration of an earlier start is ignored:
-    /// it would remove a live endpoint, or discard twice what was learned about it.
+    /// longer caches their parts. A registration that arrives after a newer one is ignored:
+    /// taken for another restart, it would replace the live endpoint and discard what was
+    /// learned about it, and the next registration would do so again.
     pub fn register_endpoint(&self, endpoint: Endpoint) {
         let mut state = self.lock();
         let now = clock::now();
--- a/crates/relay/src/dispatcher/fleet/run.rs
+++ b/crates/relay/src/dispatcher/fleet/run.rs
@@ -51,8 +51,9 @@
     /// Expected time to the first byte, in milliseconds.
     pub(super) expected_ms: f64,
     pub(super) latency_key: LatencyKey,
-    /// Units of reading in the prompt.
+    /// Prompt reading to do, in units of `selection::reading_units`.
     pub(super) units: f64,
+    /// Lateness of the first byte, as evidence about the version; empty before it is received.
     pub(super) lateness: Lateness,
     /// When the run was placed.
     pub(super) started: Duration,
@@ -95,8 +96,8 @@
         let fleet = &mut state.fleet;
         if let Some(server) = fleet.servers.get_mut(self.key) {
             let ratio = (took / self.nominal_ms.max(1.0)).clamp(0.1, 20.0);
-            // Relative to the service's usual ratio: a bias of the expected time would
-            // make every new endpoint look slow or fast.
+            // Slowness is relative to the service's usual ratio. Otherwise an estimate that is
+            // generally too low or too high would make every new endpoint look slow or fast.
             let usual_lateness = fleet.usual_lateness.entry(self.latency_key.service.clone()).or_insert(1.0);
             *usual_lateness += USUAL_LATENESS_WEIGHT * (ratio - *usual_lateness);
             self.lateness = Lateness::from_ratio(ratio);
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Counts the run as a good or bad one of its version.
+    /// Counts the run as good or bad evidence about its version.
     pub fn record_verdict(&self, bad: bool) {
         let tally = Tally { runs: 1, bad: u32::from(bad), lateness: self.lateness };
         self.dispatcher.lock().rollouts.count(&self.endpoint.service, self.arm, tally);
--- a/crates/relay/src/dispatcher/fleet/selection.rs
+++ b/crates/relay/src/dispatcher/fleet/selection.rs
@@ -89,7 +89,7 @@
             placement::choose(&candidates, request, job.session ^ u64::try_from(now.as_nanos()).unwrap_or(0))?;
         let (key, server) = chosen[choice.index];
         let arm = assignment.arm(&server.endpoint.version);
-        // A prompt cache of another version does not fit this version's weights.
+        // Cached parts of another version cannot be used with this version's weights.
         let is_same = |index: &usize| chosen[*index].1.endpoint.version == server.endpoint.version;
         choice.source = choice.source.filter(is_same);
         let source = choice.source.map(|index| chosen[index].1.endpoint.address);
--- a/crates/relay/src/dispatcher/peers.rs
+++ b/crates/relay/src/dispatcher/peers.rs
@@ -1,7 +1,7 @@
 //! Other instances, as reported by their news messages.
 //!
-//! Each instance sends news about itself to the others in rounds. An instance is alive
-//! until it has been silent for too long.
+//! Each instance sends news about itself to some of the others at a time, so that all have
+//! received it after a round. An instance is alive until it has been silent for too long.
 
 mod fronts;
 mod recipients;
@@ -32,8 +32,8 @@
 };
 use crate::{clock, settings::Cores};
 
-/// Number of pieces of news that must be missing before an instance counts as gone: one may
-/// be lost, and the next one late.
+/// Number of news messages in a row that must be missing before an instance counts as gone:
+/// one may be lost, and the next one late.
 const MAX_MISSING_NEWS: u32 = 3;
 
 /// Minimum silence after which an instance counts as gone.
@@ -118,7 +118,7 @@
     pub is_narrow: bool,
     /// Number of processor cores that it has.
     pub cores: Cores,
-    /// Maximum time until its next piece of news.
+    /// Maximum time until its next news message.
     pub pause: Duration,
     /// Its load on endpoints, by the hash of the endpoint's start.
     pub loads: HashMap<u32, Load>,
@@ -139,8 +139,8 @@
 impl Peers {
     /// Marks instances that have been silent for too long as gone, and removes their loads.
     ///
-    /// Examines all instances only when one may have become silent. Each piece of news
-    /// extends the time of its instance, so that happens about once in a round of news.
+    /// Examines all instances only at the earliest time at which one may count as gone. Each
+    /// news message postpones that time for its sender, so this happens about once in a round.
     fn update_live(&mut self, now: Duration) {
         if now < self.next_expiry {
             return;
@@ -212,8 +212,8 @@
         self.known.values().filter(move |peer| peer.is_live(now) && peer.status.is_ready()).map(|peer| peer.hash)
     }
 
-    /// Returns the live instances that may watch the store: all, or with `in_touch` only
-    /// those whose own calls to it succeed.
+    /// Returns the live instances that may watch the store: all that are not leaving, or with
+    /// `only_in_touch` only those of them whose own calls to the store succeed.
     pub(super) fn watchers(&self, now: Duration, in_touch: bool) -> impl Iterator<Item = Watcher> {
         // Not only ready ones: before an operator has written the first catalog no
         // instance is ready, and each of a whole fleet would watch the store itself.
@@ -301,9 +301,9 @@
         }
         drop(state);
         self.record_newer_catalog_peer(news, catalog);
-        // The instance that this one synchronizes with may itself be cut off from the
-        // store without noticing yet, and prove an old catalog for seconds. The news of any
-        // other instance with a newer catalog reveals that.
+        // The instance that this one synchronizes with may be cut off from the store without
+        // noticing yet, and report an old catalog as the one in force for seconds. The news
+        // of any other instance with a newer catalog reveals that.
         self.record_catalog_version(catalog);
     }
 
--- a/crates/relay/src/dispatcher/peers/fronts.rs
+++ b/crates/relay/src/dispatcher/peers/fronts.rs
@@ -21,6 +21,7 @@
 }
 
 impl Caller {
+    /// Returns the caller's domain and hash, by which [`fronts::choose`] selects for it.
     fn hashed(&self) -> fronts::Caller<'_> {
         let domain = self.domain.as_deref();
         let from = self.from.map(|from| from.to_string()).unwrap_or_default();
@@ -84,8 +85,8 @@
             all.retain(|front| front.is_fresh);
         }
         // An instance that has lost the store depends on the proofs of others, and is the
-        // first to refuse access keys when they fail. If most instances are in that
-        // state, the rest could not serve their callers too.
+        // first to refuse access keys when they fail. If most instances are in that state,
+        // they are listed too, since the others could not serve all callers.
         let in_touch = all.iter().filter(|front| front.is_in_touch).count();
         if in_touch * 2 >= all.len() {
             all.retain(|front| front.is_in_touch);
--- a/crates/relay/src/dispatcher/peers/recipients.rs
+++ b/crates/relay/src/dispatcher/peers/recipients.rs
@@ -10,24 +10,25 @@
 use crate::{clock, dispatcher::Dispatcher, settings::Cores};
 
 /// Time for which a newly discovered instance that has not sent news yet receives every
-/// piece of news. Live instances answer within two pieces; others are stale
-/// entries of the store.
+/// news message. Live instances answer by the second one; others are stale entries of
+/// the store.
 const GREETING_PERIOD: Duration = Duration::from_secs(2);
 
-/// Number of other instances up to which all are sent everything directly. With more, relays
-/// forward notices of long prompts, which takes a tenth of the datagrams at the cost of
-/// a batch's delay, and other failure domains receive only news that does not become
-/// outdated within a round.
+/// Number of other live instances up to which all are sent everything directly. With more,
+/// relays forward notices of long prompts in batches. That takes a tenth of the datagrams but
+/// delays notices by a batch, and other failure domains receive only news that does not
+/// become outdated within a round.
 const MAX_DIRECT_RECIPIENTS: usize = 96;
 
-/// Recipients of the next pieces of news.
+/// Recipients of the next news messages.
 #[derive(Debug, Clone, Default)]
 pub struct NewsRecipients {
-    /// Recipients among all instances; in a large fleet, among those of the own failure domain.
+    /// Recipients among all instances; in a large fleet, among those in this
+    /// instance's failure domain.
     pub near: Recipients,
-    /// Recipients among the other instances of a large fleet. They receive no loads, which
-    /// would be outdated long before the next update, and bytes between failure domains
-    /// are billed.
+    /// Recipients in other failure domains of a large fleet. They receive no loads: those
+    /// would be outdated long before the next update, and bytes between failure domains are
+    /// billed.
     pub far: Recipients,
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl Recipients {
-    /// Selects the recipients of a turn, at most `most`.
+    /// Selects the recipients of a turn, at most `max`.
     fn of<'a>(peers: impl Iterator<Item = &'a Peer> + Clone, turn: usize, most: usize) -> Self {
         let rounds = peers.clone().count().div_ceil(most).max(1);
         Self { news: peers.skip(turn % rounds).step_by(rounds).map(|peer| peer.news).collect(), rounds }
@@ -58,7 +59,8 @@
     Relays(Vec<SocketAddr>),
 }
 
-/// An instance that may forward notices in its failure domain; the greatest one does.
+/// An instance that may forward notices in its failure domain. The greatest one in the order
+/// of the fields does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Relay {
     cores: Cores,
@@ -143,7 +145,7 @@
         recipients
     }
 
-    /// Returns the recipients of the next pieces of news, at most `most`: parts of the known
+    /// Returns the recipients of the next news messages, at most `max`: parts of the known
     /// instances that change with each turn.
     #[must_use]
     pub fn news_recipients(&self, turn: usize, most: usize) -> NewsRecipients {
@@ -168,7 +170,7 @@
         NewsRecipients { near, far }
     }
 
-    /// Returns up to `most` instances drawn at random, each with its news address.
+    /// Returns up to `max` instances drawn at random, each with its news address.
     #[must_use]
     pub fn sample_peers(&self, most: usize) -> Vec<(String, SocketAddr)> {
         let state = self.lock();
--- a/crates/relay/src/dispatcher/peers/sightings.rs
+++ b/crates/relay/src/dispatcher/peers/sightings.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns up to `most` recent sightings, drawn at random.
+    /// Returns up to `max` recent sightings, drawn at random.
     fn recent_sightings(&self, most: usize, now: Duration) -> Vec<Sighting> {
         let recent = |(name, peer): (&String, &Peer)| {
             let age = now.saturating_sub(peer.last_heard?);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns up to `most` recent sightings, drawn at random, to send with news.
+    /// Returns up to `max` recent sightings, drawn at random, to send with news.
     #[must_use]
     pub fn recent_sightings(&self, most: usize) -> Vec<Sighting> {
         self.lock().peers.recent_sightings(most, clock::now())
--- a/crates/relay/src/dispatcher/peers/sums.rs
+++ b/crates/relay/src/dispatcher/peers/sums.rs
@@ -1,7 +1,8 @@
 //! Sums of the loads of all live instances, by endpoint.
 //!
-//! Sums are updated incrementally: news replaces the instance's earlier loads, so the cost
-//! depends on the loads in the two messages and not on the number of instances or endpoints.
+//! Sums are updated incrementally: the loads in a news message replace those in the sender's
+//! previous one. The cost depends on the loads in these two messages and not on the number of
+//! instances or endpoints.
 //! Loads in news are whole numbers, so adding and subtracting them is exact.
 
 use std::collections::HashMap;
--- a/crates/relay/src/dispatcher/peers/tests.rs
+++ b/crates/relay/src/dispatcher/peers/tests.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Guards against summing over all instances and endpoints for each piece of news, which
+/// Guards against summing over all instances and endpoints for each news message, which
 /// took nine tenths of the processor time of 295 instances.
 #[test]
 fn news_changes_only_the_sums_of_its_loads() {
@@ -147,7 +147,7 @@
     assert_eq!(peers.live_count, 0);
 }
 
-/// Guards against sending callers to a leaving instance until its own next news arrives.
+/// Guards against sending callers to a leaving instance until its own next news message arrives.
 #[test]
 fn sighting_reports_that_an_instance_leaves() {
     let mut peers = peers_with_one(4_750);
--- a/crates/relay/src/dispatcher/rollouts.rs
+++ b/crates/relay/src/dispatcher/rollouts.rs
@@ -1,9 +1,10 @@
 //! Roll-outs of new versions, as known to this instance.
 //!
-//! The order of a roll-out comes from the store. Its stage comes from the status in the
-//! store, from other instances and from this instance's own evidence. The furthest stage
-//! wins and a revert outranks all others, so a version that failed at one instance is
-//! abandoned at all others as soon as the news arrives.
+//! An order is an operator's instruction in the store to move a service to a new version.
+//! The stage of the roll-out comes from the status in the store, from other instances and
+//! from this instance's own evidence. The furthest stage wins and a revert outranks all
+//! others, so a version that failed at one instance is abandoned at all others as soon as
+//! they receive its report.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -12,8 +13,10 @@
 use super::{Dispatcher, State};
 use crate::{clock, rollout::Rollout};
 
-/// Time for which endpoints of an unknown version are not used while their order may still
-/// arrive: an order and the registrations that it causes come by different watches.
+/// Time after a version other than the current one is first seen for which its endpoints are
+/// not used without an order.
+/// An order and the registrations that it causes arrive through different watches, so the
+/// registrations may come first.
 const ORDER_WAIT: Duration = Duration::from_secs(6);
 
 /// Roll-out state of all services.
@@ -24,11 +27,11 @@
     sessions: HashMap<u64, Duration>,
 }
 
-/// Number of sessions above which expired ones are removed; only the few that take part in
-/// trials are kept.
+/// Number of recorded sessions from which expired ones are removed before another is added.
+/// Only the few sessions that take part in trials are recorded.
 const MAX_SESSIONS: usize = 4_096;
 
-/// Maximum number of sessions in a piece of news, so that they fit in a datagram.
+/// Maximum number of sessions in a news message, so that they fit in a datagram.
 const MAX_SENT_SESSIONS: usize = 96;
 
 /// Properties of a request by which it is assigned to a version.
@@ -104,9 +107,9 @@
         }
     }
 
-    /// Whether the request may run on a version if none of the versions that it should run
-    /// on has an endpoint. It never runs on a new version that has failed, or that is on
-    /// trial and not assigned to it.
+    /// Whether the request may run on a version if no endpoint has a version that it should
+    /// run on. The new version of a roll-out is not tolerated if the roll-out was reverted or
+    /// the request is not assigned to the new version.
     #[must_use]
     pub fn tolerates(&self, version: &str) -> bool {
         match &self.target {
--- a/crates/relay/src/dispatcher/synchronization.rs
+++ b/crates/relay/src/dispatcher/synchronization.rs
@@ -3,10 +3,12 @@
 //! Each call to the store is billed, and its rate limits grow more slowly than the fleet.
 //! So only a few instances watch the store, and the others send questions to one of
 //! those. A question states up to which revision the asking instance knows the endpoints.
-//! The reply contains the changes since, the version of the catalog in force, and the age
-//! of the proof that it is. That age counts from when the question was sent, so a delay
-//! on the way only makes the proof look older. Changes that do not fit or are no longer
-//! kept are read from the store, and so is everything while nobody replies.
+//! The reply contains the changes since then, the version of the catalog in force, and the
+//! age of the proof that this version is in force. The asking instance counts that age back
+//! from when it sent the question, so a delay on the way only makes the proof look older.
+//! Changes that do not fit into a reply follow in the next ones. If changes are no longer
+//! kept, the asking instance lists the endpoints from the store; while nobody replies, it
+//! reads everything from there.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -31,10 +33,10 @@
 /// Number of doubtful replies in a row after which an instance watches the store itself; the
 /// second comes from another instance than the first.
 ///
-/// All watchers may be cut off from the store together, and continue to prove their last
-/// catalog. They notice after 1.5 s, and it takes as long again until others have replaced
-/// them and announced a new catalog. Instances that waited for that served with
-/// the old catalog for longer than operators allow.
+/// All watchers may be cut off from the store together, and continue to report their last
+/// catalog as the one in force. They notice after 1.5 s, and it takes as long again until
+/// others have replaced them and announced a new catalog. Instances that waited for that
+/// served with the old catalog for longer than operators allow.
 const MAX_DOUBTFUL_REPLIES: u32 = 2;
 
 /// Maximum number of remembered instances with a newer catalog: several, so that not all
@@ -62,12 +64,12 @@
     complete_since: u64,
     /// Latest changes, each with the revision that contains it.
     latest_changes: VecDeque<(u64, Change)>,
-    /// When the last reply without doubts was received.
+    /// When the last reply that was not doubtful was received.
     pub(super) last_reply: Option<Duration>,
     /// Number of replies in a row from instances that seem to have lost the store.
     pub(super) doubtful_replies: u32,
-    /// Whether such replies ended the synchronization, and neither other instances nor own
-    /// calls have shown since that the store is reachable.
+    /// Whether doubtful replies ended the synchronization, and neither replies nor this
+    /// instance's own calls have shown since that the store is reachable.
     pub(super) doubts_store: bool,
     /// Whether all roll-outs have been listed.
     orders_known: bool,
@@ -93,7 +95,7 @@
     pub proof_age: Duration,
     /// Time since the replying instance last received an answer of the store.
     pub silence: Duration,
-    /// Revision that the changes lead to; the one of the question if the changes are no longer
+    /// Revision that the changes lead to; the question's revision if the changes are no longer
     /// kept.
     pub revision: u64,
     /// Whether changes are missing, so that the endpoints must be read from the store.
@@ -105,8 +107,8 @@
 }
 
 impl Synchronization {
-    /// Creates the state of an instance that is not synchronized yet. `replace` limits how
-    /// long it may serve with a catalog that was replaced.
+    /// Creates the state of an instance that is not synchronized yet. `replacement_bound`
+    /// limits how long it may serve with a catalog that was replaced.
     pub(super) fn new(replace: Option<Duration>) -> Self {
         Self { announced_catalogs: AnnouncedCatalogs::new(replace), ..Self::default() }
     }
@@ -137,7 +139,7 @@
     /// Returns the first changes after a revision and the revision that they lead to, or
     /// `None` if not all of them are kept.
     ///
-    /// Returns about `most` changes: the changes of one revision stay together, or a
+    /// Returns about `soft_limit` changes: the changes of one revision stay together, or a
     /// question from that revision on would miss the rest.
     fn changes_since(&self, revision: u64, most: usize) -> Option<(u64, Vec<Change>)> {
         if revision < self.complete_since {
@@ -201,7 +203,7 @@
     pub fn set_narrow(&self, is_narrow: bool) {
         let mut state = self.lock();
         if state.is_narrow != is_narrow {
-            tracing::info!(is_narrow, "time to read the catalog changed");
+            tracing::info!(is_narrow, "link classified by time to read the catalog");
             state.is_narrow = is_narrow;
         }
     }
@@ -212,7 +214,7 @@
         Question { revision: self.endpoints_revision() }
     }
 
-    /// Returns the reply to another instance's question, with about `most` changes, or `None`
+    /// Returns the reply to another instance's question, with about `soft_limit` changes, or `None`
     /// while this instance knows too little.
     #[must_use]
     pub fn reply(&self, question: Question, most: usize) -> Option<Reply> {
@@ -237,15 +239,15 @@
         })
     }
 
-    /// Applies a reply to a question that was sent at `asked`.
+    /// Applies a reply to a question that was sent at `asked_at`.
     pub fn apply_reply(&self, asked: Duration, reply: Reply) {
         if reply.silence > MAX_STORE_SILENCE {
             self.record_doubtful_reply(&reply);
             return;
         }
-        // This instance may have read the store itself since it asked. Earlier changes are
-        // outdated then: they would remove an endpoint that has come back, and no
-        // later change would add it again.
+        // This instance may have read the store itself since it asked. Changes that it read
+        // there are outdated in the reply: they could remove an endpoint that has come back,
+        // and no later change would add it again.
         if reply.revision > self.endpoints_revision() {
             self.apply_changes(&reply.changes);
         }
@@ -294,7 +296,8 @@
         self.record_catalog_version(reply.catalog);
     }
 
-    /// Records the catalog version of another instance, and requests a newer one to be read.
+    /// Records the catalog version of another instance, and has the catalog read again if
+    /// that version is newer than this instance's.
     pub(super) fn record_catalog_version(&self, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
@@ -306,7 +309,8 @@
         self.catalog_wanted.notify_one();
     }
 
-    /// Records that another instance has a catalog, so that it can be asked for a newer one.
+    /// Records that another instance has a version of the catalog, so that it can be asked
+    /// for it. Ignores a version that is not newer than this instance's.
     pub fn record_newer_catalog_peer(&self, teller: SocketAddr, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
@@ -337,7 +341,8 @@
         self.lock().synchronization.announced_catalogs.is_behind()
     }
 
-    /// Replaces the known roll-outs by those of a reply, keeping newer revisions.
+    /// Replaces the known roll-outs by those of a reply, except where this instance knows a
+    /// newer revision.
     fn apply_orders(&self, orders: &[Rollout]) {
         let known = self.lock().rollouts.orders();
         for gone in known.iter().filter(|order| !orders.iter().any(|other| other.service == order.service)) {
--- a/crates/relay/src/dispatcher/watchers.rs
+++ b/crates/relay/src/dispatcher/watchers.rs
@@ -7,11 +7,12 @@
 use super::{Dispatcher, State};
 use crate::{clock, settings::Cores};
 
-/// Number of instances that watch the store. When one is lost, the others ask the next one,
-/// and a further one takes its place within a second.
+/// Number of instances that watch the store. When one is lost, the instances that asked it
+/// ask the other one, and the next in rank becomes a watcher within a second.
 const WATCHER_COUNT: usize = 2;
 
-/// Time without a reply after which an instance watches the store itself: three questions.
+/// Time without a reply after which an instance watches the store itself. Three questions
+/// are sent within this time.
 const MAX_REPLY_SILENCE: Duration = Duration::from_millis(1_100);
 
 /// An instance that may watch the store for others.
@@ -47,7 +48,7 @@
 }
 
 impl State {
-    /// Returns the other instances that rank first among those in touch with the store.
+    /// Returns the first in rank of the other instances whose own calls to the store succeed.
     fn top_watchers(&self, now: Duration) -> Vec<Watcher> {
         let mut watchers: Vec<Watcher> = self.peers.watchers(now, true).collect();
         watchers.sort_unstable_by_key(|watcher| watcher.rank);
@@ -63,7 +64,7 @@
     pub fn is_synchronized(&self) -> bool {
         let now = clock::now();
         let state = self.lock();
-        // An instance that is cut off from the store does not count as a watcher.
+        // This instance is a watcher only while its own calls to the store succeed.
         let answered = state.synchronization.last_reply.is_some_and(|at| now < at + MAX_REPLY_SILENCE);
         answered && !(state.in_touch && self.is_watcher(&state, now, true))
     }
@@ -106,8 +107,8 @@
     }
 
     /// Whether this instance ranks among the first few, which watch the store. All instances
-    /// compute the same ranking. With `in_touch`, only instances whose calls to the store
-    /// succeed are ranked before it.
+    /// compute the same ranking. With `only_in_touch`, other instances are left out of it
+    /// unless their own calls to the store succeed.
     fn is_watcher(&self, state: &State, now: Duration, in_touch: bool) -> bool {
         let hash = hash::stable(self.settings.instance.as_bytes());
         let me = Rank::new(state.is_narrow, self.settings.cores, hash);
