--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -119,7 +119,7 @@
     /// Progress of the start-up.
     knowledge: Knowledge,
     /// Whether this instance's last call to the store succeeded.
-    in_touch: bool,
+    last_store_call_succeeded: bool,
     /// Whether this instance's link is too slow to read the catalog after each watch.
     is_narrow: bool,
     /// Whether a call to the store has ever failed.
@@ -162,7 +162,7 @@
             rollouts: rollouts::Rollouts::default(),
             synchronization: synchronization::Synchronization::new(settings.replacement_bound),
             knowledge: Knowledge::Nothing,
-            in_touch: false,
+            last_store_call_succeeded: false,
             is_narrow: false,
             store_failed_once: false,
             draining_since: None,
@@ -230,8 +230,8 @@
 
     /// Renews the lease on access keys with an answer of the store that proves them current.
     /// The store was asked for it at `requested_at`.
-    pub fn renew(&self, asked: Duration, proof: Proof) {
-        self.lock().lease.renew(asked, proof);
+    pub fn renew(&self, requested_at: Duration, proof: Proof) {
+        self.lock().lease.renew(requested_at, proof);
     }
 
     /// Whether access keys and the rest of the catalog are fresh enough to serve requests.
@@ -253,7 +253,7 @@
     /// Records the outcome of this instance's own latest call to the store.
     pub fn record_store_call(&self, succeeded: bool) {
         let mut state = self.lock();
-        state.in_touch = succeeded;
+        state.last_store_call_succeeded = succeeded;
         state.synchronization.doubts_store &= !succeeded;
         state.store_failed_once |= !succeeded;
         drop(state);
@@ -263,7 +263,7 @@
     /// Whether this instance's last call to the store succeeded.
     #[must_use]
     pub fn last_store_call_succeeded(&self) -> bool {
-        self.lock().in_touch
+        self.lock().last_store_call_succeeded
     }
 
     /// Whether this instance's link is slow, so that reading the catalog takes long.
@@ -277,7 +277,7 @@
     #[must_use]
     pub fn is_in_touch_with_store(&self) -> bool {
         let state = self.lock();
-        state.in_touch && state.lease.is_valid(clock::now())
+        state.last_store_call_succeeded && state.lease.is_valid(clock::now())
     }
 
     /// Returns the number of instances that are alive, this one included.
--- a/crates/relay/src/dispatcher/crashes.rs
+++ b/crates/relay/src/dispatcher/crashes.rs
@@ -76,7 +76,7 @@
     }
 
     /// Records that a request was answered successfully.
-    pub(super) fn record_good_end(&mut self, content: Content, now: Duration) {
+    pub(super) fn record_success(&mut self, content: Content, now: Duration) {
         self.record_finding(Finding::EndedWell { content }, now);
     }
 
@@ -155,7 +155,7 @@
     /// Applies findings of another instance.
     pub fn apply_findings(&self, findings: impl IntoIterator<Item = Finding>) {
         let now = clock::now();
-        let leads = self.is_leader();
+        let is_leader = self.is_leader();
         let mut state = self.lock();
         for finding in findings {
             let effect = state.apply_finding(finding, now);
@@ -165,7 +165,7 @@
             }
             // The instance that found the last crash may have missed earlier findings and so
             // not know that the request is quarantined now. The leader writes it to the store.
-            if leads && effect == Effect::Held && matches!(finding, Finding::Crash { .. }) {
+            if is_leader && effect == Effect::Held && matches!(finding, Finding::Crash { .. }) {
                 state.queue_finding_change(finding, effect);
             }
             // This instance's own unfinished runs may have caused the crash as well.
@@ -238,8 +238,8 @@
     /// Returns up to `max` quarantined requests, the latest first, for instances that
     /// missed the findings.
     #[must_use]
-    pub fn refused_requests(&self, most: usize) -> Vec<Finding> {
-        self.lock().quarantine.refused(clock::now(), most)
+    pub fn refused_requests(&self, max: usize) -> Vec<Finding> {
+        self.lock().quarantine.refused(clock::now(), max)
     }
 }
 
--- a/crates/relay/src/dispatcher/fleet.rs
+++ b/crates/relay/src/dispatcher/fleet.rs
@@ -275,9 +275,9 @@
     }
 
     /// Describes the endpoint for placement, given the service's mean slowness and failure rate.
-    fn candidate(&self, domain: &str, slow: f64, failing: f64, now: Duration) -> Candidate<'_> {
+    fn candidate(&self, domain: &str, mean_slowness: f64, mean_failure_rate: f64, now: Duration) -> Candidate<'_> {
         let full = if self.full_until > now { f64::from(self.endpoint.slots).max(MIN_FULL_RUNS) } else { 0.0 };
-        let slowness = self.slowness.value_at(1.0, now) / slow;
+        let slowness = self.slowness.value_at(1.0, now) / mean_slowness;
         Candidate {
             id: &self.endpoint.id,
             slots: self.endpoint.slots,
@@ -285,7 +285,7 @@
             backlog_ms: self.backlog_ms + self.announced_backlog.left_ms(now),
             reported_backlog_ms: self.peer_load.backlog_ms,
             slowness: if slowness > NOISE_FACTOR { slowness } else { 1.0 },
-            excess_failure_rate: (self.failure_rate.value_at(0.0, now) - NOISE_FACTOR * failing).max(0.0),
+            excess_failure_rate: (self.failure_rate.value_at(0.0, now) - NOISE_FACTOR * mean_failure_rate).max(0.0),
             local: self.endpoint.domain == domain,
             holds_prefix: false,
             holds_prompt: false,
--- a/crates/relay/src/dispatcher/fleet/limits.rs
+++ b/crates/relay/src/dispatcher/fleet/limits.rs
@@ -106,13 +106,13 @@
         }
         limited.shares_updated_at = now;
         limited.keys.retain(|key| servers.get(*key).is_some_and(|server| server.is_limited(now)));
-        let is_sender = self.draining_since.is_none();
+        let takes_share = self.draining_since.is_none();
         for key in &limited.keys {
             let Some(server) = servers.get_mut(*key) else { continue };
             let Some(per_s) = server.throttle.limit(now) else { continue };
             let others = self.peers.serving(now);
             let share =
-                if is_sender { throttle::share(per_s, server.hash, self.peers.me, others) } else { Share::default() };
+                if takes_share { throttle::share(per_s, server.hash, self.peers.me, others) } else { Share::default() };
             server.throttle.set_share(now, share);
         }
     }
@@ -143,7 +143,7 @@
 
     /// Returns up to `max` recent updates of limits, drawn at random, for instances that missed them.
     #[must_use]
-    pub fn recent_limits(&self, most: usize) -> Vec<Limit> {
+    pub fn recent_limits(&self, max: usize) -> Vec<Limit> {
         let now = clock::now();
         let state = self.lock();
         let Fleet { servers, limited, .. } = &state.fleet;
@@ -153,7 +153,7 @@
             let age = now.saturating_sub(announcement.at);
             (age < MAX_REPEATED_AGE).then_some(Limit { start: server.hash, per_s: announcement.per_s, age })
         });
-        recent.choose_multiple(&mut rand::rng(), most)
+        recent.choose_multiple(&mut rand::rng(), max)
     }
 
     /// Returns the time until an endpoint of a service accepts a request, if the limits of
--- a/crates/relay/src/dispatcher/fleet/pool.rs
+++ b/crates/relay/src/dispatcher/fleet/pool.rs
@@ -75,11 +75,11 @@
         now: Duration,
     ) -> Option<(&Pool, Vec<(Key, &Server)>)> {
         let pool = self.pools.get(job.service).filter(|pool| pool.all.len() > MAX_FULL_SCAN)?;
-        let takes = |key: Key| {
+        let usable = |key: Key| {
             let server = self.servers.get(key)?;
             let version = server.endpoint.version.as_str();
             let is_assigned = match job.version {
-                Some(stays) => stays == version && assignment.tolerates(version),
+                Some(wanted) => wanted == version && assignment.tolerates(version),
                 None => assignment.allows(version),
             };
             let is_up = !server.endpoint.draining && server.backoff_until <= now && server.throttle.may_send(now);
@@ -89,7 +89,7 @@
         let tie = job.session ^ u64::try_from(now.as_nanos()).unwrap_or(0);
         let draw = hash::stable(&tie.to_be_bytes());
         for (of, draw) in [(&pool.near, draw), (&pool.all, draw.rotate_left(32))] {
-            let drawn = placement::sample(of.len(), SAMPLE_SIZE, draw, |place| takes(of[place]).is_some());
+            let drawn = placement::sample(of.len(), SAMPLE_SIZE, draw, |place| usable(of[place]).is_some());
             keys.extend(drawn.into_iter().map(|place| of[place]));
         }
         if keys.is_empty() {
@@ -105,7 +105,7 @@
         keys.extend(holders.into_iter().filter(is_of_service));
         keys.sort_unstable();
         keys.dedup();
-        Some((pool, keys.into_iter().filter_map(takes).collect()))
+        Some((pool, keys.into_iter().filter_map(usable).collect()))
     }
 
     /// Returns the keys of the known endpoints among `hashes`.
--- a/crates/relay/src/dispatcher/fleet/run.rs
+++ b/crates/relay/src/dispatcher/fleet/run.rs
@@ -136,20 +136,20 @@
     }
 
     /// Records the outcome of the run.
-    pub fn record_outcome(&mut self, how: RunOutcome) {
+    pub fn record_outcome(&mut self, outcome: RunOutcome) {
         let now = clock::now();
         let dispatcher = Arc::clone(&self.dispatcher);
         let mut state = dispatcher.lock();
         self.remove_backlog(&mut state);
-        match (how, self.content.take()) {
-            (RunOutcome::Good, Some(content)) => state.record_good_end(content, now),
+        match (outcome, self.content.take()) {
+            (RunOutcome::Good, Some(content)) => state.record_success(content, now),
             (RunOutcome::Broken, Some(content)) => self.record_unfinished(&mut state, content, now),
             (RunOutcome::Down, _) => state.record_crash(self.key, now),
             _ => {}
         }
         self.dispatcher.notify_findings(&state);
         let Some(server) = state.fleet.servers.get_mut(self.key) else { return };
-        match how {
+        match outcome {
             RunOutcome::Good => {
                 server.failure_rate.observe(0.0, 0.0, now);
                 server.failed_connections = 0;
@@ -166,7 +166,7 @@
                 server.backoff_until = now + backoff.min(MAX_BACKOFF);
                 tracing::warn!(
                     endpoint = server.endpoint.id,
-                    ?how,
+                    how = ?outcome,
                     misses = server.failed_connections,
                     "endpoint backing off after failed connection"
                 );
--- a/crates/relay/src/dispatcher/fleet/selection.rs
+++ b/crates/relay/src/dispatcher/fleet/selection.rs
@@ -10,7 +10,7 @@
 use super::{
     Fleet, Job, Key, LatencyKey, Server, State, caches::part_hash, initial_latency, notices::MIN_ANNOUNCED_PART_TOKENS,
 };
-use crate::dispatcher::rollouts::{Arm, AssignedRequest, Assignment};
+use crate::dispatcher::rollouts::{self, Arm, Assignment};
 
 /// Number of preceding tokens at which reading a token takes twice as long as at the start
 /// of the text, because of the share of attention in the work of dense models of about
@@ -23,11 +23,12 @@
     pub arm: Arm,
     pub choice: Choice,
     pub latency: latency::Estimate,
-    /// Usual ratio of actual to expected time over the service, at least 1. When all
-    /// endpoints are late, the expected time has to follow, or waiting requests would
-    /// count as lost and be sent again on top.
-    pub slow: f64,
-    /// Units of reading, including the shared part unless it is cached or copied.
+    /// Usual ratio of actual to nominal time to the first byte in the service, at least 1.
+    /// When all endpoints are late, the expected time has to increase, or waiting requests
+    /// would count as lost and be sent again, which adds to the load.
+    pub usual_lateness: f64,
+    /// Prompt reading to do, in units of [`reading_units`]. Includes the shared part unless
+    /// it is cached or copied.
     pub units: f64,
     /// Address of the endpoint from which to copy the shared part.
     pub source: Option<SocketAddr>,
@@ -41,7 +42,7 @@
 
     /// Returns the expected time to the first byte, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
-        self.nominal_ms() * self.slow
+        self.nominal_ms() * self.usual_lateness
     }
 }
 
@@ -56,17 +57,18 @@
         };
         let settled = job.in_session && canary::is_in_trial_group(job.session, exposure) && settled();
         let assignment =
-            self.rollouts.assign(job.service, AssignedRequest { session: job.session, settled, exposure }, now);
-        let (chosen, slow, failing) = if let Some((pool, chosen)) = self.fleet.sample_endpoints(job, &assignment, now) {
-            (chosen, pool.mean_slowness, pool.mean_failure_rate)
-        } else {
-            let chosen = self.fleet.eligible(job, &assignment, now);
-            let slow = mean(&chosen, &|server| server.slowness.value_at(1.0, now));
-            let failing = mean(&chosen, &|server| server.failure_rate.value_at(0.0, now));
-            (chosen, slow, failing)
-        };
-        let slow = slow.max(0.05);
-        let lateness = self.fleet.usual_lateness.get(job.service).copied().unwrap_or(1.0);
+            self.rollouts.assign(job.service, rollouts::Request { session: job.session, settled, exposure }, now);
+        let (chosen, mean_slowness, mean_failure_rate) =
+            if let Some((pool, chosen)) = self.fleet.sample_endpoints(job, &assignment, now) {
+                (chosen, pool.mean_slowness, pool.mean_failure_rate)
+            } else {
+                let chosen = self.fleet.eligible(job, &assignment, now);
+                let mean_slowness = mean(&chosen, &|server| server.slowness.value_at(1.0, now));
+                let mean_failure_rate = mean(&chosen, &|server| server.failure_rate.value_at(0.0, now));
+                (chosen, mean_slowness, mean_failure_rate)
+            };
+        let mean_slowness = mean_slowness.max(0.05);
+        let usual_lateness = self.fleet.usual_lateness.get(job.service).copied().unwrap_or(1.0);
         let holders = self.fleet.holders_of(job.affinity, now);
         let holders_of_whole = self.fleet.holders_of(job.whole, now);
         let mut candidates = Vec::with_capacity(chosen.len());
@@ -76,7 +78,7 @@
             candidates.push(Candidate {
                 holds_prefix,
                 holds_prompt,
-                ..server.candidate(&self.peers.domain, slow, failing, now)
+                ..server.candidate(&self.peers.domain, mean_slowness, mean_failure_rate, now)
             });
         }
         let request = Request {
@@ -101,7 +103,7 @@
             (false, true) => job_units(job),
             (false, false) => job_units(job) + reading_units(job, job.shared_tokens, 0),
         };
-        Some(Selection { key, arm, choice, latency, slow: lateness.max(1.0), units, source })
+        Some(Selection { key, arm, choice, latency, usual_lateness: usual_lateness.max(1.0), units, source })
     }
 }
 
--- a/crates/relay/src/dispatcher/peers.rs
+++ b/crates/relay/src/dispatcher/peers.rs
@@ -214,11 +214,11 @@
 
     /// Returns the live instances that may watch the store: all that are not leaving, or with
     /// `only_in_touch` only those of them whose own calls to the store succeed.
-    pub(super) fn watchers(&self, now: Duration, in_touch: bool) -> impl Iterator<Item = Watcher> {
+    pub(super) fn watchers(&self, now: Duration, only_in_touch: bool) -> impl Iterator<Item = Watcher> {
         // Not only ready ones: before an operator has written the first catalog no
         // instance is ready, and each of a whole fleet would watch the store itself.
         let able = move |peer: &&Peer| {
-            peer.is_live(now) && peer.status.phase != Phase::Leaving && (peer.status.in_touch || !in_touch)
+            peer.is_live(now) && peer.status.phase != Phase::Leaving && (peer.status.in_touch || !only_in_touch)
         };
         self.known.values().filter(able).map(|peer| Watcher {
             news: peer.news,
--- a/crates/relay/src/dispatcher/peers/fronts.rs
+++ b/crates/relay/src/dispatcher/peers/fronts.rs
@@ -9,7 +9,7 @@
 use crate::{clock, dispatcher::Dispatcher};
 
 /// Maximum number of addresses in an answer to a caller.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// A caller that asks for the addresses of instances.
 #[derive(Debug, Clone, Default)]
@@ -22,7 +22,7 @@
 
 impl Caller {
     /// Returns the caller's domain and hash, by which [`fronts::choose`] selects for it.
-    fn hashed(&self) -> fronts::Caller<'_> {
+    fn to_hashed(&self) -> fronts::Caller<'_> {
         let domain = self.domain.as_deref();
         let from = self.from.map(|from| from.to_string()).unwrap_or_default();
         let key = hash::stable(domain.unwrap_or_default().as_bytes());
@@ -92,7 +92,7 @@
             all.retain(|front| front.is_in_touch);
         }
         let candidates: Vec<fronts::Candidate<'_>> = all.iter().map(|front| front.candidate).collect();
-        let chosen = fronts::choose(&candidates, caller.hashed(), MOST_ADDRESSES);
+        let chosen = fronts::choose(&candidates, caller.to_hashed(), MAX_ADDRESSES);
         let mut addresses: Vec<SocketAddr> = chosen.into_iter().map(|index| all[index].address).collect();
         addresses.sort_unstable();
         addresses
--- a/crates/relay/src/dispatcher/peers/recipients.rs
+++ b/crates/relay/src/dispatcher/peers/recipients.rs
@@ -43,8 +43,8 @@
 
 impl Recipients {
     /// Selects the recipients of a turn, at most `max`.
-    fn of<'a>(peers: impl Iterator<Item = &'a Peer> + Clone, turn: usize, most: usize) -> Self {
-        let rounds = peers.clone().count().div_ceil(most).max(1);
+    fn of<'a>(peers: impl Iterator<Item = &'a Peer> + Clone, turn: usize, max: usize) -> Self {
+        let rounds = peers.clone().count().div_ceil(max).max(1);
         Self { news: peers.skip(turn % rounds).step_by(rounds).map(|peer| peer.news).collect(), rounds }
     }
 }
@@ -83,8 +83,8 @@
             return;
         }
         let mut relays: BTreeMap<&str, Relay> = BTreeMap::from([(self.domain.as_str(), me)]);
-        let stays = |peer: &&Peer| peer.is_live(now) && peer.status.phase != Phase::Leaving;
-        for peer in self.known.values().filter(stays) {
+        let may_relay = |peer: &&Peer| peer.is_live(now) && peer.status.phase != Phase::Leaving;
+        for peer in self.known.values().filter(may_relay) {
             let other = Relay { cores: peer.status.cores, hash: peer.hash, news: peer.news };
             let relay = relays.entry(&peer.status.domain).or_insert(other);
             *relay = (*relay).max(other);
@@ -148,7 +148,7 @@
     /// Returns the recipients of the next news messages, at most `max`: parts of the known
     /// instances that change with each turn.
     #[must_use]
-    pub fn news_recipients(&self, turn: usize, most: usize) -> NewsRecipients {
+    pub fn news_recipients(&self, turn: usize, max: usize) -> NewsRecipients {
         let now = clock::now();
         let me = Relay {
             cores: self.settings.cores,
@@ -160,21 +160,21 @@
         peers.choose_relays(me, now);
         if peers.live_count <= MAX_DIRECT_RECIPIENTS {
             return NewsRecipients {
-                near: Recipients::of(peers.known.values(), turn, most),
+                near: Recipients::of(peers.known.values(), turn, max),
                 far: Recipients::default(),
             };
         }
         let is_near = |peer: &&Peer| peer.status.domain == peers.domain;
-        let near = Recipients::of(peers.known.values().filter(is_near), turn, most / 2);
-        let far = Recipients::of(peers.known.values().filter(|peer| !is_near(peer)), turn, most / 2);
+        let near = Recipients::of(peers.known.values().filter(is_near), turn, max / 2);
+        let far = Recipients::of(peers.known.values().filter(|peer| !is_near(peer)), turn, max / 2);
         NewsRecipients { near, far }
     }
 
     /// Returns up to `max` instances drawn at random, each with its news address.
     #[must_use]
-    pub fn sample_peers(&self, most: usize) -> Vec<(String, SocketAddr)> {
+    pub fn sample_peers(&self, max: usize) -> Vec<(String, SocketAddr)> {
         let state = self.lock();
-        let drawn = state.peers.known.iter().choose_multiple(&mut rand::rng(), most);
+        let drawn = state.peers.known.iter().choose_multiple(&mut rand::rng(), max);
         drawn.into_iter().map(|(name, peer)| (name.clone(), peer.news)).collect()
     }
 }
--- a/crates/relay/src/dispatcher/peers/sightings.rs
+++ b/crates/relay/src/dispatcher/peers/sightings.rs
@@ -46,13 +46,13 @@
     }
 
     /// Returns up to `max` recent sightings, drawn at random.
-    fn recent_sightings(&self, most: usize, now: Duration) -> Vec<Sighting> {
+    fn recent_sightings(&self, max: usize, now: Duration) -> Vec<Sighting> {
         let recent = |(name, peer): (&String, &Peer)| {
             let age = now.saturating_sub(peer.last_heard?);
             let leaves = peer.status.phase == Phase::Leaving;
             (age < MAX_SENT_AGE).then(|| Sighting { name: short_hash(name), age, leaves })
         };
-        self.known.iter().filter_map(recent).choose_multiple(&mut rand::rng(), most)
+        self.known.iter().filter_map(recent).choose_multiple(&mut rand::rng(), max)
     }
 }
 
@@ -68,7 +68,7 @@
 
     /// Returns up to `max` recent sightings, drawn at random, to send with news.
     #[must_use]
-    pub fn recent_sightings(&self, most: usize) -> Vec<Sighting> {
-        self.lock().peers.recent_sightings(most, clock::now())
+    pub fn recent_sightings(&self, max: usize) -> Vec<Sighting> {
+        self.lock().peers.recent_sightings(max, clock::now())
     }
 }
--- a/crates/relay/src/dispatcher/rollouts.rs
+++ b/crates/relay/src/dispatcher/rollouts.rs
@@ -29,14 +29,14 @@
 
 /// Number of recorded sessions from which expired ones are removed before another is added.
 /// Only the few sessions that take part in trials are recorded.
-const MAX_SESSIONS: usize = 4_096;
+const SESSION_CLEANUP_THRESHOLD: usize = 4_096;
 
 /// Maximum number of sessions in a news message, so that they fit in a datagram.
 const MAX_SENT_SESSIONS: usize = 96;
 
 /// Properties of a request by which it is assigned to a version.
 #[derive(Debug, Clone, Copy)]
-pub struct AssignedRequest {
+pub struct Request {
     /// Identifies the session, or the request if it has none.
     pub session: u64,
     /// Whether the session recently ran on the old version, at any instance.
@@ -149,7 +149,7 @@
     }
 
     /// Returns the versions that a request may run on.
-    pub(super) fn assign(&self, service: &str, request: AssignedRequest, now: Duration) -> Assignment {
+    pub(super) fn assign(&self, service: &str, request: Request, now: Duration) -> Assignment {
         let Some(known) = self.services.get(service) else {
             return Assignment { target: None, takes_target: false, reverted: false, unordered: Vec::new() };
         };
@@ -180,7 +180,7 @@
 
     /// Records that a session runs on an old version.
     pub(super) fn record_session(&mut self, session: u64, now: Duration, lifetime: Duration) {
-        if self.sessions.len() >= MAX_SESSIONS {
+        if self.sessions.len() >= SESSION_CLEANUP_THRESHOLD {
             self.sessions.retain(|_, seen| now < *seen + lifetime);
         }
         self.sessions.insert(session, now);
--- a/crates/relay/src/dispatcher/synchronization.rs
+++ b/crates/relay/src/dispatcher/synchronization.rs
@@ -109,8 +109,8 @@
 impl Synchronization {
     /// Creates the state of an instance that is not synchronized yet. `replacement_bound`
     /// limits how long it may serve with a catalog that was replaced.
-    pub(super) fn new(replace: Option<Duration>) -> Self {
-        Self { announced_catalogs: AnnouncedCatalogs::new(replace), ..Self::default() }
+    pub(super) fn new(replacement_bound: Option<Duration>) -> Self {
+        Self { announced_catalogs: AnnouncedCatalogs::new(replacement_bound), ..Self::default() }
     }
 
     /// Records a complete listing of endpoints.
@@ -141,14 +141,14 @@
     ///
     /// Returns about `soft_limit` changes: the changes of one revision stay together, or a
     /// question from that revision on would miss the rest.
-    fn changes_since(&self, revision: u64, most: usize) -> Option<(u64, Vec<Change>)> {
+    fn changes_since(&self, revision: u64, soft_limit: usize) -> Option<(u64, Vec<Change>)> {
         if revision < self.complete_since {
             return None;
         }
         let mut selected = Vec::new();
         let mut up_to = revision;
         for (at, change) in self.latest_changes.iter().filter(|(at, _)| *at > revision) {
-            if selected.len() >= most && *at > up_to {
+            if selected.len() >= soft_limit && *at > up_to {
                 return Some((up_to, selected));
             }
             up_to = *at;
@@ -175,8 +175,9 @@
     pub fn differences(&self, listed: &[&Endpoint], kept: &[&str]) -> Vec<Change> {
         let known = self.known_endpoints();
         let known: HashMap<&str, &Endpoint> = known.iter().map(|known| (known.id.as_str(), &**known)).collect();
-        let stays: HashSet<&str> = listed.iter().map(|other| other.id.as_str()).chain(kept.iter().copied()).collect();
-        let gone = known.keys().filter(|id| !stays.contains(*id)).map(|id| Change::Gone((*id).to_owned()));
+        let remaining: HashSet<&str> =
+            listed.iter().map(|other| other.id.as_str()).chain(kept.iter().copied()).collect();
+        let gone = known.keys().filter(|id| !remaining.contains(*id)).map(|id| Change::Gone((*id).to_owned()));
         let is_new = |other: &&&Endpoint| known.get(other.id.as_str()) != Some(*other);
         let new = listed.iter().filter(is_new).map(|other| Change::Known((*other).clone()));
         gone.chain(new).collect()
@@ -217,7 +218,7 @@
     /// Returns the reply to another instance's question, with about `soft_limit` changes, or `None`
     /// while this instance knows too little.
     #[must_use]
-    pub fn reply(&self, question: Question, most: usize) -> Option<Reply> {
+    pub fn reply(&self, question: Question, soft_limit: usize) -> Option<Reply> {
         let proof_age = self.keys_age()?;
         // A proof is an answer of the store too.
         let silence = proof_age.min(clock::now().saturating_sub(self.catalog_progress.last_arrival()));
@@ -225,7 +226,7 @@
         if state.knowledge < Knowledge::Endpoints || !state.synchronization.orders_known {
             return None;
         }
-        let since = state.synchronization.changes_since(question.revision, most);
+        let since = state.synchronization.changes_since(question.revision, soft_limit);
         let gap = since.is_none();
         let (revision, changes) = since.unwrap_or((question.revision, Vec::new()));
         Some(Reply {
@@ -240,7 +241,7 @@
     }
 
     /// Applies a reply to a question that was sent at `asked_at`.
-    pub fn apply_reply(&self, asked: Duration, reply: Reply) {
+    pub fn apply_reply(&self, asked_at: Duration, reply: Reply) {
         if reply.silence > MAX_STORE_SILENCE {
             self.record_doubtful_reply(&reply);
             return;
@@ -262,7 +263,7 @@
         }
         // The proof renews the lease only if this instance has the proven catalog.
         if state.catalog.as_ref().is_some_and(|known| known.version >= reply.catalog) {
-            state.lease.renew(asked.saturating_sub(reply.proof_age), Proof::Read);
+            state.lease.renew(asked_at.saturating_sub(reply.proof_age), Proof::Read);
         }
         drop(state);
         self.record_catalog_version(reply.catalog);
@@ -311,15 +312,15 @@
 
     /// Records that another instance has a version of the catalog, so that it can be asked
     /// for it. Ignores a version that is not newer than this instance's.
-    pub fn record_newer_catalog_peer(&self, teller: SocketAddr, version: u64) {
+    pub fn record_newer_catalog_peer(&self, peer: SocketAddr, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
         }
         let newer_catalog_peers = &mut state.synchronization.newer_catalog_peers;
-        newer_catalog_peers.retain(|(known, _)| *known != teller);
+        newer_catalog_peers.retain(|(known, _)| *known != peer);
         newer_catalog_peers.truncate(MAX_NEWER_CATALOG_PEERS - 1);
-        newer_catalog_peers.push_front((teller, version));
+        newer_catalog_peers.push_front((peer, version));
     }
 
     /// Returns the address of an instance that has a newer catalog than this one, drawn at
@@ -329,8 +330,8 @@
         let mut state = self.lock();
         let version = state.catalog.as_ref().map_or(0, |known| known.version);
         state.synchronization.newer_catalog_peers.retain(|(_, announced)| *announced > version);
-        let (teller, _) = state.synchronization.newer_catalog_peers.iter().choose(&mut rand::rng())?;
-        Some(*teller)
+        let (peer, _) = state.synchronization.newer_catalog_peers.iter().choose(&mut rand::rng())?;
+        Some(*peer)
     }
 
     /// Whether another instance has a newer catalog than this one. Many instances announce
--- a/crates/relay/src/dispatcher/watchers.rs
+++ b/crates/relay/src/dispatcher/watchers.rs
@@ -66,7 +66,7 @@
         let state = self.lock();
         // This instance is a watcher only while its own calls to the store succeed.
         let answered = state.synchronization.last_reply.is_some_and(|at| now < at + MAX_REPLY_SILENCE);
-        answered && !(state.in_touch && self.is_watcher(&state, now, true))
+        answered && !(state.last_store_call_succeeded && self.is_watcher(&state, now, true))
     }
 
     /// Whether this instance is one of the few that probe an unreachable store often; the
@@ -97,7 +97,9 @@
     pub fn watcher_to_ask(&self, turn: usize) -> Option<SocketAddr> {
         let now = clock::now();
         let state = self.lock();
-        if state.synchronization.revision == 0 || (state.in_touch && self.is_watcher(&state, now, true)) {
+        if state.synchronization.revision == 0
+            || (state.last_store_call_succeeded && self.is_watcher(&state, now, true))
+        {
             return None;
         }
         let mut watchers = state.top_watchers(now);
@@ -109,10 +111,10 @@
     /// Whether this instance ranks among the first few, which watch the store. All instances
     /// compute the same ranking. With `only_in_touch`, other instances are left out of it
     /// unless their own calls to the store succeed.
-    fn is_watcher(&self, state: &State, now: Duration, in_touch: bool) -> bool {
+    fn is_watcher(&self, state: &State, now: Duration, only_in_touch: bool) -> bool {
         let hash = hash::stable(self.settings.instance.as_bytes());
         let me = Rank::new(state.is_narrow, self.settings.cores, hash);
-        let mut before = state.peers.watchers(now, in_touch).filter(|other| other.rank < me);
+        let mut before = state.peers.watchers(now, only_in_touch).filter(|other| other.rank < me);
         before.nth(WATCHER_COUNT - 1).is_none()
     }
 }
