--- a/crates/relay/src/dispatcher/fleet/limits.rs
+++ b/crates/relay/src/dispatcher/fleet/limits.rs
@@ -55,7 +55,7 @@
 }
 
 impl Run {
-    /// Records what the endpoint said about its limit, and queues a change for the other instances.
+    /// Records what the endpoint announced about its limit, and queues a change for the other instances.
     pub fn record_limit(&self, announced: Announcement) {
         let now = clock::now();
         let announcement = match announced {
@@ -106,13 +106,13 @@
         }
         limited.shares_updated_at = now;
         limited.keys.retain(|key| servers.get(*key).is_some_and(|server| server.is_limited(now)));
-        let is_sender = self.draining_since.is_none();
+        let takes_share = self.draining_since.is_none();
         for key in &limited.keys {
             let Some(server) = servers.get_mut(*key) else { continue };
             let Some(per_s) = server.throttle.limit(now) else { continue };
             let others = self.peers.serving(now);
             let share =
-                if is_sender { throttle::share(per_s, server.hash, self.peers.me, others) } else { Share::default() };
+                if takes_share { throttle::share(per_s, server.hash, self.peers.me, others) } else { Share::default() };
             server.throttle.set_share(now, share);
         }
     }
@@ -141,9 +141,9 @@
         }
     }
 
-    /// Returns up to `most` recent updates of limits, drawn at random, for instances that missed them.
+    /// Returns up to `max` recent updates of limits, drawn at random, for instances that missed them.
     #[must_use]
-    pub fn recent_limits(&self, most: usize) -> Vec<Limit> {
+    pub fn recent_limits(&self, max: usize) -> Vec<Limit> {
         let now = clock::now();
         let state = self.lock();
         let Fleet { servers, limited, .. } = &state.fleet;
@@ -153,7 +153,7 @@
             let age = now.saturating_sub(announcement.at);
             (age < MAX_REPEATED_AGE).then_some(Limit { start: server.hash, per_s: announcement.per_s, age })
         });
-        recent.choose_multiple(&mut rand::rng(), most)
+        recent.choose_multiple(&mut rand::rng(), max)
     }
 
     /// Returns the time until an endpoint of a service accepts a request, if the limits of
@@ -179,7 +179,7 @@
 }
 
 impl Server {
-    /// Whether the endpoint announces a limit or has ended one recently.
+    /// Whether the endpoint has a limit, or announced recently that it no longer has one.
     fn is_limited(&self, now: Duration) -> bool {
         self.throttle.limit(now).is_some()
             || self.throttle.last_announcement().is_some_and(|announcement| now < announcement.at + MAX_REPEATED_AGE)
--- a/crates/relay/src/dispatcher/peers/recipients.rs
+++ b/crates/relay/src/dispatcher/peers/recipients.rs
@@ -10,24 +10,25 @@
 use crate::{clock, dispatcher::Dispatcher, settings::Cores};
 
 /// Time for which a newly discovered instance that has not sent news yet receives every
-/// piece of news. Live instances answer within two pieces; others are stale
-/// entries of the store.
+/// news message. Live instances answer by the second one; others are stale entries of
+/// the store.
 const GREETING_PERIOD: Duration = Duration::from_secs(2);
 
-/// Number of other instances up to which all are sent everything directly. With more, relays
-/// forward notices of long prompts, which takes a tenth of the datagrams at the cost of
-/// a batch's delay, and other failure domains receive only news that does not become
-/// outdated within a round.
+/// Number of other live instances up to which all are sent everything directly. With more,
+/// relays forward notices of long prompts in batches. That takes a tenth of the datagrams but
+/// delays notices by a batch, and other failure domains receive only news that does not
+/// become outdated within a round.
 const MAX_DIRECT_RECIPIENTS: usize = 96;
 
-/// Recipients of the next pieces of news.
+/// Recipients of the next news messages.
 #[derive(Debug, Clone, Default)]
 pub struct NewsRecipients {
-    /// Recipients among all instances; in a large fleet, among those of the own failure domain.
+    /// Recipients among all instances; in a large fleet, among those in this
+    /// instance's failure domain.
     pub near: Recipients,
-    /// Recipients among the other instances of a large fleet. They receive no loads, which
-    /// would be outdated long before the next update, and bytes between failure domains
-    /// are billed.
+    /// Recipients in other failure domains of a large fleet. They receive no loads: those
+    /// would be outdated long before the next update, and bytes between failure domains are
+    /// billed.
     pub far: Recipients,
 }
 
@@ -41,9 +42,9 @@
 }
 
 impl Recipients {
-    /// Selects the recipients of a turn, at most `most`.
-    fn of<'a>(peers: impl Iterator<Item = &'a Peer> + Clone, turn: usize, most: usize) -> Self {
-        let rounds = peers.clone().count().div_ceil(most).max(1);
+    /// Selects the recipients of a turn, at most `max`.
+    fn of<'a>(peers: impl Iterator<Item = &'a Peer> + Clone, turn: usize, max: usize) -> Self {
+        let rounds = peers.clone().count().div_ceil(max).max(1);
         Self { news: peers.skip(turn % rounds).step_by(rounds).map(|peer| peer.news).collect(), rounds }
     }
 }
@@ -58,7 +59,8 @@
     Relays(Vec<SocketAddr>),
 }
 
-/// An instance that may forward notices in its failure domain; the greatest one does.
+/// An instance that may forward notices in its failure domain. The greatest one in the order
+/// of the fields does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Relay {
     cores: Cores,
@@ -81,8 +83,8 @@
             return;
         }
         let mut relays: BTreeMap<&str, Relay> = BTreeMap::from([(self.domain.as_str(), me)]);
-        let stays = |peer: &&Peer| peer.is_live(now) && peer.status.phase != Phase::Leaving;
-        for peer in self.known.values().filter(stays) {
+        let may_relay = |peer: &&Peer| peer.is_live(now) && peer.status.phase != Phase::Leaving;
+        for peer in self.known.values().filter(may_relay) {
             let other = Relay { cores: peer.status.cores, hash: peer.hash, news: peer.news };
             let relay = relays.entry(&peer.status.domain).or_insert(other);
             *relay = (*relay).max(other);
@@ -143,10 +145,10 @@
         recipients
     }
 
-    /// Returns the recipients of the next pieces of news, at most `most`: parts of the known
+    /// Returns the recipients of the next news messages, at most `max`: parts of the known
     /// instances that change with each turn.
     #[must_use]
-    pub fn news_recipients(&self, turn: usize, most: usize) -> NewsRecipients {
+    pub fn news_recipients(&self, turn: usize, max: usize) -> NewsRecipients {
         let now = clock::now();
         let me = Relay {
             cores: self.settings.cores,
@@ -158,21 +160,21 @@
         peers.choose_relays(me, now);
         if peers.live_count <= MAX_DIRECT_RECIPIENTS {
             return NewsRecipients {
-                near: Recipients::of(peers.known.values(), turn, most),
+                near: Recipients::of(peers.known.values(), turn, max),
                 far: Recipients::default(),
             };
         }
         let is_near = |peer: &&Peer| peer.status.domain == peers.domain;
-        let near = Recipients::of(peers.known.values().filter(is_near), turn, most / 2);
-        let far = Recipients::of(peers.known.values().filter(|peer| !is_near(peer)), turn, most / 2);
+        let near = Recipients::of(peers.known.values().filter(is_near), turn, max / 2);
+        let far = Recipients::of(peers.known.values().filter(|peer| !is_near(peer)), turn, max / 2);
         NewsRecipients { near, far }
     }
 
-    /// Returns up to `most` instances drawn at random, each with its news address.
+    /// Returns up to `max` instances drawn at random, each with its news address.
     #[must_use]
-    pub fn sample_peers(&self, most: usize) -> Vec<(String, SocketAddr)> {
+    pub fn sample_peers(&self, max: usize) -> Vec<(String, SocketAddr)> {
         let state = self.lock();
-        let drawn = state.peers.known.iter().choose_multiple(&mut rand::rng(), most);
+        let drawn = state.peers.known.iter().choose_multiple(&mut rand::rng(), max);
         drawn.into_iter().map(|(name, peer)| (name.clone(), peer.news)).collect()
     }
 }
--- a/crates/relay/src/dispatcher/synchronization.rs
+++ b/crates/relay/src/dispatcher/synchronization.rs
@@ -3,10 +3,12 @@
 //! Each call to the store is billed, and its rate limits grow more slowly than the fleet.
 //! So only a few instances watch the store, and the others send questions to one of
 //! those. A question states up to which revision the asking instance knows the endpoints.
-//! The reply contains the changes since, the version of the catalog in force, and the age
-//! of the proof that it is. That age counts from when the question was sent, so a delay
-//! on the way only makes the proof look older. Changes that do not fit or are no longer
-//! kept are read from the store, and so is everything while nobody replies.
+//! The reply contains the changes since then, the version of the catalog in force, and the
+//! age of the proof that this version is in force. The asking instance counts that age back
+//! from when it sent the question, so a delay on the way only makes the proof look older.
+//! Changes that do not fit into a reply follow in the next ones. If changes are no longer
+//! kept, the asking instance lists the endpoints from the store; while nobody replies, it
+//! reads everything from there.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -31,10 +33,10 @@
 /// Number of doubtful replies in a row after which an instance watches the store itself; the
 /// second comes from another instance than the first.
 ///
-/// All watchers may be cut off from the store together, and continue to prove their last
-/// catalog. They notice after 1.5 s, and it takes as long again until others have replaced
-/// them and announced a new catalog. Instances that waited for that served with
-/// the old catalog for longer than operators allow.
+/// All watchers may be cut off from the store together, and continue to report their last
+/// catalog as the one in force. They notice after 1.5 s, and it takes as long again until
+/// others have replaced them and announced a new catalog. Instances that waited for that
+/// served with the old catalog for longer than operators allow.
 const MAX_DOUBTFUL_REPLIES: u32 = 2;
 
 /// Maximum number of remembered instances with a newer catalog: several, so that not all
@@ -62,12 +64,12 @@
     complete_since: u64,
     /// Latest changes, each with the revision that contains it.
     latest_changes: VecDeque<(u64, Change)>,
-    /// When the last reply without doubts was received.
+    /// When the last reply that was not doubtful was received.
     pub(super) last_reply: Option<Duration>,
     /// Number of replies in a row from instances that seem to have lost the store.
     pub(super) doubtful_replies: u32,
-    /// Whether such replies ended the synchronization, and neither other instances nor own
-    /// calls have shown since that the store is reachable.
+    /// Whether doubtful replies ended the synchronization, and neither replies nor this
+    /// instance's own calls have shown since that the store is reachable.
     pub(super) doubts_store: bool,
     /// Whether all roll-outs have been listed.
     orders_known: bool,
@@ -93,7 +95,7 @@
     pub proof_age: Duration,
     /// Time since the replying instance last received an answer of the store.
     pub silence: Duration,
-    /// Revision that the changes lead to; the one of the question if the changes are no longer
+    /// Revision that the changes lead to; the question's revision if the changes are no longer
     /// kept.
     pub revision: u64,
     /// Whether changes are missing, so that the endpoints must be read from the store.
@@ -105,10 +107,10 @@
 }
 
 impl Synchronization {
-    /// Creates the state of an instance that is not synchronized yet. `replace` limits how
-    /// long it may serve with a catalog that was replaced.
-    pub(super) fn new(replace: Option<Duration>) -> Self {
-        Self { announced_catalogs: AnnouncedCatalogs::new(replace), ..Self::default() }
+    /// Creates the state of an instance that is not synchronized yet. `replacement_bound`
+    /// limits how long it may serve with a catalog that was replaced.
+    pub(super) fn new(replacement_bound: Option<Duration>) -> Self {
+        Self { announced_catalogs: AnnouncedCatalogs::new(replacement_bound), ..Self::default() }
     }
 
     /// Records a complete listing of endpoints.
@@ -137,16 +139,16 @@
     /// Returns the first changes after a revision and the revision that they lead to, or
     /// `None` if not all of them are kept.
     ///
-    /// Returns about `most` changes: the changes of one revision stay together, or a
+    /// Returns about `soft_limit` changes: the changes of one revision stay together, or a
     /// question from that revision on would miss the rest.
-    fn changes_since(&self, revision: u64, most: usize) -> Option<(u64, Vec<Change>)> {
+    fn changes_since(&self, revision: u64, soft_limit: usize) -> Option<(u64, Vec<Change>)> {
         if revision < self.complete_since {
             return None;
         }
         let mut selected = Vec::new();
         let mut up_to = revision;
         for (at, change) in self.latest_changes.iter().filter(|(at, _)| *at > revision) {
-            if selected.len() >= most && *at > up_to {
+            if selected.len() >= soft_limit && *at > up_to {
                 return Some((up_to, selected));
             }
             up_to = *at;
@@ -173,8 +175,9 @@
     pub fn differences(&self, listed: &[&Endpoint], kept: &[&str]) -> Vec<Change> {
         let known = self.known_endpoints();
         let known: HashMap<&str, &Endpoint> = known.iter().map(|known| (known.id.as_str(), &**known)).collect();
-        let stays: HashSet<&str> = listed.iter().map(|other| other.id.as_str()).chain(kept.iter().copied()).collect();
-        let gone = known.keys().filter(|id| !stays.contains(*id)).map(|id| Change::Gone((*id).to_owned()));
+        let remaining: HashSet<&str> =
+            listed.iter().map(|other| other.id.as_str()).chain(kept.iter().copied()).collect();
+        let gone = known.keys().filter(|id| !remaining.contains(*id)).map(|id| Change::Gone((*id).to_owned()));
         let is_new = |other: &&&Endpoint| known.get(other.id.as_str()) != Some(*other);
         let new = listed.iter().filter(is_new).map(|other| Change::Known((*other).clone()));
         gone.chain(new).collect()
@@ -201,7 +204,7 @@
     pub fn set_narrow(&self, is_narrow: bool) {
         let mut state = self.lock();
         if state.is_narrow != is_narrow {
-            tracing::info!(is_narrow, "time to read the catalog changed");
+            tracing::info!(is_narrow, "link classified by time to read the catalog");
             state.is_narrow = is_narrow;
         }
     }
@@ -212,10 +215,10 @@
         Question { revision: self.endpoints_revision() }
     }
 
-    /// Returns the reply to another instance's question, with about `most` changes, or `None`
+    /// Returns the reply to another instance's question, with about `soft_limit` changes, or `None`
     /// while this instance knows too little.
     #[must_use]
-    pub fn reply(&self, question: Question, most: usize) -> Option<Reply> {
+    pub fn reply(&self, question: Question, soft_limit: usize) -> Option<Reply> {
         let proof_age = self.keys_age()?;
         // A proof is an answer of the store too.
         let silence = proof_age.min(clock::now().saturating_sub(self.catalog_progress.last_arrival()));
@@ -223,7 +226,7 @@
         if state.knowledge < Knowledge::Endpoints || !state.synchronization.orders_known {
             return None;
         }
-        let since = state.synchronization.changes_since(question.revision, most);
+        let since = state.synchronization.changes_since(question.revision, soft_limit);
         let gap = since.is_none();
         let (revision, changes) = since.unwrap_or((question.revision, Vec::new()));
         Some(Reply {
@@ -237,15 +240,15 @@
         })
     }
 
-    /// Applies a reply to a question that was sent at `asked`.
-    pub fn apply_reply(&self, asked: Duration, reply: Reply) {
+    /// Applies a reply to a question that was sent at `asked_at`.
+    pub fn apply_reply(&self, asked_at: Duration, reply: Reply) {
         if reply.silence > MAX_STORE_SILENCE {
             self.record_doubtful_reply(&reply);
             return;
         }
-        // This instance may have read the store itself since it asked. Earlier changes are
-        // outdated then: they would remove an endpoint that has come back, and no
-        // later change would add it again.
+        // This instance may have read the store itself since it asked. Changes that it read
+        // there are outdated in the reply: they could remove an endpoint that has come back,
+        // and no later change would add it again.
         if reply.revision > self.endpoints_revision() {
             self.apply_changes(&reply.changes);
         }
@@ -260,7 +263,7 @@
         }
         // The proof renews the lease only if this instance has the proven catalog.
         if state.catalog.as_ref().is_some_and(|known| known.version >= reply.catalog) {
-            state.lease.renew(asked.saturating_sub(reply.proof_age), Proof::Read);
+            state.lease.renew(asked_at.saturating_sub(reply.proof_age), Proof::Read);
         }
         drop(state);
         self.record_catalog_version(reply.catalog);
@@ -294,7 +297,8 @@
         self.record_catalog_version(reply.catalog);
     }
 
-    /// Records the catalog version of another instance, and requests a newer one to be read.
+    /// Records the catalog version of another instance, and has the catalog read again if
+    /// that version is newer than this instance's.
     pub(super) fn record_catalog_version(&self, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
@@ -306,16 +310,17 @@
         self.catalog_wanted.notify_one();
     }
 
-    /// Records that another instance has a catalog, so that it can be asked for a newer one.
-    pub fn record_newer_catalog_peer(&self, teller: SocketAddr, version: u64) {
+    /// Records that another instance has a version of the catalog, so that it can be asked
+    /// for it. Ignores a version that is not newer than this instance's.
+    pub fn record_newer_catalog_peer(&self, peer: SocketAddr, version: u64) {
         let mut state = self.lock();
         if state.catalog.as_ref().is_some_and(|known| known.version >= version) || version == 0 {
             return;
         }
         let newer_catalog_peers = &mut state.synchronization.newer_catalog_peers;
-        newer_catalog_peers.retain(|(known, _)| *known != teller);
+        newer_catalog_peers.retain(|(known, _)| *known != peer);
         newer_catalog_peers.truncate(MAX_NEWER_CATALOG_PEERS - 1);
-        newer_catalog_peers.push_front((teller, version));
+        newer_catalog_peers.push_front((peer, version));
     }
 
     /// Returns the address of an instance that has a newer catalog than this one, drawn at
@@ -325,8 +330,8 @@
         let mut state = self.lock();
         let version = state.catalog.as_ref().map_or(0, |known| known.version);
         state.synchronization.newer_catalog_peers.retain(|(_, announced)| *announced > version);
-        let (teller, _) = state.synchronization.newer_catalog_peers.iter().choose(&mut rand::rng())?;
-        Some(*teller)
+        let (peer, _) = state.synchronization.newer_catalog_peers.iter().choose(&mut rand::rng())?;
+        Some(*peer)
     }
 
     /// Whether another instance has a newer catalog than this one. Many instances announce
@@ -337,7 +342,8 @@
         self.lock().synchronization.announced_catalogs.is_behind()
     }
 
-    /// Replaces the known roll-outs by those of a reply, keeping newer revisions.
+    /// Replaces the known roll-outs by those of a reply, except where this instance knows a
+    /// newer revision.
     fn apply_orders(&self, orders: &[Rollout]) {
         let known = self.lock().rollouts.orders();
         for gone in known.iter().filter(|order| !orders.iter().any(|other| other.service == order.service)) {
