--- a/crates/entry/src/answers.rs
+++ b/crates/entry/src/answers.rs
@@ -52,11 +52,11 @@
 /// The result of looking up a request's key.
 #[derive(Debug)]
 pub enum Lookup {
-    /// Nothing was stored; a new answer buffer to write the answer to, and its reader.
+    /// No answer was stored. Contains the new buffer for the answer, and its reader.
     New(Buffer, Reader),
-    /// The same request, running or answered; a reader of its answer.
+    /// The same request is running or was answered. Contains a reader of its answer.
     Same(Reader),
-    /// Another request under the same key.
+    /// The key belongs to another request.
     OtherRequest,
 }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Keeps a whole answer for a limited time.
+    /// Keeps a complete answer for a limited time.
     pub fn keep_finished(&self, id: &Id, buffer: &Buffer, bytes: usize) {
         let mut shared = self.lock();
         shared.bytes += bytes;
--- a/crates/entry/src/buffer.rs
+++ b/crates/entry/src/buffer.rs
@@ -39,16 +39,16 @@
 /// How an answer ended.
 #[derive(Debug, Clone)]
 pub enum End {
-    /// A whole chat answer.
+    /// A complete chat answer.
     Whole {
         /// Why the engine stopped.
         reason: Reason,
         /// Number of prompt and completion tokens.
         usage: Usage,
     },
-    /// A plain service's whole answer.
+    /// A plain service's complete answer.
     Reply(Arc<Reply>),
-    /// A failure without a whole answer.
+    /// A failure without a complete answer.
     Failed(Arc<Problem>),
 }
 
@@ -59,7 +59,7 @@
     pub status: StatusCode,
     /// Headers forwarded to the caller.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
@@ -239,7 +239,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Every change is a single assignment, so the state is consistent even if a
+        // The state is consistent after each single assignment, so it stays usable if a
         // holder of the lock panicked.
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -8,7 +8,7 @@
 pub use world::time::millis;
 use world::{Millis, Timestamp};
 
-/// Returns the present wall-clock time.
+/// Returns the current wall-clock time.
 #[must_use]
 pub fn now() -> Timestamp {
     SystemTime::now().into()
--- a/crates/entry/src/dispatcher.rs
+++ b/crates/entry/src/dispatcher.rs
@@ -57,7 +57,8 @@
     pub weight: u32,
     /// Time by which the request must be complete.
     pub deadline: Timestamp,
-    /// Pseudo-random number derived from the request.
+    /// Pseudo-random number derived from the request; spreads the retry delays of
+    /// refused requests.
     pub draw: u64,
 }
 
@@ -66,7 +67,7 @@
 pub struct VersionQuery {
     /// The configuration in force.
     pub catalog: Arc<Catalog>,
-    /// Versions stopped before the catalog says so.
+    /// Versions that are stopped, even if the catalog does not show it yet.
     pub stops: Arc<Stops>,
     /// Customer that sent the request.
     pub customer: Customer,
@@ -76,7 +77,8 @@
     pub class: Class,
     /// Session of the request, if it has one.
     pub session: Option<Session>,
-    /// Unit that a roll-out counts: the session, or the request if it has none.
+    /// Unit that a roll-out assigns to a version: the session, or the request if it has
+    /// none.
     pub unit: Unit,
     /// Whether the request may run more than once.
     pub repeat: Repeat,
@@ -107,8 +109,8 @@
 
 /// Admission of a request. Dropping it frees the slot for the next waiting request.
 ///
-/// This is a guard because a caller may hang up between the grant and its receipt.
-/// A slot that is not released would be lost until the instance restarts.
+/// The slot is freed on drop because a caller may hang up between the grant and its
+/// receipt. A slot that is not released would be lost until the instance restarts.
 #[derive(Debug)]
 pub struct Admission {
     /// Priority for the engine, from 0 (highest) to 9.
@@ -133,7 +135,7 @@
     pub endpoint: world_endpoint::Id,
     /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Reason for the choice, for the request's time line.
+    /// Reason for the choice, for the request's timeline.
     pub reason: String,
     /// Expected duration of a run, in milliseconds.
     pub expected_ms: Millis,
@@ -296,8 +298,8 @@
         self.notify(Message::Expire(record));
     }
 
-    /// Updates the record of a request that escalates to a higher tier, where it is
-    /// expected to pass at `rate`.
+    /// Updates the record of a request that escalates to a higher tier; `rate` is the
+    /// expected pass rate there.
     ///
     /// # Errors
     ///
@@ -337,7 +339,8 @@
         self.notify(Message::CacheEvents(endpoint, events));
     }
 
-    /// Sets the endpoints that are leaving. All others are not.
+    /// Sets the list of leaving endpoints. An endpoint that is no longer in the list
+    /// gets new work again.
     pub fn set_leaving(&self, endpoints: Vec<world_endpoint::Id>) {
         self.notify(Message::SetLeaving(endpoints));
     }
--- a/crates/entry/src/dispatcher/learn.rs
+++ b/crates/entry/src/dispatcher/learn.rs
@@ -25,7 +25,8 @@
 pub struct ChoiceRecord {
     /// Customer that sent the request.
     pub customer: Customer,
-    /// Unit that a roll-out counts: the session, or the request if it has none.
+    /// Unit that a roll-out assigns to a version: the session, or the request if it has
+    /// none.
     pub unit: Unit,
     pub(super) cell: Cell,
     pub(super) pending: Pending,
@@ -63,10 +64,12 @@
         self.rater_backoff_until = now.plus(RATER_BACKOFF_MS);
     }
 
+    /// Removes the pending rating of a request that produced no answer.
     pub fn discard(&mut self, record: &ChoiceRecord) {
         self.quality.remove_pending(record.cell, record.pending);
     }
 
+    /// Records that a delivered answer will not be rated.
     pub fn expire(&mut self, record: &ChoiceRecord) {
         self.quality.lapse(record.cell, record.pending);
     }
@@ -104,17 +107,18 @@
     /// Records ratings that arrived after delivery, of this instance's answers and of
     /// others'.
     ///
-    /// Only ratings of this instance's own answers close a pending account and count
-    /// for the guard: evidence is summed over instances, so a rating counted by every
-    /// instance would weigh that many times too much. A rating of another instance's
-    /// answer does not say whether the answer was the first or an escalation after a
-    /// failed one. Escalated requests are the harder ones and would make an expensive
-    /// version look worse than it is. So only first-tier ratings are learned from,
-    /// because no request escalates to the first tier.
+    /// Only ratings of this instance's own answers resolve a pending rating and count
+    /// for the version guard: observations are summed over instances, so a rating
+    /// counted by every instance would weigh that many times too much. A rating of
+    /// another instance's answer does not say whether the answer was the first or an
+    /// escalation after a failed one. Escalated requests are the harder
+    /// ones and would make an expensive version look worse than it is. So only
+    /// first-tier ratings are learned from, because no request escalates to the first
+    /// tier.
     ///
     /// An answer expires once an answer delivered more than `LAPSE_MS` later has been
-    /// rated. The rating service has skipped it, and its account would otherwise stay
-    /// pending forever.
+    /// rated. The rating service has skipped it, and it would otherwise stay pending
+    /// forever.
     pub fn record_late_ratings(&mut self, ratings: Vec<Rating>, catalog: &Catalog) {
         for rating in ratings {
             let Some((at, answer)) = self.unrated.remove(&rating.id) else {
--- a/crates/entry/src/dispatcher/state.rs
+++ b/crates/entry/src/dispatcher/state.rs
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Refuses requests that can no longer complete in time, now instead of at their
+    /// Refuses requests that can no longer complete in time without waiting for their
     /// deadline, and admits others as endpoints report free capacity.
     fn shed(&mut self) {
         let now = clock::now();
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -40,7 +40,7 @@
     request: Request,
     buffer: Buffer,
     machine: Machine,
-    /// Whether the request's claim is durable, so that no other try under its key runs.
+    /// Whether the request's claim is durable, so that no other call with its key runs it.
     is_claimed: bool,
     /// Admission granted by the queue; dropping it lets the next request in.
     admission: Option<Admission>,
@@ -69,7 +69,7 @@
 /// The versions, session and prices chosen before the first dispatch.
 struct Chosen {
     choice: Choice,
-    /// Index of the present cascade step in `choice`.
+    /// Index of the current cascade step in `choice`.
     step: usize,
     /// Record of this request as an answer whose rating is pending.
     record: ChoiceRecord,
@@ -93,14 +93,14 @@
 /// State of the answer, accumulated over all attempts.
 #[derive(Default)]
 struct Answer {
-    /// Bytes of the present attempt's text that are accounted for: equal to text
-    /// already sent before a break, or newly sent.
+    /// Number of bytes of the current attempt's text that were either found equal to
+    /// text sent by an earlier attempt, or sent by this one.
     matched_bytes: usize,
     /// Text of a cascade step that is held back until it is rated.
     unrated_text: String,
     /// Finish reason and usage from the last frame.
     last_frame: Option<(endpoint::frame::Reason, Usage)>,
-    /// Whole answer of a plain service.
+    /// Complete answer of a plain service.
     reply: Option<Arc<Reply>>,
     cost: Amount,
     input_tokens: u64,
@@ -170,7 +170,7 @@
         let buffer = self.buffer.clone();
         let deadline = self.request.deadline;
         let ignores_hang_up = self.machine.outlives_caller();
-        // A whole answer is billed even if the deadline passes meanwhile: the
+        // A complete answer is billed even if the deadline passes meanwhile: the
         // work is done, and an answer without a bill cannot be delivered.
         let is_bounded = self.machine.state() != State::Billing;
         tokio::select! {
@@ -219,7 +219,7 @@
         Problem::not_run(Kind::Internal, "no cause was recorded")
     }
 
-    /// Ends the request without a whole answer.
+    /// Ends the request without a complete answer.
     async fn fail(&mut self, ran: Ran) {
         let mut problem = self.failure_problem(ran);
         self.drop_attempt();
@@ -274,7 +274,7 @@
         self.buffer.write_end(End::Failed(Arc::new(problem)));
     }
 
-    /// Writes the end of the whole, billed answer.
+    /// Writes the end of the complete, billed answer.
     async fn deliver(&mut self) {
         self.record_reported_moves().await;
         let frames = self.answer.frames;
@@ -303,7 +303,7 @@
         self.buffer.write_head(Head { request, version: self.version(), session, moved });
     }
 
-    /// Returns the version of the present cascade step; `None` for a plain service.
+    /// Returns the version of the current cascade step; `None` for a plain service.
     fn version(&self) -> Option<Version> {
         let chosen = self.chosen.as_ref()?;
         Some(chosen.choice.steps()[chosen.step].version().clone())
--- a/crates/entry/src/driver/account.rs
+++ b/crates/entry/src/driver/account.rs
@@ -1,4 +1,4 @@
-//! Steps after an answer is whole: rating, escalation, billing and recording the
+//! Steps after an answer is complete: rating, escalation, billing and recording the
 //! outcome.
 
 use std::time::Duration;
@@ -27,14 +27,15 @@
 const MIN_BILLING_TIME: Duration = Duration::from_secs(5);
 /// Pause before storing a bill is retried.
 const BILL_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Maximum number of bills created because another instance settled the grant.
+/// Maximum number of bills created for one answer. A new bill is needed when another
+/// instance has closed the budget grant of the previous one.
 const MAX_BILLS: usize = 2;
 /// Longest wait for an outcome to be recorded; after it the journal delivers the
 /// outcome later.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Driver {
-    /// Rates the whole answer of a cascade step before any of it is sent.
+    /// Rates the complete answer of a cascade step before any of it is sent.
     pub(super) async fn rate(&mut self) -> Event {
         let Some(sample) = self.rating_sample(self.answer.unrated_text.clone()) else {
             return Event::Fault;
@@ -124,7 +125,7 @@
             };
             match self.shared.links.journal.bill(&bill, deadline).await {
                 Ok(receipt) => return Ok((bill, receipt)),
-                // Another instance considered this one lost and settled its grant.
+                // Another instance considered this one lost and closed its budget grant.
                 Err(Error::NotRecorded(Reason::GrantClosed)) => {
                     renewed += 1;
                     self.bill = None;
@@ -132,7 +133,7 @@
                 }
                 Err(error) if Instant::now() + BILL_RETRY_PAUSE >= give_up => return Err(error.to_string()),
                 // Neither the platform nor a second instance has stored the bill.
-                // The answer is whole and the caller waits only for this, so a
+                // The answer is complete and the caller waits only for this, so a
                 // short outage is retried and a longer one reported.
                 Err(_) => sleep(BILL_RETRY_PAUSE).await,
             }
@@ -198,8 +199,8 @@
         })
     }
 
-    /// Records a stored bill in the timeline and the metrics, settles the request
-    /// and submits its answer for rating.
+    /// Records a stored bill in the timeline and the metrics, records the request's
+    /// outcome and submits its answer for rating.
     pub(super) fn record_bill(&mut self, bill: &Bill, receipt: Receipt) {
         let version = self.version();
         let step = Step::Billed { version, cost: bill.amount, currency: bill.currency, attempts: bill.attempts };
@@ -218,9 +219,9 @@
         self.submit_for_rating();
     }
 
-    /// Settles the registration of the request's key in the background.
+    /// Records in the background that a registered request was answered.
     ///
-    /// The bill itself settles a claim, but not a registration.
+    /// The bill itself records the outcome of a claim, but not that of a registration.
     fn settle_answered(&self) {
         if !self.request.terms.has_caller_key {
             return;
@@ -232,7 +233,7 @@
         });
     }
 
-    /// Records the outcome of a request that ended without a whole answer.
+    /// Records the outcome of a request that ended without a complete answer.
     pub(super) async fn settle_unanswered(&mut self, ran: Ran) {
         if ran != Ran::No {
             self.report_to_guard(Observed::Failed);
@@ -283,7 +284,7 @@
         })
     }
 
-    /// Reports how the present version did to the version guard.
+    /// Reports to the version guard how the current version performed.
     pub(super) fn report_to_guard(&self, outcome: Observed) {
         let Some(version) = self.version() else { return };
         self.shared.links.control.observe(Observation {
@@ -295,7 +296,7 @@
     }
 }
 
-/// Maps a step's index to its stage in the quality account.
+/// Maps a cascade step's index to its stage in the quality estimates.
 fn stage(step: usize) -> Stage {
     if step == 0 { Stage::First } else { Stage::Escalated }
 }
--- a/crates/entry/src/driver/admission.rs
+++ b/crates/entry/src/driver/admission.rs
@@ -34,8 +34,8 @@
     /// Registers an idempotent request that has a caller's key with the key's home
     /// instance.
     ///
-    /// Returns whether the request has to run here. Otherwise another run gave its
-    /// outcome, it was refused, or every caller has hung up.
+    /// Returns whether the request has to run here. It does not if its callers got the
+    /// outcome of another run or a refusal, or if all of them have hung up.
     pub(super) async fn register_key(&mut self) -> bool {
         if self.request.repeat == Repeat::Never || !self.request.terms.has_caller_key {
             return true;
@@ -56,9 +56,9 @@
                 false
             }
             Ok(Registered::First) => true,
-            // An earlier try may have run, or the home instance cannot be reached.
+            // An earlier call may have run, or the home instance cannot be reached.
             // Running an idempotent request twice is harmless, and it is billed
-            // once, but it can no longer be promised that it has not run.
+            // once, but "not run" can no longer be guaranteed.
             Ok(Registered::Again) => {
                 self.machine.record_earlier_run(Ran::Unknown);
                 true
@@ -184,7 +184,7 @@
                 Event::Claimed
             }
             Ok(Claimed::Known(known)) => self.handle_known_claim(known).await,
-            // Nobody can tell any more whether a request with an expired key ran.
+            // Whether a request with an expired key ran is no longer known.
             Err(Error::NotRecorded(Reason::KeyTooOld)) => {
                 self.refuse(journal_problem(Reason::KeyTooOld));
                 Event::Superseded
--- a/crates/entry/src/driver/choose.rs
+++ b/crates/entry/src/driver/choose.rs
@@ -199,8 +199,8 @@
 
     /// Excludes a version under roll-out that failed this request.
     ///
-    /// Until the guard has enough observations, a bad version fails every request
-    /// on every endpoint, while its predecessor would answer. A session that is
+    /// Until the version guard has enough observations, a bad version fails every
+    /// request on every endpoint, while its predecessor would answer. A session that is
     /// already pinned to the version keeps it.
     pub(super) fn exclude_failed_version(&mut self) {
         let named = matches!(self.request.session, Some(Reference::CallerNamed(_)));
--- a/crates/entry/src/driver/dispatch.rs
+++ b/crates/entry/src/driver/dispatch.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Calls a plain service and takes its whole answer.
+    /// Calls a plain service and takes its complete answer.
     async fn call(&mut self, call: endpoint::service::Call, reservation: Reservation) -> Event {
         let started = Instant::now();
         match self.shared.links.endpoint.call_service(call).await {
@@ -180,8 +180,8 @@
                 self.cause = Some(Problem::not_run(Kind::Malformed, format!("the engine refused it: status {status}")));
                 Event::Declined
             }
-            // The endpoint works but the version does not, so the guard must count
-            // this failure although nothing ran.
+            // The endpoint works but the version does not, so the version guard
+            // must count this failure although nothing ran.
             Error::Refused { refusal: Refusal::Status(_), .. } => {
                 self.report_to_guard(Observed::Failed);
                 self.exclude_failed_version();
@@ -225,7 +225,7 @@
     }
 }
 
-/// Returns a new, unique attempt name.
+/// Returns a new, unique attempt id.
 fn new_attempt_id() -> AttemptId {
     AttemptId::parse(&uuid::Uuid::now_v7().to_string()).unwrap_or_else(|_| unreachable!("a UUID is a name"))
 }
--- a/crates/entry/src/driver/late_billing.rs
+++ b/crates/entry/src/driver/late_billing.rs
@@ -1,10 +1,11 @@
-//! Bills that are stored only after the caller was answered.
+//! Bills that are stored only after the caller received a problem.
 //!
-//! A request that must not be repeated can have a whole answer whose bill neither
+//! A request that must not be repeated can have a complete answer whose bill neither
 //! the platform nor a second instance stores in time. The caller gets a problem.
-//! If the answer were dropped then, it would be lost and possibly paid for: the
-//! bill may have been recorded all the same, and a repeat runs nothing. So the
-//! answer is kept, and a repeat waits for the bill and gets the answer.
+//! Its bill may nevertheless have been recorded, and a repeat does not run the request
+//! again. If the answer were dropped, the caller could pay for an answer that it can no
+//! longer get. So the answer is kept, and a repeat waits for the bill and gets the
+//! answer.
 
 use std::time::Duration;
 
@@ -27,7 +28,7 @@
 const LATE_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 impl Driver {
-    /// Returns a permit to keep a whole answer whose bill is not stored.
+    /// Returns a permit to keep a complete answer whose bill is not stored.
     ///
     /// Returns `None` if the request ended in any other way, or if too many requests
     /// already continue in the background.
--- a/crates/entry/src/driver/read.rs
+++ b/crates/entry/src/driver/read.rs
@@ -123,7 +123,7 @@
         Event::Whole
     }
 
-    /// Records the duration, tokens and cost of a whole answer.
+    /// Records the duration, tokens and cost of a complete answer.
     fn record_usage(&mut self, attempt: Attempt) {
         let usage = self.answer.last_frame.as_ref().map(|(_, usage)| *usage).unwrap_or_default();
         let tokens = u32::try_from(usage.completion_tokens).unwrap_or(u32::MAX).max(1);
--- a/crates/entry/src/driver/session_moves.rs
+++ b/crates/entry/src/driver/session_moves.rs
@@ -22,21 +22,21 @@
 use super::Driver;
 use crate::{join, session::Reference, shared::Shared};
 
-/// Longest that an answer waits for recording the moves that it reports, or for the
-/// instance that reported a move before; after it the move is reported again.
+/// Longest time that an answer waits until the moves that it reports are recorded, or
+/// for the instance that reported a move before. After it the move is reported again.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest that a refusal waits for the retraction of the report by the request's
+/// Longest time that a refusal waits for the retraction of the report by the request's
 /// first answer.
 const RETRACT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a retraction is retried, possibly after its refusal was sent.
 const RETRACT_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// How long a retraction is retried: as long as a home instance remembers the
-/// outcome of a request that it has no record of.
+/// How long a retraction is retried; equals the time for which a home instance
+/// remembers a run that left no record in the journal.
 const RETRACT_PERIOD: Duration = Duration::from_mins(10);
 
 impl Driver {
     /// Returns the versions that the session left for those of `choice`, now or
-    /// before, and of which its caller may not have been notified yet.
+    /// before, and that may not have been reported to its caller yet.
     pub(super) async fn unreported_moves(&self, choice: &Choice, pins: &[Pin]) -> Vec<Version> {
         let mut moved = choice.reason().moved.clone();
         let answering: Vec<_> = choice.steps().iter().map(Permit::version).collect();
@@ -115,7 +115,7 @@
 
     /// Retracts the record that this request's answer reported session moves.
     ///
-    /// The caller sends the key again, so it lacks the first answer. A repeat of a
+    /// The caller sent the key again, so it does not have the first answer. A repeat of a
     /// request that must not run twice gets only a refusal: the answer with the
     /// report is lost for good, and the next one, under another key, would not
     /// contain it. So the retraction comes before the refusal, and continues in the
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -85,8 +85,8 @@
         self.shared.in_flight()
     }
 
-    /// Serves a stream of [`peer::Topic::Request`], with which a caller of another
-    /// instance joins a request. Returns when the answer ends.
+    /// Serves a stream of [`peer::Topic::Request`], on which another instance reads the
+    /// answer or the status of a request from this one. Returns when the answer ends.
     pub async fn serve(&self, request: Bytes, sink: mpsc::Sender<Bytes>) {
         join::serve(&self.shared.answers, &request, &sink).await;
     }
@@ -100,8 +100,8 @@
         if let Err(error) = self.shared.links.peer.leave().await {
             tracing::warn!(%error, "could not announce that this instance is leaving");
         }
-        // Callers may use their address lists for this long, so work that they still send meanwhile
-        // is served.
+        // Callers may use their address lists for this long, so new work from them is still
+        // accepted during this time.
         let keep_time = Duration::from_millis(self.shared.settings.addresses.keep_ms);
         sleep(keep_time.min(deadline.saturating_duration_since(Instant::now()))).await;
         self.shared.closed.store(true, Ordering::Release);
--- a/crates/entry/src/machine.rs
+++ b/crates/entry/src/machine.rs
@@ -34,7 +34,7 @@
     Rating,
     /// Waiting for its bill to be stored.
     Billing,
-    /// Final: its answer is whole and billed.
+    /// Final: its answer is complete and billed.
     Answered,
     /// Final: it failed, and the problem states whether it ran.
     Failed,
@@ -91,7 +91,7 @@
     Gone,
     /// Another endpoint's answer does not begin with the text already sent.
     Diverged,
-    /// The answer is whole.
+    /// The answer is complete.
     Whole,
     /// The answer passed its rating and is sent.
     Kept,
@@ -132,7 +132,7 @@
     Bill,
     /// Send the last frame.
     Deliver,
-    /// Report to the caller that there is no whole answer.
+    /// Report to the caller that there is no complete answer.
     Fail {
         /// Whether the request ran; `No` is a guarantee.
         ran: Ran,
@@ -143,7 +143,7 @@
     Retire,
 }
 
-/// An event that is not possible in the present state; a bug in the driver.
+/// An event that is not possible in the current state; a bug in the driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IllegalEvent {
     /// The state of the request.
@@ -166,7 +166,7 @@
     repeat: Repeat,
     state: State,
     ran: Ran,
-    /// Number of cascade steps after the present one.
+    /// Number of cascade steps after the current one.
     steps_left: u8,
     dispatches: u32,
 }
@@ -179,14 +179,14 @@
         (machine, Command::Admit)
     }
 
-    /// Records that an earlier try under the same key ran, or may have run.
+    /// Records that the request ran in an earlier call with the same key, or may have run.
     pub fn record_earlier_run(&mut self, ran: Ran) {
         if self.ran == Ran::No {
             self.ran = ran;
         }
     }
 
-    /// Returns the present state.
+    /// Returns the current state.
     #[must_use]
     pub fn state(&self) -> State {
         self.state
@@ -204,7 +204,7 @@
         self.dispatches
     }
 
-    /// Returns whether a further step of the cascade is left, in which case the present
+    /// Returns whether a further step of the cascade is left, in which case the current
     /// answer is rated before any of it is sent.
     #[must_use]
     pub fn may_escalate(&self) -> bool {
@@ -215,7 +215,7 @@
     ///
     /// A request that must not be repeated continues from its claim on: the caller
     /// will ask for its outcome, and a cancelled run has none. A request whose answer
-    /// is whole has done its work and is billed.
+    /// is complete has done its work and is billed.
     #[must_use]
     pub fn outlives_caller(&self) -> bool {
         match self.state {
@@ -229,7 +229,7 @@
     ///
     /// # Errors
     ///
-    /// [`IllegalEvent`] if the event is not possible in the present state, which then
+    /// [`IllegalEvent`] if the event is not possible in the current state, which then
     /// stays as it is.
     pub fn step(&mut self, event: Event) -> Result<Command, IllegalEvent> {
         match (self.state, event) {
--- a/crates/entry/src/parsing.rs
+++ b/crates/entry/src/parsing.rs
@@ -27,7 +27,7 @@
 pub const IDEMPOTENT_HEADER: HeaderName = HeaderName::from_static("arbutuslug-idempotent");
 /// Header that names the session.
 pub const SESSION_HEADER: HeaderName = HeaderName::from_static("arbutuslug-session");
-/// Header with the milliseconds from now in which the answer must be whole.
+/// Header with the number of milliseconds within which the answer must be complete.
 pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("arbutuslug-deadline-ms");
 /// Header that names the request class.
 pub const CLASS_HEADER: HeaderName = HeaderName::from_static("arbutuslug-request-class");
@@ -36,7 +36,8 @@
 const DEFAULT_CLASS: &str = "default";
 /// Longest deadline of a request, in milliseconds; longer ones are cut to it.
 const MAX_DEADLINE_MS: Millis = 60 * 60 * 1_000;
-/// Bytes of prompt estimated as one token, as no exact count is known.
+/// Number of prompt bytes that are counted as one token; the exact number of tokens
+/// is not known.
 const BYTES_PER_TOKEN: usize = 4;
 /// Number of leading bytes of the prompt whose hash identifies its cached prefix.
 const PREFIX_BYTES: usize = 256;
@@ -48,7 +49,7 @@
     pub customer: Customer,
     /// Identifier of the request.
     pub id: request::Id,
-    /// Whether the caller gave the key; nobody can repeat a key generated here.
+    /// Whether the caller supplied the key; a generated key is never sent again.
     pub has_caller_key: bool,
     /// Whether the caller marked the request as not to be repeated.
     pub forbids_repeat: bool,
@@ -127,7 +128,7 @@
     request::Key::parse(&text).unwrap_or_else(|_| unreachable!("a UUID is a name"))
 }
 
-/// Refuses keys that are older than keys are remembered.
+/// Refuses keys that are older than the period for which keys are stored.
 ///
 /// Whether such a request ran is no longer known, and running it might run it twice.
 /// Keys dated too far ahead of this instance's clock are refused too.
@@ -189,7 +190,7 @@
     pub prompt_tokens: u32,
     /// Hash of the prompt's beginning; used to find endpoints that likely cache it.
     pub prefix: u64,
-    /// Hash of the whole body; requests with the same key must have the same body.
+    /// Hash of the complete body; requests with the same key must have the same body.
     pub fingerprint: u64,
     /// All members of the body as sent.
     members: BTreeMap<String, Box<RawValue>>,
@@ -242,8 +243,8 @@
 
     /// Returns the body to send to an engine that runs `version`.
     ///
-    /// It always asks for a stream, even if the caller wants the answer whole, because
-    /// only a stream can be resumed after a break.
+    /// It always asks for a stream, even if the caller wants the answer in one piece,
+    /// because only a stream can be resumed after a break.
     #[must_use]
     pub fn body(&self, version: &model::Version, max_tokens: u32) -> Bytes {
         let mut members: BTreeMap<&str, &RawValue> = self.members.iter().map(|(k, v)| (k.as_str(), &**v)).collect();
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -71,9 +71,9 @@
     EndpointFailed,
     /// The answer's stream broke and could not be resumed.
     BrokenStream,
-    /// The bill could not be stored durably, so the end of the answer is held back.
+    /// The bill could not be stored durably, so the end of the answer is not sent.
     BillNotHeld,
-    /// The request with this key ran before, and its answer is no longer held.
+    /// The request with this key ran before, and its answer is no longer stored.
     AnsweredBefore,
     /// The request with this key is still running.
     StillRunning,
--- a/crates/entry/src/ran_status.rs
+++ b/crates/entry/src/ran_status.rs
@@ -1,12 +1,12 @@
 //! Checks whether a refusal may state that a request has not run.
 //!
-//! A caller whose first try broke off repeats its key at another instance. A
-//! refusal there concerns the key, not only the second try: on "not run" the caller
-//! sends the request again under another key, and the work of the first try is
-//! done twice. So before an instance states "not run" for a key that may have been
-//! used elsewhere, it asks the key's home instance. State that an instance held only
-//! in memory is lost with it, so a key made before the last loss of an instance may
-//! have run there.
+//! A caller whose first call broke off sends the request again with the same key to
+//! another instance. A refusal there concerns the key, not only the second call: on
+//! "not run" the caller sends the request with a new key, and the work of the first
+//! call is done twice. So before an instance states "not run" for a key that may have
+//! been used elsewhere, it asks the key's home instance, which holds the key's record.
+//! State that an instance held only in memory is lost with it, so a request whose key
+//! was made before the last loss of an instance may have run there.
 //!
 //! An idempotent request runs without its home's response if the home does not
 //! answer in time. So neither the home nor an instance that was the first to register
@@ -54,7 +54,7 @@
     }
 
     /// Corrects a refusal's "not run" so that it holds for the key, not only for this
-    /// try.
+    /// call.
     pub async fn correct_ran(&self, mut problem: Problem, terms: &Terms, repeat: Repeat) -> Problem {
         // A reused key with another body is another request, which has not run,
         // whatever the outcome of the request that used the key before.
@@ -65,7 +65,7 @@
         problem
     }
 
-    /// Returns whether another try under this key has run.
+    /// Returns whether the request has run in another call with this key.
     async fn ran_elsewhere(&self, terms: &Terms, repeat: Repeat) -> Ran {
         if repeat == Repeat::Idempotent {
             return Ran::Unknown;
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -79,7 +79,7 @@
     pub work: Work,
     /// Session named by the caller.
     pub session: Option<Reference>,
-    /// Time by which the answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
     /// Time at which the request was received.
     pub received: Instant,
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -59,7 +59,7 @@
     pub retry: route::retry::Policy,
     /// Whether a rating service is configured.
     pub has_rating_service: bool,
-    /// Time without a response from the platform after which it counts as down.
+    /// Time without a response from the platform after which the platform counts as down.
     pub outage_after: Duration,
 }
 
@@ -90,17 +90,17 @@
     pub config: config::Handle,
     /// Journal of claims, bills and sessions.
     pub journal: journal::Handle,
-    /// Budget grants.
+    /// Reservations of customers' budgets.
     pub budget: budget::Handle,
     /// Links to the other instances.
     pub peer: peer::Handle,
     /// Client of engines, plain services and the rating service.
     pub endpoint: endpoint::Handle,
-    /// The version guard.
+    /// The version guard, which stops bad versions, and the list of stopped versions.
     pub control: control::Handle,
     /// Endpoints that are leaving according to the platform's list.
     pub leaving: watch::Receiver<Vec<world_endpoint::Id>>,
-    /// Recorder of the time line.
+    /// Recorder of the timeline.
     pub recorder: Recorder,
 }
 
@@ -174,8 +174,8 @@
                 .with_addresses(self.other_addresses(customer))
                 .with_retry_after(0));
         }
-        // A stale configuration could lack a withdrawal, and a harmful version would continue to
-        // answer on this instance.
+        // A stale configuration could lack a withdrawal, and a harmful version would
+        // continue to answer on this instance.
         if !self.links.config.fresh() {
             let detail = "neither the platform nor another instance has confirmed it lately";
             let problem = Problem::not_run(Kind::StaleConfiguration, detail);
@@ -212,7 +212,7 @@
         f64::from(here) * f64::from(instances)
     }
 
-    /// Counts a request as in flight until the guard is dropped.
+    /// Counts a request as in flight until the returned value is dropped.
     pub fn count_in_flight(self: &Arc<Self>, customer: &Customer) -> InFlight {
         self.in_flight.send_modify(|count| *count += 1);
         *self.loads().entry(customer.clone()).or_default() += 1;
--- a/crates/entry/tests/life.rs
+++ b/crates/entry/tests/life.rs
@@ -147,7 +147,7 @@
 struct Observer {
     claimed: bool,
     billed: bool,
-    /// A dispatch whose outcome is not a certain refusal.
+    /// Whether the latest dispatch has not certainly been refused.
     open: bool,
     arrived: bool,
     delivered: bool,
--- a/crates/entry/tests/path/bad_input.rs
+++ b/crates/entry/tests/path/bad_input.rs
@@ -172,7 +172,7 @@
     assert!(!answer.contains("\"ran\":\"no\""), "{answer}");
 }
 
-// The caller's first try was answered, and the body of its repeat at another
+// The caller's first call was answered, and the body of its repeat at another
 // instance never arrives. The key has run, so the refusal must not say "not run".
 #[tokio::test]
 async fn repeat_with_unread_body_is_not_reported_as_not_run() {
--- a/crates/entry/tests/path/breaks.rs
+++ b/crates/entry/tests/path/breaks.rs
@@ -178,8 +178,8 @@
     };
 }
 
-// A call that must not be repeated loses its answer. The caller is told that it may
-// have run, and a repeat with the same key does not run it again.
+// The answer to a call that must not be repeated is lost. The caller is told that the
+// call may have run, and a repeat with the same key does not run it again.
 services! {
     service_answer_lost_after_the_effect_is_unknown:
         service::Switch::BreakAfter(Odds::ALWAYS) => ("outcome-unknown", "unknown"), 1;
--- a/crates/entry/tests/path/cascades.rs
+++ b/crates/entry/tests/path/cascades.rs
@@ -120,8 +120,8 @@
         if recent.len() < 60 {
             continue;
         }
-        // The pass rate of the good version above the target may be spent on the cheap one: at most
-        // a twentieth of the answers.
+        // The good version's pass rate is 0.05 above the target, so at most a twentieth
+        // of the answers should come from the bad version. The bound is twice that.
         if recent.iter().filter(|cheap| **cheap).count() <= 6 {
             return;
         }
@@ -148,7 +148,8 @@
         site.wait_until(|site| site.runs().len() == 1).await;
         let repeat = call(1);
         site.wait_until(joined).await;
-        // From here on no bill is recorded, so the text is not followed by the end of the answer.
+        // From here on no bill is recorded, so the text is not followed by the end of
+        // the answer.
         site.objects.switch(objects::Switch::Slow { ms: 60_000 });
         let mut repeat = repeat.await.expect("no panic");
         while repeat.received_so_far().text.is_empty() {
--- a/crates/entry/tests/path/leaving.rs
+++ b/crates/entry/tests/path/leaving.rs
@@ -77,7 +77,7 @@
     assert_eq!(site.engines[1].records().len(), 20);
 }
 
-// The caller's first try runs at instance 0 when it repeats its key at instance 1,
+// The caller's first call runs at instance 0 when it repeats its key at instance 1,
 // which takes no more work. If it were told "not run", the caller would send the
 // request again with another key and have it run twice. The key's home instance has
 // the run on record, so the refusal does not say "not run".
--- a/crates/entry/tests/path/sessions.rs
+++ b/crates/entry/tests/path/sessions.rs
@@ -146,7 +146,7 @@
 
 // Both versions of a session are withdrawn at once. Its next answer that needs both
 // tiers comes from the higher one and must report both moves. Otherwise the session
-// would be on a version that its caller was never told of.
+// would be on a version that was never reported to its caller.
 #[tokio::test]
 async fn moves_on_two_tiers_are_reported_together() {
     let (site, session) = session_on_two_tiers().await;
