--- a/crates/entry/src/dispatcher.rs
+++ b/crates/entry/src/dispatcher.rs
@@ -12,7 +12,7 @@
 
 use endpoint::rating::Rating;
 use route::{
-    admission, endpoint as placing,
+    admission, endpoint as route_endpoint,
     endpoint::{Failure, Key, Target},
     model::Choice,
     quality::{Cell, Stage},
@@ -202,20 +202,20 @@
     Admit(AdmissionRequest, oneshot::Sender<Result<Admission, admission::Refusal>>),
     Release(QueueKey),
     Choose(Box<VersionQuery>, oneshot::Sender<Result<(Choice, ChoiceRecord), route::model::Refusal>>),
-    ReserveEndpoint(EndpointQuery, oneshot::Sender<Result<Reservation, placing::Refusal>>),
+    ReserveEndpoint(EndpointQuery, oneshot::Sender<Result<Reservation, route_endpoint::Refusal>>),
     Ended(Key, Target, Cell, Ending),
     Retry(Customer, retry::Request, retry::Failure, oneshot::Sender<retry::Decision>),
     Discard(ChoiceRecord),
     Expire(ChoiceRecord),
     Escalate(ChoiceRecord, f64, oneshot::Sender<ChoiceRecord>),
     AwaitRating(UnratedAnswer),
-    Rated { record: ChoiceRecord, version: Version, stage: Stage, pass: bool, last: bool },
+    Rated { record: ChoiceRecord, version: Version, stage: Stage, pass: bool, is_final: bool },
     RaterDown,
     LateRatings(Vec<Rating>),
     SetLoad(world_endpoint::Id, endpoint::report::Load),
     CacheEvents(world_endpoint::Id, Vec<endpoint::report::CacheEvent>),
     SetLeaving(Vec<world_endpoint::Id>),
-    SetCatalog(Arc<Catalog>, Vec<placing::Peer>),
+    SetCatalog(Arc<Catalog>, Vec<route_endpoint::Peer>),
     Endpoints(oneshot::Sender<Vec<world::endpoint::Endpoint>>),
 }
 
@@ -231,7 +231,7 @@
 
 /// Spawns the task for the local instance.
 #[must_use]
-pub fn spawn(local: placing::Peer, policy: retry::Policy, control: control::Handle) -> Handle {
+pub fn spawn(local: route_endpoint::Peer, policy: retry::Policy, control: control::Handle) -> Handle {
     let (inbox, messages) = mpsc::channel(CHANNEL_CAPACITY);
     let weak = inbox.downgrade();
     tokio::spawn(state::State::new(local, policy, control, weak).run(messages));
@@ -269,7 +269,7 @@
     pub async fn reserve_endpoint(
         &self,
         query: EndpointQuery,
-    ) -> Result<Result<Reservation, placing::Refusal>, Closed> {
+    ) -> Result<Result<Reservation, route_endpoint::Refusal>, Closed> {
         self.call(|reply| Message::ReserveEndpoint(query, reply)).await
     }
 
@@ -313,10 +313,10 @@
         self.notify(Message::AwaitRating(answer));
     }
 
-    /// Reports a rating obtained while the caller waited. `last` says whether the rated
-    /// answer was delivered.
-    pub fn record_rating(&self, record: ChoiceRecord, version: Version, stage: Stage, pass: bool, last: bool) {
-        self.notify(Message::Rated { record, version, stage, pass, last });
+    /// Reports a rating obtained while the caller waited. `is_final` says whether the
+    /// rated answer is the request's final one.
+    pub fn record_rating(&self, record: ChoiceRecord, version: Version, stage: Stage, pass: bool, is_final: bool) {
+        self.notify(Message::Rated { record, version, stage, pass, is_final });
     }
 
     /// Reports that the rating service failed to rate an answer at once.
@@ -346,7 +346,7 @@
     }
 
     /// Sets the catalog and the live instances.
-    pub fn set_catalog(&self, catalog: Arc<Catalog>, instances: Vec<placing::Peer>) {
+    pub fn set_catalog(&self, catalog: Arc<Catalog>, instances: Vec<route_endpoint::Peer>) {
         self.notify(Message::SetCatalog(catalog, instances));
     }
 
--- a/crates/entry/src/dispatcher/learn.rs
+++ b/crates/entry/src/dispatcher/learn.rs
@@ -95,10 +95,18 @@
         }
     }
 
-    /// Records the rating of an answer. `last` says whether the answer was delivered.
-    pub fn record_rating(&mut self, record: &ChoiceRecord, version: &Version, stage: Stage, pass: bool, last: bool) {
+    /// Records the rating of an answer. `is_final` says whether the answer is the
+    /// request's final one.
+    pub fn record_rating(
+        &mut self,
+        record: &ChoiceRecord,
+        version: &Version,
+        stage: Stage,
+        pass: bool,
+        is_final: bool,
+    ) {
         self.quality.record_rating(record.cell, version, stage, pass);
-        if last {
+        if is_final {
             self.quality.record_final_rating(record.cell, record.pending, pass);
         }
         self.observe(record, version, pass);
--- a/crates/entry/src/dispatcher/state.rs
+++ b/crates/entry/src/dispatcher/state.rs
@@ -6,7 +6,7 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use route::{
     admission::{Queue, Refusal, Ticket as QueueTicket},
-    endpoint::{self as placing, Event, Fleet, Key, Peer, Report, Rule, Target},
+    endpoint::{self as route_endpoint, Event, Fleet, Key, Peer, Report, Rule, Target},
     model::{self, Choice, Inputs},
     quality::Cell,
     retry,
@@ -73,7 +73,7 @@
         loop {
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(message) => self.on(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 _ = shed.tick() => self.shed(),
@@ -81,14 +81,14 @@
         }
     }
 
-    fn on(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = clock::now();
         match message {
             Message::Admit(request, reply) => self.admit(&request, reply, now),
             Message::Release(queue_key) => self.release_slot(&queue_key, now),
             Message::Choose(query, reply) => drop(reply.send(self.choose(&query, now))),
             Message::ReserveEndpoint(query, reply) => self.reserve_endpoint(&query, reply, now),
-            Message::Ended(key, target, cell, ending) => self.on_ended(key, &target, cell, ending, now),
+            Message::Ended(key, target, cell, ending) => self.record_ending(key, &target, cell, ending, now),
             Message::Retry(customer, request, failure, reply) => {
                 let _ = reply.send(self.retry(&customer, &request, failure, now));
             }
@@ -96,8 +96,8 @@
             Message::Expire(record) => self.learner.expire(&record),
             Message::Escalate(record, rate, reply) => drop(reply.send(self.learner.escalate(record, rate))),
             Message::AwaitRating(answer) => self.learner.await_rating(answer, now),
-            Message::Rated { record, version, stage, pass, last } => {
-                self.learner.record_rating(&record, &version, stage, pass, last);
+            Message::Rated { record, version, stage, pass, is_final } => {
+                self.learner.record_rating(&record, &version, stage, pass, is_final);
             }
             Message::RaterDown => self.learner.mark_rater_unavailable(now),
             Message::LateRatings(ratings) => self.learner.record_late_ratings(ratings, &self.catalog),
@@ -217,13 +217,17 @@
     fn reserve_endpoint(
         &mut self,
         query: &EndpointQuery,
-        reply: oneshot::Sender<Result<Reservation, placing::Refusal>>,
+        reply: oneshot::Sender<Result<Reservation, route_endpoint::Refusal>>,
         now: Timestamp,
     ) {
-        let criteria =
-            placing::RunRequest { target: &query.target, prefix: query.prefix, avoid: &query.avoid, draw: query.draw };
+        let criteria = route_endpoint::RunRequest {
+            target: &query.target,
+            prefix: query.prefix,
+            avoid: &query.avoid,
+            draw: query.draw,
+        };
         let placed = self.fleet.choose(&criteria, now).and_then(|choice| {
-            let refused = placing::Refusal::NoneLeft;
+            let refused = route_endpoint::Refusal::NoneLeft;
             let endpoint = self.fleet.endpoint(choice.key).ok_or(refused)?;
             Ok(Reservation {
                 endpoint: endpoint.id.clone(),
@@ -250,7 +254,7 @@
         }
     }
 
-    fn on_ended(&mut self, key: Key, target: &Target, cell: Cell, ending: Ending, now: Timestamp) {
+    fn record_ending(&mut self, key: Key, target: &Target, cell: Cell, ending: Ending, now: Timestamp) {
         match ending {
             Ending::Whole { millis, tokens } => {
                 if let Target::Version(version) = target {
@@ -369,7 +373,7 @@
     }
 }
 
-fn reason(choice: &placing::Choice) -> String {
+fn reason(choice: &route_endpoint::Choice) -> String {
     let rule = match choice.rule {
         Rule::Holder => "holds the prompt's prefix",
         Rule::Preferred => "preferred for the prompt's prefix",
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -51,7 +51,7 @@
     bill: Option<Bill>,
     attempt: Option<Attempt>,
     /// Number of dispatches so far.
-    tries: u32,
+    dispatches: u32,
     /// Endpoints that failed this request; avoided by the next dispatch.
     excluded_endpoints: Vec<Key>,
     /// Versions under roll-out that failed this request.
@@ -126,7 +126,7 @@
             budget_reservation: None,
             bill: None,
             attempt: None,
-            tries: 0,
+            dispatches: 0,
             excluded_endpoints: Vec::new(),
             excluded_versions: Vec::new(),
             failure: retry::Failure::NotRun { retry_after: None },
@@ -225,7 +225,7 @@
         self.drop_attempt();
         if problem.kind == Kind::BillNotHeld {
             // Whether the bill was recorded is unknown, so its amount counts.
-            self.end_reservation(None);
+            self.end_budget_reservation(None);
         }
         self.settle_unanswered(ran).await;
         if !self.is_claimed {
--- a/crates/entry/src/driver/account.rs
+++ b/crates/entry/src/driver/account.rs
@@ -100,7 +100,7 @@
         let deadline = self.request.deadline.max(Instant::now() + MIN_BILLING_TIME);
         match self.store_bill(deadline).await {
             Ok((bill, receipt)) => {
-                self.end_reservation(Some(receipt));
+                self.end_budget_reservation(Some(receipt));
                 self.record_bill(&bill, receipt);
                 Event::Billed
             }
@@ -129,7 +129,7 @@
                 Err(Error::NotRecorded(Reason::GrantClosed)) => {
                     renewed += 1;
                     self.bill = None;
-                    self.renew_reservation(bill.amount, deadline).await?;
+                    self.renew_budget_reservation(bill.amount, deadline).await?;
                 }
                 Err(error) if Instant::now() + BILL_RETRY_PAUSE >= give_up => return Err(error.to_string()),
                 // Neither the platform nor a second instance has stored the bill.
@@ -141,8 +141,8 @@
         Err("its budget grant keeps being settled elsewhere".into())
     }
 
-    /// Replaces a reservation whose grant was settled by one from a new grant.
-    async fn renew_reservation(&mut self, actual: Amount, deadline: Instant) -> Result<(), String> {
+    /// Replaces a budget reservation whose grant was closed with one from a new grant.
+    async fn renew_budget_reservation(&mut self, actual: Amount, deadline: Instant) -> Result<(), String> {
         let catalog = self.shared.catalog();
         let contract = catalog.contract(self.request.customer()).ok_or("the contract is gone")?;
         let Some(old) = self.budget_reservation.take() else {
@@ -157,7 +157,7 @@
     ///
     /// Without a receipt it is unknown whether the bill was recorded, so its
     /// amount is committed.
-    pub(super) fn end_reservation(&mut self, receipt: Option<Receipt>) {
+    pub(super) fn end_budget_reservation(&mut self, receipt: Option<Receipt>) {
         let Some(budget_reservation) = self.budget_reservation.take() else { return };
         let budget = &self.shared.links.budget;
         match receipt {
@@ -194,7 +194,7 @@
             item,
             input_tokens: self.answer.input_tokens,
             output_tokens: self.answer.output_tokens,
-            attempts: self.tries,
+            attempts: self.dispatches,
             grant: self.budget_reservation.as_ref().map(|budget_reservation| budget_reservation.grant().clone()),
         })
     }
--- a/crates/entry/src/driver/choose.rs
+++ b/crates/entry/src/driver/choose.rs
@@ -30,14 +30,15 @@
 const BIND_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 /// Maximum number of binding attempts while other requests move the same session.
 const MAX_BIND_ATTEMPTS: usize = 3;
-/// Retry delay in milliseconds for callers whose request no version may run now.
-const NO_VERSION_RETRY_MS: u64 = 1_000;
+/// Retry delay, in milliseconds, for callers whose version, session or budget is
+/// temporarily unavailable.
+const CHOICE_RETRY_MS: u64 = 1_000;
 
 impl Driver {
     /// Chooses the versions for a chat request and reserves the budget.
     pub(super) async fn choose(&mut self) -> Event {
         let steps = match self.request.work {
-            Work::Call(_) => self.reserve(self.call_price()).await.map(|()| 1),
+            Work::Call(_) => self.reserve_budget(self.call_price()).await.map(|()| 1),
             Work::Chat(_) => self.choose_versions().await,
         };
         match steps {
@@ -50,7 +51,7 @@
     ///
     /// This happens before the run: afterwards the budget may be spent, and
     /// nobody could be billed for the work.
-    async fn reserve(&mut self, ceiling: Amount) -> Result<(), Problem> {
+    async fn reserve_budget(&mut self, ceiling: Amount) -> Result<(), Problem> {
         self.budget_reservation = None;
         let catalog = self.shared.catalog();
         let Some(contract) = catalog.contract(self.request.customer()) else {
@@ -88,7 +89,7 @@
             Some(Reference::Handle { session, .. }) => self.choose_with_known_pins(Some(session)).await?,
             None => self.choose_with_known_pins(None).await?,
         };
-        if let Err(problem) = self.reserve(choice.ceiling()).await {
+        if let Err(problem) = self.reserve_budget(choice.ceiling()).await {
             self.shared.dispatcher.discard(record);
             return Err(problem);
         }
@@ -153,7 +154,7 @@
             bound = Some(current);
         }
         let detail = "other requests keep moving this session";
-        Err(Problem::not_run(Kind::Busy, detail).with_retry_after(NO_VERSION_RETRY_MS))
+        Err(Problem::not_run(Kind::Busy, detail).with_retry_after(CHOICE_RETRY_MS))
     }
 
     /// Requests a choice of versions from the routing state.
@@ -251,7 +252,7 @@
             Problem::not_run(Kind::BudgetSpent, error.to_string()).with_retry_after(until)
         }
         budget::Error::Unavailable => {
-            Problem::not_run(Kind::PlatformDown, error.to_string()).with_retry_after(NO_VERSION_RETRY_MS)
+            Problem::not_run(Kind::PlatformDown, error.to_string()).with_retry_after(CHOICE_RETRY_MS)
         }
     }
 }
@@ -262,7 +263,7 @@
         journal::Error::NotRecorded(reason) => admission::journal_problem(reason),
         journal::Error::Unknown => {
             Problem::not_run(Kind::PlatformDown, "the session could not be bound to its version")
-                .with_retry_after(NO_VERSION_RETRY_MS)
+                .with_retry_after(CHOICE_RETRY_MS)
         }
     }
 }
@@ -272,7 +273,7 @@
     let (kind, after) = match refusal {
         Refusal::NoContract => (Kind::WrongKey, None),
         Refusal::ModelNotAllowed => (Kind::ModelNotAllowed, None),
-        Refusal::NoVersion => (Kind::NoVersion, Some(NO_VERSION_RETRY_MS)),
+        Refusal::NoVersion => (Kind::NoVersion, Some(CHOICE_RETRY_MS)),
         Refusal::Deadline { .. } => (Kind::Deadline, None),
         Refusal::Budget { .. } => (Kind::BudgetSpent, None),
     };
--- a/crates/entry/src/driver/dispatch.rs
+++ b/crates/entry/src/driver/dispatch.rs
@@ -6,7 +6,7 @@
 use control::observation::Outcome as Observed;
 use endpoint::{Attempt as AttemptId, Dispatch, Error, error::Refusal};
 use http::{HeaderName, header};
-use route::{endpoint as placing, endpoint::Failure, endpoint::Target, quality::Cell, retry};
+use route::{endpoint as route_endpoint, endpoint::Failure, endpoint::Target, quality::Cell, retry};
 use timeline::{Ran, Step};
 use tokio::time::{Instant, sleep};
 use world::hash;
@@ -41,12 +41,12 @@
             Ok(reservation) => reservation,
             Err(problem) => return self.decline(problem),
         };
-        self.tries += 1;
+        self.dispatches += 1;
         self.answer.matched_bytes = 0;
         self.shared.record_step(
             self.request.id(),
             Step::Dispatched {
-                attempt: self.tries,
+                attempt: self.dispatches,
                 version: self.version(),
                 endpoint: reservation.endpoint.clone(),
                 reason: reservation.reason.clone(),
@@ -91,13 +91,13 @@
             Work::Chat(chat) => Some(chat.prefix),
             Work::Call(_) => None,
         };
-        let draw = hash::rendezvous(self.request.id().hash(), &self.tries.to_le_bytes());
+        let draw = hash::rendezvous(self.request.id().hash(), &self.dispatches.to_le_bytes());
         let cell = Cell::new(self.request.customer(), &self.request.terms.class);
         let stopping = |_| Problem::not_run(Kind::Leaving, "this instance is stopping");
         let query =
             EndpointQuery { target: target.clone(), prefix, avoid: self.excluded_endpoints.clone(), draw, cell };
         let placed = match self.shared.dispatcher.reserve_endpoint(query).await.map_err(stopping)? {
-            Err(placing::Refusal::NoneLeft) if !self.excluded_endpoints.is_empty() => {
+            Err(route_endpoint::Refusal::NoneLeft) if !self.excluded_endpoints.is_empty() => {
                 // Every endpoint failed this request once; any may have recovered.
                 self.excluded_endpoints.clear();
                 let query = EndpointQuery { target, prefix, avoid: Vec::new(), draw, cell };
@@ -107,8 +107,8 @@
         };
         placed.map_err(|refusal| {
             let detail = match refusal {
-                placing::Refusal::NoPool => "no pool serves it; have one added",
-                placing::Refusal::NoneLeft => "all its endpoints are leaving, failing or without the version",
+                route_endpoint::Refusal::NoPool => "no pool serves it; have one added",
+                route_endpoint::Refusal::NoneLeft => "all its endpoints are leaving, failing or without the version",
             };
             Problem::not_run(Kind::NoEndpoint, detail).with_retry_after(NO_ENDPOINT_RETRY_MS)
         })
@@ -168,7 +168,8 @@
             }
         };
         let cause = error.to_string();
-        self.shared.record_step(self.request.id(), Step::Failed { attempt: self.tries, ran, cause: cause.clone() });
+        self.shared
+            .record_step(self.request.id(), Step::Failed { attempt: self.dispatches, ran, cause: cause.clone() });
         let kind = if ran == Ran::No { Kind::NoEndpoint } else { Kind::EndpointFailed };
         let problem = Problem::not_run(kind, cause);
         self.cause = Some(if ran == Ran::No { problem.with_retry_after(self.retry_after()) } else { problem });
@@ -203,7 +204,7 @@
     pub(super) async fn retry(&mut self) -> Event {
         let asked = retry::Request {
             repeat: self.request.repeat,
-            tries: self.tries,
+            tries: self.dispatches,
             deadline: self.request.wall_clock_deadline(),
             expected_ms: self.expected_ms,
         };
--- a/crates/entry/src/driver/late_billing.rs
+++ b/crates/entry/src/driver/late_billing.rs
@@ -52,12 +52,12 @@
         while Instant::now() < give_up {
             sleep(LATE_RETRY_PAUSE).await;
             if let Ok((bill, receipt)) = self.store_bill(Instant::now() + LATE_ATTEMPT_TIMEOUT).await {
-                self.end_reservation(Some(receipt));
+                self.end_budget_reservation(Some(receipt));
                 self.record_bill(&bill, receipt);
                 return self.deliver().await;
             }
         }
-        tracing::warn!(request = %self.request.id(), "an answer is given up, its bill may have been recorded");
+        tracing::warn!(request = %self.request.id(), "unbilled answer dropped, its bill may have been recorded");
         self.fail(Ran::Yes).await;
     }
 }
--- a/crates/entry/src/driver/read.rs
+++ b/crates/entry/src/driver/read.rs
@@ -150,7 +150,7 @@
         if broken == Broken::Deadline {
             return Event::TimeUp;
         }
-        let step = Step::Broken { attempt: self.tries, frames: self.answer.frames, cause: broken.to_string() };
+        let step = Step::Broken { attempt: self.dispatches, frames: self.answer.frames, cause: broken.to_string() };
         self.shared.record_step(self.request.id(), step);
         metrics::counter!("entry_broken_streams_total").increment(1);
         self.cause = Some(Problem::not_run(Kind::BrokenStream, broken.to_string()));
@@ -167,14 +167,18 @@
             Ok(run) => {
                 attempt.run = Some(run);
                 self.attempt = Some(attempt);
-                self.shared
-                    .record_step(self.request.id(), Step::Resumed { attempt: self.tries, frames: self.answer.frames });
+                self.shared.record_step(
+                    self.request.id(),
+                    Step::Resumed { attempt: self.dispatches, frames: self.answer.frames },
+                );
                 Event::Resumed
             }
             Err(error) => {
                 let cause = error.to_string();
-                self.shared
-                    .record_step(self.request.id(), Step::Failed { attempt: self.tries, ran: Ran::Unknown, cause });
+                self.shared.record_step(
+                    self.request.id(),
+                    Step::Failed { attempt: self.dispatches, ran: Ran::Unknown, cause },
+                );
                 self.failure = retry::Failure::MayHaveRun;
                 self.answer.unrated_text.clear();
                 self.excluded_endpoints.push(attempt.reservation.key());
--- a/crates/entry/src/driver/session_moves.rs
+++ b/crates/entry/src/driver/session_moves.rs
@@ -40,14 +40,14 @@
     pub(super) async fn unreported_moves(&self, choice: &Choice, pins: &[Pin]) -> Vec<Version> {
         let mut moved = choice.reason().moved.clone();
         let answering: Vec<_> = choice.steps().iter().map(Permit::version).collect();
-        let mut lost = Vec::new();
+        let mut unconfirmed = Vec::new();
         for reporter in reporting_answers(pins, &answering) {
             if !self.has_reported_move(reporter).await {
-                lost.push(reporter);
+                unconfirmed.push(reporter);
             }
         }
-        let is_alive = |reporter: &Teller| !lost.contains(&reporter);
-        for version in untold(pins, &answering, &self.request.id().key, is_alive) {
+        let is_confirmed = |reporter: &Teller| !unconfirmed.contains(&reporter);
+        for version in untold(pins, &answering, &self.request.id().key, is_confirmed) {
             if !moved.contains(version) {
                 moved.push(version.clone());
             }
@@ -127,7 +127,7 @@
         let deadline = self.request.deadline.min(Instant::now() + RETRACT_TIMEOUT);
         let Ok(permit) = self.shared.late_permits.clone().try_acquire_owned() else {
             if let Err(error) = retraction.write(deadline).await {
-                tracing::warn!(request = %self.request.id(), %error, "a session's move may stay untold");
+                tracing::warn!(request = %self.request.id(), %error, "session move may stay unreported");
             }
             return;
         };
@@ -192,7 +192,7 @@
                 }
                 Err(error) if Instant::now() >= give_up => {
                     let session = &self.session;
-                    tracing::warn!(request = %self.answer, %session, %error, "a session's move may stay untold");
+                    tracing::warn!(request = %self.answer, %session, %error, "session move may stay unreported");
                     return;
                 }
                 Err(_) => sleep(RETRACT_RETRY_PAUSE).await,
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -124,7 +124,7 @@
 impl Handler for CallHandler {
     async fn handle(&self, request: &mut Request, _: &mut Depot, response: &mut Response, _: &mut FlowCtrl) {
         if let Err(problem) = self.answer(request, response).await {
-            answer::problem(response, &problem);
+            answer::write_problem(response, &problem);
         }
         if self.shared.closed.load(Ordering::Acquire) {
             // On a kept-alive connection the caller would send more requests to this instance.
--- a/crates/entry/src/http/addresses.rs
+++ b/crates/entry/src/http/addresses.rs
@@ -23,11 +23,11 @@
 
 pub(super) fn answer(shared: &Arc<Shared>, request: &Request, response: &mut Response) -> Result<(), Problem> {
     let customer = parsing::authenticate(&shared.catalog(), request.headers())?;
-    let domain = query(request, "domain")?
+    let domain = single_query(request, "domain")?
         .map(|text| Domain::parse(&text))
         .transpose()
         .map_err(|e| malformed_query("domain", &e))?;
-    let session = match query(request, "session")? {
+    let session = match single_query(request, "session")? {
         Some(text) => session_id(shared, &customer, &text)?,
         None => None,
     };
@@ -38,7 +38,7 @@
     let list = address::list(&shared.settings.addresses, &instances, &caller);
     let list =
         AddressList { addresses: list.instances.into_iter().map(Address::from).collect(), keep_ms: list.keep_ms };
-    answer::json(response, http::StatusCode::OK, &list);
+    answer::write_json(response, http::StatusCode::OK, &list);
     Ok(())
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-fn query(request: &Request, name: &str) -> Result<Option<String>, Problem> {
+fn single_query(request: &Request, name: &str) -> Result<Option<String>, Problem> {
     match request.queries().get_vec(name).map(Vec::as_slice) {
         None | Some([]) => Ok(None),
         Some([one]) => Ok(Some(one.clone())),
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -20,22 +20,22 @@
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 
 /// Writes a JSON document.
-pub(super) fn json<T: Serialize>(response: &mut Response, status: StatusCode, value: &T) {
+pub(super) fn write_json<T: Serialize>(response: &mut Response, status: StatusCode, value: &T) {
     response.status_code(status);
-    set(response, header::CONTENT_TYPE, "application/json");
+    set_header(response, header::CONTENT_TYPE, "application/json");
     response.replace_body(ResBody::Once(serde_json::to_vec(value).unwrap_or_default().into()));
 }
 
 /// Writes a problem document.
-pub(super) fn problem(response: &mut Response, problem: &Problem) {
+pub(super) fn write_problem(response: &mut Response, problem: &Problem) {
     response.status_code(problem.kind.status());
-    set(response, header::CONTENT_TYPE, problem::MEDIA_TYPE);
+    set_header(response, header::CONTENT_TYPE, problem::MEDIA_TYPE);
     if let Some(key) = &problem.request {
-        set(response, REQUEST, key.as_str());
+        set_header(response, REQUEST, key.as_str());
     }
     if let Some(after) = problem.retry_after_ms {
-        set(response, RETRY_AFTER_MS, &after.to_string());
-        set(response, header::RETRY_AFTER, &after.div_ceil(1_000).to_string());
+        set_header(response, RETRY_AFTER_MS, &after.to_string());
+        set_header(response, header::RETRY_AFTER, &after.div_ceil(1_000).to_string());
     }
     response.replace_body(ResBody::Once(problem.to_json().into()));
 }
@@ -46,12 +46,12 @@
     let head = match reader.next().await {
         Some(Item::Head(head)) => head,
         Some(Item::End(End::Failed(failed))) => return Err((*failed).clone()),
-        other => return Err(internal(&format!("an answer began with {other:?}"))),
+        other => return Err(internal_problem(&format!("an answer began with {other:?}"))),
     };
     if stream {
         set_head(response, &head);
-        set(response, header::CONTENT_TYPE, "text/event-stream");
-        set(response, header::CACHE_CONTROL, "no-store");
+        set_header(response, header::CONTENT_TYPE, "text/event-stream");
+        set_header(response, header::CACHE_CONTROL, "no-store");
         response.stream(events(head, reader));
         return Ok(());
     }
@@ -67,7 +67,7 @@
             Some(Item::End(End::Failed(failed))) => return Err((*failed).clone()),
             Some(Item::End(End::Whole { reason, usage })) => {
                 set_head(response, head);
-                json(response, StatusCode::OK, &Completion::new(head, &text, &reason, usage));
+                write_json(response, StatusCode::OK, &Completion::new(head, &text, &reason, usage));
                 return Ok(());
             }
             Some(Item::End(End::Reply(reply))) => {
@@ -75,7 +75,7 @@
                 write_reply(response, &reply);
                 return Ok(());
             }
-            None => return Err(internal("an answer stopped without an end")),
+            None => return Err(internal_problem("an answer stopped without an end")),
         }
     }
 }
@@ -99,26 +99,26 @@
         while let Some(item) = reader.next().await {
             match item {
                 Item::Head(_) => {}
-                Item::Text(text) => yield Ok(data(&chunk_header.chunk(Some(&text), None, None))),
+                Item::Text(text) => yield Ok(data_event(&chunk_header.chunk(Some(&text), None, None))),
                 Item::End(End::Whole { reason, usage }) => {
-                    yield Ok(data(&chunk_header.chunk(None, Some(&reason), Some(usage))));
+                    yield Ok(data_event(&chunk_header.chunk(None, Some(&reason), Some(usage))));
                     yield Ok(Bytes::from_static(b"data: [DONE]\n\n"));
                 }
-                Item::End(End::Failed(failed)) => yield Ok(error(&failed)),
+                Item::End(End::Failed(failed)) => yield Ok(error_event(&failed)),
                 Item::End(End::Reply(_)) => {}
             }
         }
     }
 }
 
-fn data<T: Serialize>(value: &T) -> Bytes {
+fn data_event<T: Serialize>(value: &T) -> Bytes {
     let mut event = b"data: ".to_vec();
     event.extend(serde_json::to_vec(value).unwrap_or_default());
     event.extend(b"\n\n");
     event.into()
 }
 
-fn error(problem: &Problem) -> Bytes {
+fn error_event(problem: &Problem) -> Bytes {
     let mut event = b"event: error\ndata: ".to_vec();
     event.extend(problem.to_json());
     event.extend(b"\n\n");
@@ -126,27 +126,27 @@
 }
 
 fn set_head(response: &mut Response, head: &Head) {
-    set(response, REQUEST, head.request.as_str());
+    set_header(response, REQUEST, head.request.as_str());
     if let Some(version) = &head.version {
-        set(response, VERSION, &version.to_string());
+        set_header(response, VERSION, &version.to_string());
     }
     if let Some(session) = &head.session {
-        set(response, parsing::SESSION_HEADER, session);
+        set_header(response, parsing::SESSION_HEADER, session);
     }
     if !head.moved.is_empty() {
         let moved_from: Vec<String> = head.moved.iter().map(ToString::to_string).collect();
-        set(response, SESSION_MOVED, &moved_from.join(", "));
+        set_header(response, SESSION_MOVED, &moved_from.join(", "));
     }
 }
 
-fn set(response: &mut Response, name: HeaderName, value: &str) {
+fn set_header(response: &mut Response, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         let headers: &mut HeaderMap = response.headers_mut();
         headers.insert(name, value);
     }
 }
 
-fn internal(detail: &str) -> Problem {
+fn internal_problem(detail: &str) -> Problem {
     Problem::new(problem::Kind::Internal, timeline::Ran::Unknown, detail)
 }
 
--- a/crates/entry/src/http/calls.rs
+++ b/crates/entry/src/http/calls.rs
@@ -77,8 +77,9 @@
         Ok(checked) => checked,
         Err(problem) => return Err(shared.correct_ran(problem, &terms, terms.repeat()).await),
     };
-    let plain = path.split('?').next().unwrap_or_default();
-    let repeat = if spec.repeatable(http.method().as_str(), plain) { terms.repeat() } else { Repeat::Never };
+    let path_without_query = path.split('?').next().unwrap_or_default();
+    let repeat =
+        if spec.repeatable(http.method().as_str(), path_without_query) { terms.repeat() } else { Repeat::Never };
     let method = http.method().clone();
     let headers = parsing::select_headers(http.headers(), &FORWARDED_HEADERS);
     let body = match body(shared, http).await {
@@ -115,7 +116,7 @@
         })?
     };
     let outcome = outcome.ok_or_else(unknown)?;
-    answer::json(response, StatusCode::OK, &OutcomeDocument { request: &id.key, outcome });
+    answer::write_json(response, StatusCode::OK, &OutcomeDocument { request: &id.key, outcome });
     Ok(())
 }
 
--- a/crates/entry/src/machine.rs
+++ b/crates/entry/src/machine.rs
@@ -234,26 +234,26 @@
     pub fn step(&mut self, event: Event) -> Result<Command, IllegalEvent> {
         match (self.state, event) {
             (state, _) if state.is_final() => Err(IllegalEvent { state, event }),
-            (_, Event::CallerGone) => self.caller_gone(),
+            (_, Event::CallerGone) => self.on_caller_gone(),
             (_, Event::TimeUp | Event::Fault) => Ok(self.interrupt()),
             (State::Admitting | State::Claiming | State::Choosing | State::Dispatching, Event::Declined)
             | (State::Retrying, Event::GiveUp)
             | (State::Running, Event::Diverged)
             | (State::Billing, Event::Unbilled) => Ok(self.fail()),
-            (State::Admitting, Event::Admitted) => Ok(self.admitted()),
+            (State::Admitting, Event::Admitted) => Ok(self.on_admitted()),
             (State::Claiming, Event::Claimed) => Ok(self.transition(State::Choosing, Command::Choose)),
             (State::Claiming, Event::Superseded) => Ok(self.transition(State::Superseded, Command::Retire)),
-            (State::Choosing, Event::Chosen { steps }) if steps > 0 => Ok(self.chosen(steps)),
-            (State::Dispatching, Event::Started) => Ok(self.started()),
-            (State::Dispatching, Event::Refused { arrived }) => Ok(self.refused(arrived)),
-            (State::Dispatching | State::Running, Event::Lost) | (State::Resuming, Event::Gone) => Ok(self.lost()),
+            (State::Choosing, Event::Chosen { steps }) if steps > 0 => Ok(self.on_chosen(steps)),
+            (State::Dispatching, Event::Started) => Ok(self.on_started()),
+            (State::Dispatching, Event::Refused { arrived }) => Ok(self.on_refused(arrived)),
+            (State::Dispatching | State::Running, Event::Lost) | (State::Resuming, Event::Gone) => Ok(self.on_lost()),
             (State::Retrying, Event::Again) => Ok(self.dispatch()),
-            (State::Running, Event::Frame) => Ok(self.first_frame()),
+            (State::Running, Event::Frame) => Ok(self.on_first_frame()),
             (State::Running, Event::Broke) => Ok(self.transition(State::Resuming, Command::Resume)),
             (State::Resuming, Event::Resumed) => Ok(self.transition(State::Running, Command::Read)),
-            (State::Running, Event::Whole) => Ok(self.whole()),
+            (State::Running, Event::Whole) => Ok(self.on_whole()),
             (State::Rating, Event::Kept) => Ok(self.transition(State::Billing, Command::Bill)),
-            (State::Rating, Event::Rejected) => Ok(self.escalated()),
+            (State::Rating, Event::Rejected) => Ok(self.on_rejected()),
             (State::Billing, Event::Billed) => Ok(self.transition(State::Answered, Command::Deliver)),
             (state, event) => Err(IllegalEvent { state, event }),
         }
@@ -269,7 +269,7 @@
         // In `Dispatching` the request may already be in transit: after a deadline or
         // fault in this state, the endpoint may still run it.
         if self.state == State::Dispatching {
-            self.may_have_run();
+            self.mark_possibly_run();
         }
         self.fail()
     }
@@ -278,21 +278,21 @@
         self.transition(State::Failed, Command::Fail { ran: self.ran })
     }
 
-    fn caller_gone(&mut self) -> Result<Command, IllegalEvent> {
+    fn on_caller_gone(&mut self) -> Result<Command, IllegalEvent> {
         if self.outlives_caller() {
             return Err(IllegalEvent { state: self.state, event: Event::CallerGone });
         }
         Ok(self.transition(State::Abandoned, Command::Abandon))
     }
 
-    fn admitted(&mut self) -> Command {
+    fn on_admitted(&mut self) -> Command {
         match self.repeat {
             Repeat::Never => self.transition(State::Claiming, Command::Claim),
             Repeat::Idempotent => self.transition(State::Choosing, Command::Choose),
         }
     }
 
-    fn chosen(&mut self, steps: u8) -> Command {
+    fn on_chosen(&mut self, steps: u8) -> Command {
         self.steps_left = if self.repeat == Repeat::Never { 0 } else { steps - 1 };
         self.dispatch()
     }
@@ -302,12 +302,12 @@
         self.transition(State::Dispatching, Command::Dispatch)
     }
 
-    fn started(&mut self) -> Command {
-        self.may_have_run();
+    fn on_started(&mut self) -> Command {
+        self.mark_possibly_run();
         self.transition(State::Running, Command::Read)
     }
 
-    fn refused(&mut self, arrived: bool) -> Command {
+    fn on_refused(&mut self, arrived: bool) -> Command {
         // Once bytes have arrived, only the endpoint's own statement rules out that
         // the request ran. That is enough to report "not run" and to retry an
         // idempotent request elsewhere, but not to risk running a request twice that
@@ -318,20 +318,20 @@
         self.transition(State::Retrying, Command::Retry)
     }
 
-    fn lost(&mut self) -> Command {
-        self.may_have_run();
+    fn on_lost(&mut self) -> Command {
+        self.mark_possibly_run();
         match self.repeat {
             Repeat::Never => self.transition(State::Failed, Command::Fail { ran: self.ran }),
             Repeat::Idempotent => self.transition(State::Retrying, Command::Retry),
         }
     }
 
-    fn first_frame(&mut self) -> Command {
+    fn on_first_frame(&mut self) -> Command {
         self.ran = Ran::Yes;
         Command::Read
     }
 
-    fn whole(&mut self) -> Command {
+    fn on_whole(&mut self) -> Command {
         self.ran = Ran::Yes;
         if self.may_escalate() {
             return self.transition(State::Rating, Command::Rate);
@@ -339,7 +339,7 @@
         self.transition(State::Billing, Command::Bill)
     }
 
-    fn escalated(&mut self) -> Command {
+    fn on_rejected(&mut self) -> Command {
         if !self.may_escalate() {
             return self.transition(State::Billing, Command::Bill);
         }
@@ -347,7 +347,7 @@
         self.dispatch()
     }
 
-    fn may_have_run(&mut self) {
+    fn mark_possibly_run(&mut self) {
         if self.ran == Ran::No {
             self.ran = Ran::Unknown;
         }
--- a/crates/entry/tests/path/bad_input.rs
+++ b/crates/entry/tests/path/bad_input.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    client::{Client, Headers, ask},
+    client::{Client, Headers, chat_body},
     site::{CLUB_KEY, Site, SiteConfig},
 };
 
@@ -31,7 +31,7 @@
 }
 
 fn header_case(name: &'static str, header: &'static str, value: &str, expected: (u16, &'static str)) -> Case {
-    let mut case = body_case(name, ask("fine", false), expected);
+    let mut case = body_case(name, chat_body("fine", false), expected);
     case.headers.push((header, value.to_owned()));
     case
 }
@@ -42,7 +42,7 @@
 
 fn auth_case(name: &'static str, value: Option<&str>) -> Case {
     let headers = value.map(|value| ("authorization", value.to_owned())).into_iter().collect();
-    Case { headers, ..body_case(name, ask("fine", false), (401, "wrong-key")) }
+    Case { headers, ..body_case(name, chat_body("fine", false), (401, "wrong-key")) }
 }
 
 const MALFORMED: (u16, &str) = (400, "malformed");
@@ -73,21 +73,21 @@
         body_case("messages is text", "{\"model\":\"summary\",\"messages\":\"a\"}", MALFORMED),
         body_case("message without role", "{\"model\":\"summary\",\"messages\":[{\"content\":\"a\"}]}", MALFORMED),
         body_case("message without content", "{\"model\":\"summary\",\"messages\":[{\"role\":\"user\"}]}", MALFORMED),
-        body_case("stream is not a bool", ask("a", false).replace("false", "\"yes\""), MALFORMED),
+        body_case("stream is not a bool", chat_body("a", false).replace("false", "\"yes\""), MALFORMED),
         body_case(
             "max_tokens is zero",
-            ask("a", false).replace("\"stream\"", "\"max_tokens\":0,\"stream\""),
+            chat_body("a", false).replace("\"stream\"", "\"max_tokens\":0,\"stream\""),
             MALFORMED,
         ),
         body_case(
             "max_tokens is negative",
-            ask("a", false).replace("\"stream\"", "\"max_tokens\":-1,\"stream\""),
+            chat_body("a", false).replace("\"stream\"", "\"max_tokens\":-1,\"stream\""),
             MALFORMED,
         ),
-        body_case("two answers", ask("a", false).replace("\"stream\"", "\"n\":2,\"stream\""), MALFORMED),
-        body_case("unknown model", ask("a", false).replace("summary", "nothing"), (404, "unknown-model")),
-        body_case("model not allowed", ask("a", false).replace("summary", "closed"), (403, "model-not-allowed")),
-        body_case("body too large", ask(&"a".repeat(5 << 20), false), (413, "body-too-large")),
+        body_case("two answers", chat_body("a", false).replace("\"stream\"", "\"n\":2,\"stream\""), MALFORMED),
+        body_case("unknown model", chat_body("a", false).replace("summary", "nothing"), (404, "unknown-model")),
+        body_case("model not allowed", chat_body("a", false).replace("summary", "closed"), (403, "model-not-allowed")),
+        body_case("body too large", chat_body(&"a".repeat(5 << 20), false), (413, "body-too-large")),
         header_case("key with a slash", "idempotency-key", "a/b", MALFORMED),
         header_case("empty idempotency key", "idempotency-key", "", MALFORMED),
         header_case("long idempotency key", "idempotency-key", &"k".repeat(200), MALFORMED),
--- a/crates/entry/tests/path/cascades.rs
+++ b/crates/entry/tests/path/cascades.rs
@@ -168,7 +168,7 @@
             return;
         }
     }
-    panic!("no answer was copied and run anew on the cheap version");
+    panic!("no answer was copied and run again on the cheap version");
 }
 
 /// Returns whether a request at the second instance has joined one at the first.
--- a/crates/entry/tests/path/client.rs
+++ b/crates/entry/tests/path/client.rs
@@ -70,19 +70,19 @@
     pub async fn chat(&self, key: &str, headers: Headers<'_>, content: &str) -> Reply {
         let bearer = format!("Bearer {key}");
         let headers: Vec<_> = [("authorization", bearer.as_str())].into_iter().chain(headers.iter().copied()).collect();
-        self.call(Method::POST, "/v1/chat/completions", &headers, ask(content, false)).await
+        self.call(Method::POST, "/v1/chat/completions", &headers, chat_body(content, false)).await
     }
 
     /// Sends a chat request whose answer is streamed.
     pub async fn stream(&self, key: &str, headers: Headers<'_>, content: &str) -> Stream {
         let bearer = format!("Bearer {key}");
         let headers: Vec<_> = [("authorization", bearer.as_str())].into_iter().chain(headers.iter().copied()).collect();
-        self.open(Method::POST, "/v1/chat/completions", &headers, ask(content, true)).await
+        self.open(Method::POST, "/v1/chat/completions", &headers, chat_body(content, true)).await
     }
 }
 
 /// Returns the body of a chat request.
-pub fn ask(content: &str, stream: bool) -> String {
+pub fn chat_body(content: &str, stream: bool) -> String {
     json!({ "model": "summary", "messages": [{ "role": "user", "content": content }], "stream": stream }).to_string()
 }
 
