--- a/crates/entry/tests/path/bad_input.rs
+++ b/crates/entry/tests/path/bad_input.rs
@@ -95,7 +95,7 @@
         header_case("idempotency key created in the future", "idempotency-key", ahead, MALFORMED),
         header_case("idempotent is maybe", "arbutuslug-idempotent", "maybe", MALFORMED),
         header_case("deadline is text", "arbutuslug-deadline-ms", "soon", MALFORMED),
-        header_case("deadline has passed", "arbutuslug-deadline-ms", "0", MALFORMED),
+        header_case("deadline is zero", "arbutuslug-deadline-ms", "0", MALFORMED),
         header_case("class with a blank", "arbutuslug-request-class", "a b", MALFORMED),
         header_case("session with a blank", "arbutuslug-session", "a b", MALFORMED),
         header_case("invented handle", "arbutuslug-session", "s1.e30.e30", (400, "bad-session")),
