--- a/crates/entry/src/dispatcher.rs
+++ b/crates/entry/src/dispatcher.rs
@@ -12,7 +12,7 @@
 
 use endpoint::rating::Rating;
 use route::{
-    admission, endpoint as placing,
+    admission, endpoint as route_endpoint,
     endpoint::{Failure, Key, Target},
     model::Choice,
     quality::{Cell, Stage},
@@ -57,7 +57,8 @@
     pub weight: u32,
     /// Time by which the request must be complete.
     pub deadline: Timestamp,
-    /// Pseudo-random number derived from the request.
+    /// Pseudo-random number derived from the request; spreads the retry delays of
+    /// refused requests.
     pub draw: u64,
 }
 
@@ -66,7 +67,7 @@
 pub struct VersionQuery {
     /// The configuration in force.
     pub catalog: Arc<Catalog>,
-    /// Versions stopped before the catalog says so.
+    /// Versions that are stopped, even if the catalog does not show it yet.
     pub stops: Arc<Stops>,
     /// Customer that sent the request.
     pub customer: Customer,
@@ -76,7 +77,8 @@
     pub class: Class,
     /// Session of the request, if it has one.
     pub session: Option<Session>,
-    /// Unit that a roll-out counts: the session, or the request if it has none.
+    /// Unit that a roll-out assigns to a version: the session, or the request if it has
+    /// none.
     pub unit: Unit,
     /// Whether the request may run more than once.
     pub repeat: Repeat,
@@ -107,8 +109,8 @@
 
 /// Admission of a request. Dropping it frees the slot for the next waiting request.
 ///
-/// This is a guard because a caller may hang up between the grant and its receipt.
-/// A slot that is not released would be lost until the instance restarts.
+/// The slot is freed on drop because a caller may hang up between the grant and its
+/// receipt. A slot that is not released would be lost until the instance restarts.
 #[derive(Debug)]
 pub struct Admission {
     /// Priority for the engine, from 0 (highest) to 9.
@@ -133,7 +135,7 @@
     pub endpoint: world_endpoint::Id,
     /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Reason for the choice, for the request's time line.
+    /// Reason for the choice, for the request's timeline.
     pub reason: String,
     /// Expected duration of a run, in milliseconds.
     pub expected_ms: Millis,
@@ -200,20 +202,20 @@
     Admit(AdmissionRequest, oneshot::Sender<Result<Admission, admission::Refusal>>),
     Release(QueueKey),
     Choose(Box<VersionQuery>, oneshot::Sender<Result<(Choice, ChoiceRecord), route::model::Refusal>>),
-    ReserveEndpoint(EndpointQuery, oneshot::Sender<Result<Reservation, placing::Refusal>>),
+    ReserveEndpoint(EndpointQuery, oneshot::Sender<Result<Reservation, route_endpoint::Refusal>>),
     Ended(Key, Target, Cell, Ending),
     Retry(Customer, retry::Request, retry::Failure, oneshot::Sender<retry::Decision>),
     Discard(ChoiceRecord),
     Expire(ChoiceRecord),
     Escalate(ChoiceRecord, f64, oneshot::Sender<ChoiceRecord>),
     AwaitRating(UnratedAnswer),
-    Rated { record: ChoiceRecord, version: Version, stage: Stage, pass: bool, last: bool },
+    Rated { record: ChoiceRecord, version: Version, stage: Stage, pass: bool, is_final: bool },
     RaterDown,
     LateRatings(Vec<Rating>),
     SetLoad(world_endpoint::Id, endpoint::report::Load),
     CacheEvents(world_endpoint::Id, Vec<endpoint::report::CacheEvent>),
     SetLeaving(Vec<world_endpoint::Id>),
-    SetCatalog(Arc<Catalog>, Vec<placing::Peer>),
+    SetCatalog(Arc<Catalog>, Vec<route_endpoint::Peer>),
     Endpoints(oneshot::Sender<Vec<world::endpoint::Endpoint>>),
 }
 
@@ -229,7 +231,7 @@
 
 /// Spawns the task for the local instance.
 #[must_use]
-pub fn spawn(local: placing::Peer, policy: retry::Policy, control: control::Handle) -> Handle {
+pub fn spawn(local: route_endpoint::Peer, policy: retry::Policy, control: control::Handle) -> Handle {
     let (inbox, messages) = mpsc::channel(CHANNEL_CAPACITY);
     let weak = inbox.downgrade();
     tokio::spawn(state::State::new(local, policy, control, weak).run(messages));
@@ -267,7 +269,7 @@
     pub async fn reserve_endpoint(
         &self,
         query: EndpointQuery,
-    ) -> Result<Result<Reservation, placing::Refusal>, Closed> {
+    ) -> Result<Result<Reservation, route_endpoint::Refusal>, Closed> {
         self.call(|reply| Message::ReserveEndpoint(query, reply)).await
     }
 
@@ -296,8 +298,8 @@
         self.notify(Message::Expire(record));
     }
 
-    /// Updates the record of a request that escalates to a higher tier, where it is
-    /// expected to pass at `rate`.
+    /// Updates the record of a request that escalates to a higher tier; `rate` is the
+    /// expected pass rate there.
     ///
     /// # Errors
     ///
@@ -311,10 +313,10 @@
         self.notify(Message::AwaitRating(answer));
     }
 
-    /// Reports a rating obtained while the caller waited. `last` says whether the rated
-    /// answer was delivered.
-    pub fn record_rating(&self, record: ChoiceRecord, version: Version, stage: Stage, pass: bool, last: bool) {
-        self.notify(Message::Rated { record, version, stage, pass, last });
+    /// Reports a rating obtained while the caller waited. `is_final` says whether the
+    /// rated answer is the request's final one.
+    pub fn record_rating(&self, record: ChoiceRecord, version: Version, stage: Stage, pass: bool, is_final: bool) {
+        self.notify(Message::Rated { record, version, stage, pass, is_final });
     }
 
     /// Reports that the rating service failed to rate an answer at once.
@@ -337,13 +339,14 @@
         self.notify(Message::CacheEvents(endpoint, events));
     }
 
-    /// Sets the endpoints that are leaving. All others are not.
+    /// Sets the list of leaving endpoints. An endpoint that is no longer in the list
+    /// gets new work again.
     pub fn set_leaving(&self, endpoints: Vec<world_endpoint::Id>) {
         self.notify(Message::SetLeaving(endpoints));
     }
 
     /// Sets the catalog and the live instances.
-    pub fn set_catalog(&self, catalog: Arc<Catalog>, instances: Vec<placing::Peer>) {
+    pub fn set_catalog(&self, catalog: Arc<Catalog>, instances: Vec<route_endpoint::Peer>) {
         self.notify(Message::SetCatalog(catalog, instances));
     }
 
--- a/crates/entry/src/driver/session_moves.rs
+++ b/crates/entry/src/driver/session_moves.rs
@@ -22,32 +22,32 @@
 use super::Driver;
 use crate::{join, session::Reference, shared::Shared};
 
-/// Longest that an answer waits for recording the moves that it reports, or for the
-/// instance that reported a move before; after it the move is reported again.
+/// Longest time that an answer waits until the moves that it reports are recorded, or
+/// for the instance that reported a move before. After it the move is reported again.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest that a refusal waits for the retraction of the report by the request's
+/// Longest time that a refusal waits for the retraction of the report by the request's
 /// first answer.
 const RETRACT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a retraction is retried, possibly after its refusal was sent.
 const RETRACT_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// How long a retraction is retried: as long as a home instance remembers the
-/// outcome of a request that it has no record of.
+/// How long a retraction is retried; equals the time for which a home instance
+/// remembers a run that left no record in the journal.
 const RETRACT_PERIOD: Duration = Duration::from_mins(10);
 
 impl Driver {
     /// Returns the versions that the session left for those of `choice`, now or
-    /// before, and of which its caller may not have been notified yet.
+    /// before, and that may not have been reported to its caller yet.
     pub(super) async fn unreported_moves(&self, choice: &Choice, pins: &[Pin]) -> Vec<Version> {
         let mut moved = choice.reason().moved.clone();
         let answering: Vec<_> = choice.steps().iter().map(Permit::version).collect();
-        let mut lost = Vec::new();
+        let mut unconfirmed = Vec::new();
         for reporter in reporting_answers(pins, &answering) {
             if !self.has_reported_move(reporter).await {
-                lost.push(reporter);
+                unconfirmed.push(reporter);
             }
         }
-        let is_alive = |reporter: &Teller| !lost.contains(&reporter);
-        for version in untold(pins, &answering, &self.request.id().key, is_alive) {
+        let is_confirmed = |reporter: &Teller| !unconfirmed.contains(&reporter);
+        for version in untold(pins, &answering, &self.request.id().key, is_confirmed) {
             if !moved.contains(version) {
                 moved.push(version.clone());
             }
@@ -115,7 +115,7 @@
 
     /// Retracts the record that this request's answer reported session moves.
     ///
-    /// The caller sends the key again, so it lacks the first answer. A repeat of a
+    /// The caller sent the key again, so it does not have the first answer. A repeat of a
     /// request that must not run twice gets only a refusal: the answer with the
     /// report is lost for good, and the next one, under another key, would not
     /// contain it. So the retraction comes before the refusal, and continues in the
@@ -127,7 +127,7 @@
         let deadline = self.request.deadline.min(Instant::now() + RETRACT_TIMEOUT);
         let Ok(permit) = self.shared.late_permits.clone().try_acquire_owned() else {
             if let Err(error) = retraction.write(deadline).await {
-                tracing::warn!(request = %self.request.id(), %error, "a session's move may stay untold");
+                tracing::warn!(request = %self.request.id(), %error, "session move may stay unreported");
             }
             return;
         };
@@ -192,7 +192,7 @@
                 }
                 Err(error) if Instant::now() >= give_up => {
                     let session = &self.session;
-                    tracing::warn!(request = %self.answer, %session, %error, "a session's move may stay untold");
+                    tracing::warn!(request = %self.answer, %session, %error, "session move may stay unreported");
                     return;
                 }
                 Err(_) => sleep(RETRACT_RETRY_PAUSE).await,
