--- a/crates/relay/src/caches.rs
+++ b/crates/relay/src/caches.rs
@@ -1,4 +1,5 @@
-//! Asks engines at startup which prompt parts they hold in their caches.
+//! Asks engines, the endpoints that run models, at startup which prompt parts they hold in
+//! their caches.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/relay/src/catalog.rs
+++ b/crates/relay/src/catalog.rs
@@ -61,7 +61,7 @@
     pub weight: u32,
 }
 
-/// A model in a route's ladder of models.
+/// A model in a route's ladder of models, which orders them from the smallest to the largest.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Model {
     /// Name.
--- a/crates/relay/src/catalog/wire.rs
+++ b/crates/relay/src/catalog/wire.rs
@@ -14,6 +14,7 @@
 pub struct CatalogCopy {
     version: u64,
     hosts: Vec<(String, Vec<RouteCopy>)>,
+    /// Names of the services and the tokens that fit into an endpoint's prompt cache.
     services: Vec<(String, Option<u64>)>,
     keys: Option<Vec<(String, TeamCopy)>>,
     header_bytes: u64,
@@ -28,12 +29,16 @@
     prefix: String,
     kind: KindCopy,
     timeout: Duration,
+    /// Target time to the answer, or to the first event of a stream.
     goal: Duration,
+    /// Target for the longest pause between two events of a stream.
     pause: Option<Duration>,
     rank: u8,
     attempts: u32,
     public: bool,
+    /// Names and costs of the models.
     models: Vec<(String, f64)>,
+    /// Names and weights of the services.
     targets: Vec<(String, u32)>,
 }
 
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -22,7 +22,7 @@
     pub build_addresses: fn(&[SocketAddr], u32) -> Bytes,
     /// Path at which an engine lists its prompt cache.
     pub cache_path: &'static str,
-    /// Parses such a list, skipping invalid entries.
+    /// Parses the list of a prompt cache, skipping invalid entries.
     pub parse_cached: fn(&[u8]) -> Vec<CachedPart>,
 }
 
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -1,8 +1,9 @@
 //! Handles one request: admits it, tries endpoints and answers the caller.
 //!
-//! A request is tried until an answer may go to the caller, within the route's
-//! attempts, the retry allowance and the deadline. A request that must not run
-//! twice is sent again only after an endpoint has said that it did not run it.
+//! A request is sent to one endpoint after another until an answer is accepted, within
+//! the route's attempts, the retry allowance and the deadline. A request that must not
+//! run twice is sent again only if no endpoint can have run it: each one so far was
+//! unreachable or said that it did not run the request.
 //! Nothing is sent to the caller before an answer is accepted. After that, a stream
 //! may continue at another endpoint after a whole event, under the headers of the
 //! first one.
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -31,7 +31,7 @@
     pub route: Arc<Route>,
     /// Customer that owns the request's access key; `None` if no key is needed.
     pub team: Option<Arc<Customer>>,
-    /// Urgency of the route among those that have a ladder of models.
+    /// Urgency of the route compared with the other routes that have a ladder of models.
     pub urgency: Urgency,
     /// Version of the catalog.
     pub version: u64,
@@ -56,8 +56,8 @@
         return Err((params, Refusal::Leaving));
     }
     if params.tokens.is_some() {
-        // Without knowing which engine has the prompt cached, it would be sent to one that
-        // has to process it again.
+        // Until it is known which engines have the prompt cached, the request might be sent
+        // to one that has to process the prompt again.
         dispatcher.wait_until_caches_known().await;
     }
     let time = params.deadline.unwrap_or(DEFAULT_DEADLINE).min(admission.route.timeout);
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -92,15 +92,15 @@
     /// Returns the largest model that has processed the prompt of a stream that the caller
     /// resumes.
     ///
-    /// That model wrote the beginning of the stream, or was asked for it without success.
-    /// It continues at once: a smaller model was already rejected for its low confidence
-    /// and is not asked again.
+    /// That model wrote the beginning of the stream, or was asked to and failed. It is asked
+    /// at once: smaller models were already rejected for their low confidence and are not
+    /// asked again.
     fn resumed_model(&self, models: usize) -> Option<usize> {
         self.params.last_event?;
         self.dispatcher.largest_caching_model(|model| self.prompt_key(Some(model)), models)
     }
 
-    /// Returns how long a run may take to its first byte.
+    /// Returns the time limit for the first byte of a run's answer.
     pub(super) fn first_byte_timeout(&self, run: &Run) -> Duration {
         let route = &self.admission.route;
         let last = self.sent >= route.attempts || !self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Retry);
--- a/crates/relay/src/exchange/stream.rs
+++ b/crates/relay/src/exchange/stream.rs
@@ -13,7 +13,7 @@
 };
 use crate::{answer::Body, catalog::Kind, clock, dispatcher::fleet::RunOutcome, events::Splitter, upstream::Outcome};
 
-/// A run has stalled after this many times the route's target pause between events.
+/// Pause between events that counts as a stall, as a multiple of the route's target pause.
 const STALL_FACTOR: f64 = 2.0;
 
 /// Shortest pause that counts as a stall: engines pause for about a second while they
@@ -25,7 +25,8 @@
 /// make all of them wait longer.
 const ENDPOINT_SILENCE: Duration = Duration::from_secs(1);
 
-/// Stalls after which a run is abandoned even if the endpoint still sends on other runs.
+/// Number of consecutive stalls after which a run is abandoned even if the endpoint still
+/// sends on other runs.
 const MAX_STALLS: u32 = 4;
 
 /// Result of waiting for the next bytes of a stream.
--- a/crates/relay/src/exchange/tries.rs
+++ b/crates/relay/src/exchange/tries.rs
@@ -65,12 +65,13 @@
     pub(super) started: Duration,
     /// Deadline of the request, less the time reserved for sending the answer.
     pub(super) limit: Duration,
-    /// Endpoints that were tried.
+    /// Endpoints at which a try failed; they are not tried again.
     pub(super) tried: Vec<Key>,
-    /// Number of times the request was sent.
+    /// Number of times the request was sent, not counting unreachable endpoints.
     pub(super) sent: u32,
     /// Number of tries that found the endpoint unreachable.
     pub(super) unreachable: u32,
+    /// Whether any endpoint may have run the request.
     pub(super) may_have_run: bool,
     /// Cause of the last failed try, for logs.
     pub(super) cause: String,
@@ -78,7 +79,8 @@
     pub(super) target_draw: f64,
     /// Version of the endpoint that started the stream, preferred when resuming.
     pub(super) version: Option<String>,
-    /// Running crash check of the endpoint that broke off the last try.
+    /// Task that checks whether the endpoint of the last try has crashed, if its answer broke
+    /// off.
     pub(super) crash_check: Option<JoinHandle<()>>,
 }
 
@@ -360,7 +362,7 @@
         NextStep::Accepted(AcceptedAnswer::Whole(response))
     }
 
-    /// Logs and measures an accepted answer.
+    /// Logs an accepted answer and records how long it took.
     pub(super) fn log_answer(
         &self,
         endpoint: &Endpoint,
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -5,6 +5,11 @@
 //! never report an error. After any failure the kind is listed again, because an
 //! interrupted watch may have missed changes.
 //!
+//! A successful call for the catalog is also a proof of its access keys: a read proves
+//! that they were in force when it was requested, a watch without changes that they were
+//! a second before. Access keys are accepted only while the last proof is recent
+//! ([`route::relay::freshness`]).
+//!
 //! While another instance keeps this one synchronized ([`crate::dispatcher::synchronization`]), the
 //! store is called only for what that instance cannot provide.
 
@@ -40,11 +45,11 @@
 /// Longest wait of a watch on the other kinds; other instances announce rollouts sooner.
 const OTHER_WATCH_WAIT: Duration = Duration::from_secs(4);
 
-/// First and longest backoff after a failed call.
+/// First and longest backoff after failed calls.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
 
 /// Pause between probes of an unreachable store by an instance that other instances will
-/// notify of its return. Each probe is a call that is paid for, at every instance.
+/// notify when the store is back. Every instance probes, and each call is paid for.
 const PROBE_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Probe pause per instance of the fleet: in a large fleet the pause grows with the number
@@ -69,13 +74,14 @@
 const LAPSED_WATCH_WAIT: Duration = Duration::from_millis(300);
 
 /// Time after the first listing in which an instance waits to discover others that keep it
-/// synchronized: with 74 instances a round of news takes 1.25 s and a question 0.35 s.
+/// synchronized: with 74 instances it takes 1.25 s to send news to all of them, and questions
+/// are 0.35 s apart.
 /// Without the wait, half of the store calls of a starting fleet come from instances that
 /// watch the store by themselves until then.
 const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// The same wait for an instance that ranks among those that watch the store. Every
-/// instance seems to until it has received the greetings of others.
+/// Discovery time of an instance that is one of those that watch the store, as far as it
+/// knows. Every instance assumes so until it has received news from the others.
 const WATCHER_DISCOVERY_TIME: Duration = Duration::from_millis(700);
 
 /// Pause between checks whether another instance still keeps this one synchronized.
@@ -118,7 +124,7 @@
     /// Revision to watch from; `None` if the kind has to be listed.
     revision: Option<u64>,
     has_listed: bool,
-    /// Start of the first call that failed since the store was lost.
+    /// Start of the first failed call of the current outage, if there is one.
     lost_since: Option<Duration>,
     last_failure: Duration,
     /// Number of consecutive failed calls.
@@ -250,7 +256,7 @@
         } else {
             self.read_latest(asked).await;
         }
-        // Reads only the last of several versions in quick succession.
+        // If several versions follow in quick succession, only the last of them is read.
         sleep(TRIGGERED_READ_PAUSE).await;
     }
 
--- a/crates/relay/src/follow/lapses.rs
+++ b/crates/relay/src/follow/lapses.rs
@@ -1,10 +1,10 @@
 //! Endpoints whose registrations may have expired only because the store was unreachable.
 //!
-//! The store drops the registration of an endpoint that it has not heard from, even
-//! if the store itself could not be reached. An endpoint that is alive registers
-//! again within seconds of the store's return; one that does not is gone. The store
-//! has no revision for that moment, so the removal is passed on to the instances
-//! that this one keeps synchronized together with the next change.
+//! The store deletes a registration that its endpoint has not renewed, even if the
+//! endpoint could not reach the store. An endpoint that is alive registers again
+//! within seconds of the store's return; one that does not is gone. This instance then
+//! removes it, which is no change in the store and has no revision there. So the removal
+//! is sent with the next change to the instances that this one keeps synchronized.
 
 #[cfg(test)]
 mod tests;
--- a/crates/relay/src/follow/lapses/tests.rs
+++ b/crates/relay/src/follow/lapses/tests.rs
@@ -27,8 +27,8 @@
 }
 
 /// An endpoint registers just after it was removed, before other instances were notified.
-/// An instance that is told "gone" together with a change later than the registration
-/// would send it nothing until its registration changes again.
+/// An instance that received the removal with a change later than the registration would
+/// send the endpoint no requests until its registration changes again.
 #[test]
 fn endpoint_that_registered_again_is_not_announced_as_gone() {
     let mut lapses = lapses_with_removal();
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -20,9 +20,9 @@
 /// once, a full queue would drop first packets, which are resent only a second later.
 const ACCEPT_BACKLOG: i32 = 1_024;
 
-/// Longest time that a connection may stay without a request. Callers reuse connections
-/// within the operator's limit, which may grow while a connection is open, so this limit
-/// only cleans up abandoned ones.
+/// Longest time that a connection may stay without a request. The operator limits how long
+/// callers keep idle connections, and may raise that limit while a connection is open. This
+/// timeout is therefore long and only closes abandoned connections.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// Largest request head that a connection buffers, in bytes; the catalog's limit is lower.
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -58,30 +58,31 @@
 /// Maximum number of changes in a reply; about as many as fit into a datagram.
 const MAX_REPLY_CHANGES: usize = 60;
 
-/// Reminders are sent with one in this many news messages, on average. They only make up
-/// for lost datagrams and for instances that were cut off.
+/// One in this many news messages, on average, is sent with reminders of quarantined requests
+/// and endpoint limits. They only make up for lost datagrams and for instances that were cut
+/// off.
 const REMINDER_RATIO: u32 = 4;
 
 /// Maximum number of endpoint limits in a reminder. They are drawn at random each time, so
 /// that instances that missed a limit receive it within a few reminders.
 const MAX_REMINDER_LIMITS: usize = 16;
 
-/// Other instances named in a news message, so that instances discover each other.
+/// Number of other instances named in a news message, so that instances discover each other.
 const MAX_NAMED: usize = 4;
 
-/// Other instances named in a brief news message.
+/// Number of other instances named in a brief news message.
 const MAX_NAMED_IN_BRIEF: usize = 1;
 
-/// Other instances named in a greeting to a newly discovered instance.
+/// Number of other instances named in a greeting to a newly discovered instance.
 const MAX_NAMED_IN_GREETING: usize = 24;
 
 /// Time for which newly discovered instances are collected before they are greeted
 /// together.
 const GREETING_DELAY: Duration = Duration::from_millis(10);
 
-/// Maximum number of sightings in a news message. With 300 instances, an instance that
-/// receives eight messages each quarter of a second gets four sightings of each other
-/// instance per second.
+/// Maximum number of sightings in a news message; a sighting says when another instance was
+/// last heard from. With 300 instances, an instance that receives eight messages each
+/// quarter of a second gets four sightings of each other instance per second.
 const MAX_SIGHTINGS: usize = 40;
 
 /// Number of free UDP ports tried until one is free for TCP as well.
@@ -129,8 +130,8 @@
 
 /// Sends this instance's evidence on rollouts to the instances that watch the store.
 ///
-/// In a large fleet each instance sees only a few runs of a bad version. By news alone it
-/// takes many seconds until any instance has seen enough of them.
+/// In a large fleet each instance sees only a few runs of a bad version. With news alone it
+/// takes many seconds until any instance has enough evidence.
 fn send_evidence(dispatcher: &Dispatcher, socket: &UdpSocket) {
     let orders: Vec<RolloutEvidence> = dispatcher.rollout_reports().iter().map(RolloutEvidence::from).collect();
     if orders.is_empty() {
@@ -216,7 +217,7 @@
     }
 }
 
-/// Applies notices, except this instance's own, which relays send back.
+/// Applies notices, except this instance's own, which relay instances send back to it.
 fn take_notices(dispatcher: &Dispatcher, notices: Vec<Notice>) {
     let me = short_hash(&dispatcher.settings.instance);
     for notice in notices.into_iter().filter(|notice| notice.origin != me) {
--- a/crates/relay/src/news/spread.rs
+++ b/crates/relay/src/news/spread.rs
@@ -1,8 +1,8 @@
 //! Broadcasts urgent items to all instances: long prompts, crashes, endpoint limits.
 //!
 //! In a large fleet an item is sent to one relay instance in each failure domain,
-//! which passes it on to its neighbours together with other items that arrive at
-//! about the same time.
+//! which passes it on to the instances of that domain together with other items that
+//! arrive at about the same time.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -17,7 +17,7 @@
 };
 use crate::dispatcher::{Dispatcher, fleet::short_hash, peers::NoticeRecipients};
 
-/// Time for which a relay collects items before it passes them on.
+/// Time for which a relay instance collects items before it passes them on.
 const BATCH_DELAY: Duration = Duration::from_millis(30);
 
 /// Maximum number of items in a datagram.
@@ -101,7 +101,7 @@
         self.queued.notify_one();
     }
 
-    /// Sends items to all instances; in a large fleet, to the relays.
+    /// Sends items to all instances; in a large fleet, to the relay instances.
     fn send_to_all(&self, dispatcher: &Dispatcher, socket: &UdpSocket, items: &[T]) {
         let me = dispatcher.settings.listeners.news;
         for items in items.chunks(MAX_BATCH) {
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Passes queued items on to the neighbours, in batches; never returns.
+    /// Passes queued items on to the instances of this failure domain, in batches; never
+    /// returns.
     async fn pass_on(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         loop {
             let items = self.next_batch().await;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Waits for an item and for those that follow within the collecting time, and takes them.
+    /// Waits for an item, then for [`BATCH_DELAY`], and takes all queued items.
     async fn next_batch(&self) -> Vec<T> {
         loop {
             self.queued.notified().await;
--- a/crates/relay/src/news/wire.rs
+++ b/crates/relay/src/news/wire.rs
@@ -32,17 +32,17 @@
     Reply(Reply),
     /// Notices of long prompts.
     Notices(Vec<Notice>),
-    /// Notices that the receiver passes on to its neighbours.
+    /// Notices that the receiver passes on to the instances of its failure domain.
     PassOn(Vec<Notice>),
     /// Evidence of an instance on rollouts, with the hash of the instance's name.
     Evidence(u32, Vec<RolloutEvidence>),
     /// Findings about requests that crash endpoints.
     Findings(Vec<Finding>),
-    /// Findings that the receiver passes on to its neighbours.
+    /// Findings that the receiver passes on to the instances of its failure domain.
     PassOnFindings(Vec<Finding>),
     /// Rate limits that endpoints report.
     Limits(Vec<Limit>),
-    /// Limits that the receiver passes on to its neighbours.
+    /// Limits that the receiver passes on to the instances of its failure domain.
     PassOnLimits(Vec<Limit>),
 }
 
@@ -53,7 +53,7 @@
     start: u32,
     /// Requests per second; `None` if the endpoint no longer names a limit.
     per_s: Option<f64>,
-    /// Time since the endpoint reported it.
+    /// Time since the endpoint reported the limit.
     age_ms: u32,
 }
 
@@ -148,6 +148,7 @@
 /// Serialized form of [`synchronization::Change`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Change {
+    /// An endpoint was registered or changed.
     Known {
         id: String,
         service: String,
@@ -156,10 +157,13 @@
         version: String,
         slots: u32,
         draining: bool,
+        /// Remaining time for which the endpoint is slow after its start.
         cold_ms: u32,
+        /// Start time in Unix milliseconds.
         born: Option<u64>,
         revision: u64,
     },
+    /// The endpoint of this name was removed.
     Gone(String),
 }
 
@@ -168,6 +172,7 @@
 pub(super) struct RolloutOrder {
     pub(super) service: String,
     pub(super) target: String,
+    /// Time that the rollout may take.
     pub(super) over_ms: u32,
     pub(super) stage: Option<u8>,
     pub(super) revision: u64,
@@ -224,7 +229,8 @@
     /// Names and news addresses of some other instances.
     pub(super) named: Vec<(String, SocketAddr)>,
     pub(super) sightings: Vec<SerializedSighting>,
-    /// Load that it puts on endpoints: name hash, runs, backlog in milliseconds.
+    /// Load that its requests put on endpoints: hash of the endpoint's name and start
+    /// time, runs, backlog in milliseconds.
     pub(super) loads: Vec<(u32, u16, u16)>,
     /// Hashes of sessions that it recently served with an old version during a rollout.
     pub(super) sessions: Vec<u64>,
@@ -237,9 +243,11 @@
 /// Serialized form of [`Sighting`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct SerializedSighting {
+    /// Hash of the instance's name.
     name: u32,
+    /// Time since the instance was last heard from.
     age_ms: u16,
-    /// Whether it is shutting down.
+    /// Whether the instance is shutting down.
     leaves: bool,
 }
 
@@ -412,6 +420,7 @@
         Self {
             number,
             catalog: reply.catalog,
+            // Rounded up, so that the proof never looks more recent than it is.
             proof_age_ms: millis_u32(reply.proof_age).saturating_add(1),
             silence_ms: millis_u32(reply.silence),
             revision: reply.revision,
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -13,7 +13,7 @@
     pub domain: String,
     /// Addresses to listen at.
     pub listeners: Listeners,
-    /// News addresses of instances to contact at startup.
+    /// Addresses at which other instances receive news; contacted at startup.
     pub seeds: Vec<SocketAddr>,
     /// Longest time for which a revoked access key may still work; `None` if revocation has
     /// no strict bound.
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -119,7 +119,7 @@
     let text = response.headers().get(&names.rate_limit)?.to_str().ok()?;
     let per_s = text.trim().parse().ok().filter(|per_s: &f64| per_s.is_finite() && *per_s >= 0.0);
     if per_s.is_none() {
-        tracing::debug!(text, "an endpoint's limit does not read");
+        tracing::debug!(text, "endpoint's rate limit cannot be parsed");
     }
     per_s
 }
--- a/crates/relay/tests/it/caches.rs
+++ b/crates/relay/tests/it/caches.rs
@@ -45,7 +45,7 @@
 /// All instances crash and restart. A caller then resumes a stream that the large model had
 /// begun on one engine, shortly before its pause ends. The stream has to go to that engine and
 /// that model at once, without waiting for the small model's confidence or for the prompt to be
-/// read a second time.
+/// processed a second time.
 #[tokio::test]
 async fn resumed_stream_goes_to_the_engine_that_read_its_prompt() {
     for holder in 0..3 {
@@ -62,7 +62,7 @@
 }
 
 /// A new request does not resume a stream: it starts with the small model, whichever model has
-/// read its prompt, and goes to an engine that has the shared part in its cache.
+/// processed its prompt, and goes to an engine that has the shared part in its cache.
 #[tokio::test]
 async fn new_request_goes_to_an_engine_that_cached_its_prompt_before_the_start() {
     for holder in 0..3 {
--- a/crates/relay/tests/it/crashes.rs
+++ b/crates/relay/tests/it/crashes.rs
@@ -78,8 +78,8 @@
     Action::Write(stream_head(90) + &event(1) + LAST_CHUNK)
 }
 
-/// A caller repeats a request that crashes endpoints. Each repeat took down three more of them,
-/// along with everything they ran, until none was left.
+/// A caller repeats a request that crashes endpoints. Unless it is refused, each repeat crashes
+/// three more of them, along with everything they run, until none is left.
 #[tokio::test]
 async fn request_that_crashes_endpoints_is_refused() {
     let servers = start_endpoints(12, &(stream_head(90) + &event(1)), complete_stream()).await;
@@ -102,7 +102,7 @@
     assert_eq!(call(&site, "/s/x", "harmless").await.status, 200);
 }
 
-/// The caller repeats the request at other instances, which had not seen it and forwarded it.
+/// The caller repeats the request at other instances, which have not forwarded it before.
 #[tokio::test]
 async fn request_that_crashes_endpoints_is_refused_by_all_instances() {
     let servers = start_endpoints(20, &(stream_head(90) + &event(1)), complete_stream()).await;
@@ -124,8 +124,8 @@
     }
 }
 
-/// An instance starts after the request was quarantined. It only learned of that by three more
-/// crashes.
+/// An instance starts after the request was quarantined. It has to be notified of that, and not
+/// find out by three more crashes.
 #[tokio::test]
 async fn instance_that_starts_later_refuses_a_quarantined_request() {
     let servers = start_endpoints(20, &(stream_head(90) + &event(1)), complete_stream()).await;
@@ -145,8 +145,8 @@
     assert_eq!(deadly_request_count(&servers), before);
 }
 
-/// All instances crash at once and restart. They had no record of the request, and only learned
-/// of it by three more crashes.
+/// All instances crash at once and restart. They have to read the quarantine from the store, and
+/// not find out by three more crashes.
 #[tokio::test]
 async fn quarantine_survives_the_restart_of_all_instances() {
     let servers = start_endpoints(20, &(stream_head(90) + &event(1)), complete_stream()).await;
@@ -164,7 +164,7 @@
     assert_eq!(deadly_request_count(&servers), before);
 }
 
-/// The store refuses calls while a request is being quarantined. The record has to be written
+/// The store rejects calls while a request is being quarantined. The record has to be written
 /// later, because all instances may be lost afterwards.
 #[tokio::test]
 async fn quarantine_is_written_once_the_store_accepts_writes() {
@@ -228,8 +228,8 @@
 }
 
 /// Two answers to a request were dropped in favour of a larger model's, and its three endpoints
-/// are among many that crash at the same moment. The request did not cause that, but was
-/// quarantined for minutes.
+/// are among many that crash at the same moment. The request did not cause that and must not be
+/// quarantined.
 #[tokio::test]
 async fn endpoints_that_crash_together_count_as_one_crash_of_their_unfinished_request() {
     let instance = Dispatcher::new(settings(), dialect());
--- a/crates/relay/tests/it/large_pool.rs
+++ b/crates/relay/tests/it/large_pool.rs
@@ -35,7 +35,7 @@
     instance
 }
 
-/// Some endpoints of a large pool were never sampled, and the others carried their load.
+/// Every endpoint of a large pool must be sampled; otherwise the others would carry its load.
 #[test]
 fn load_is_spread_over_all_endpoints() {
     let instance = instance_with_large_pool();
--- a/crates/relay/tests/it/limits.rs
+++ b/crates/relay/tests/it/limits.rs
@@ -70,8 +70,8 @@
     f64::from(u32::try_from(server.requests().len()).unwrap())
 }
 
-/// An overloaded endpoint announces a limit. It still received its full share of all requests,
-/// as if there were none.
+/// Checks that an overloaded endpoint that announces a limit receives no more requests than the
+/// limit, rather than its full share.
 async fn check_limit(instance_count: usize) {
     let (overloaded, other) = (Server::start(vec![limited()]).await, Server::start(vec![unlimited()]).await);
     let sites = start_instances(instance_count, &[&overloaded, &other]).await;
@@ -153,7 +153,8 @@
     panic!("{served} of 200 requests served");
 }
 
-/// An instance that starts later has had no response from the endpoint itself.
+/// An instance that starts later has had no response from the endpoint, and learns of the limit
+/// from another instance.
 #[tokio::test]
 async fn instance_that_starts_later_learns_of_a_limit() {
     let overloaded = Server::start(vec![limited()]).await;
--- a/crates/relay/tests/it/lost_endpoints.rs
+++ b/crates/relay/tests/it/lost_endpoints.rs
@@ -25,8 +25,8 @@
 }
 
 /// Nearly half of a service's servers crash at once and stay listed until their leases expire.
-/// Several attempts of a request are refused a connection, each within a millisecond, and the
-/// request failed though the remaining servers could run it.
+/// Several attempts of a request may be refused a connection, each within a millisecond. The
+/// request must not fail while the remaining servers can run it.
 #[tokio::test]
 async fn request_succeeds_despite_many_closed_endpoints() {
     let server = Server::start(vec![Action::Write(ok_response("ok"))]).await;
@@ -41,9 +41,9 @@
 }
 
 /// A server crashes and restarts at its address under a new name, while the store lists the old
-/// one for seconds. It rejects requests that name the old one. The relay took it for a full
-/// server, so every request tried it again and used up its attempts; it has to back off as from
-/// an endpoint that cannot be reached.
+/// one for seconds. It rejects requests that name the old one. The relay has to back off as
+/// from an endpoint that cannot be reached. If it took the server for a full one, every request
+/// would try it again and use up its attempts.
 #[tokio::test]
 async fn replaced_endpoint_is_in_backoff() {
     let moved = "HTTP/1.1 421 X\r\nx-request: {id}\r\ncontent-length: 0\r\n\r\n";
--- a/crates/relay/tests/it/notices.rs
+++ b/crates/relay/tests/it/notices.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// One instance sends an endpoint a prompt that takes a third of a second to read. Requests of
-/// another instance would wait behind it until the next status update arrives; after a notice
+/// One instance sends an endpoint a prompt that takes a third of a second to process. Requests
+/// of another instance would wait behind it until the next news message arrives; after a notice
 /// they go to the other endpoints.
 #[tokio::test]
 async fn requests_avoid_an_endpoint_with_a_long_prompt_of_another_instance() {
@@ -73,8 +73,8 @@
     }
 }
 
-/// Load that a notice has announced is left out of the next status update: the other instances
-/// would count it twice.
+/// Load that a notice has announced is left out of the next news message; otherwise the other
+/// instances would count it twice.
 #[tokio::test]
 async fn load_announced_by_a_notice_is_left_out_of_status_updates() {
     let instance = instance_with_endpoints();
@@ -110,9 +110,9 @@
     assert!(instance.place(&prompt_job(Some(7), 100)).is_some());
 }
 
-/// The endpoint that has a shared part in its cache is reading a long prompt. The next request
-/// with that part goes to another endpoint and names the one to copy it from, so that the part
-/// is not read a second time.
+/// The endpoint that has a shared part in its cache is processing a long prompt. The next request
+/// with that part goes to another endpoint and names the one to copy it from, so that the part is
+/// not processed a second time.
 #[tokio::test]
 async fn shared_part_is_copied_from_its_busy_holder() {
     let actions = || vec![Action::Write(ok_response("ok")), Action::Write(ok_response("ok"))];
@@ -140,12 +140,13 @@
             instance.update_peer(&format!("{domain}-{number}"), news, update);
         }
     }
-    // Forwarding instances are selected with each round of status updates.
+    // Relay instances are selected with each round of news messages.
     let _ = instance.news_recipients(0, 16);
 }
 
-/// A notice of each long prompt went to each of 294 other instances: fifty thousand datagrams a
-/// second over the fleet, a third of its processor time.
+/// Sending a notice of each long prompt to each of 294 other instances would take fifty thousand
+/// datagrams a second over the fleet and a third of its processor time. Only the relay instance of
+/// each failure domain gets it and forwards it there.
 #[test]
 fn notices_go_to_few_forwarding_instances_in_a_large_fleet() {
     let (small, large) = (instance_with_endpoints(), instance_with_endpoints());
@@ -155,7 +156,8 @@
     assert!(matches!(large.notice_recipients(), NoticeRecipients::Relays(relays) if relays.len() == 4));
 }
 
-/// A forwarding instance passes a notice on to its neighbours, and counts the load itself.
+/// A relay instance passes a notice on to the other instances of its failure domain, and counts
+/// the load itself.
 #[tokio::test]
 async fn forwarding_instance_passes_a_notice_on() {
     let neighbours = UdpSocket::bind("127.0.0.1:0").await.unwrap();
@@ -189,6 +191,8 @@
             neighbours.recv(&mut buffer).await.unwrap();
         }
     };
-    timeout(Duration::from_secs(5), passed_on).await.expect("the notice should reach the neighbours");
+    timeout(Duration::from_secs(5), passed_on)
+        .await
+        .expect("the notice should reach the failure domain's other instances");
     assert!(relay.relay.dispatcher().expected_ms(&job).unwrap() > before + 100.0);
 }
--- a/crates/relay/tests/it/proofs.rs
+++ b/crates/relay/tests/it/proofs.rs
@@ -28,7 +28,7 @@
 /// Pause between questions to an instance that watches the store.
 const QUESTION_PAUSE: Duration = Duration::from_millis(350);
 
-/// Pause between status updates.
+/// Pause between news messages.
 const UPDATE_PAUSE: Duration = Duration::from_millis(250);
 
 /// Duration of a test; spans several reads and watches of the catalog.
@@ -43,10 +43,10 @@
     Site::start_with(contents, |_| {}).await
 }
 
-/// An instance with a narrow link watches the store. It read the whole catalog once a second to
-/// prove it; over a narrow link that made each proof older than others accept. So all instances
-/// watched the store themselves and read the catalog as often, their links were full, callers
-/// got slow responses, and a change was read too late.
+/// An instance with a narrow link watches the store. If it read the whole catalog once a second to
+/// prove it, each proof would be older than others accept. All instances would then watch the store
+/// themselves and read the catalog as often, which fills their links, slows down responses to
+/// callers, and delays changes.
 #[tokio::test]
 async fn instance_with_a_narrow_link_keeps_others_synchronized() {
     let site = start().await;
@@ -101,9 +101,9 @@
     )*};
 }
 
-// A catalog change reaches the fleet through the instances that watch the store. Two instances
-// with links of 10 Mbit/s received it a second late, and so did all others, though some of those
-// had wide links.
+// A catalog change reaches the fleet through the instances that watch the store. If these have
+// links of 10 Mbit/s, they receive it a second late, and so do all others. So instances with wide
+// links have to watch where there are any.
 watching! {
     first_two_of_equal_instances_watch: "1", false, [("0", false), ("2", false), ("3", false)] => true;
     third_of_equal_instances_does_not_watch: "2", false, [("0", false), ("1", false), ("3", false)] => false;
--- a/crates/relay/tests/it/requests.rs
+++ b/crates/relay/tests/it/requests.rs
@@ -18,8 +18,8 @@
 }
 
 /// The caller's key is not forwarded; the endpoint receives the name of the customer whose key
-/// it is, and of the one endpoint that may run the request, whatever the caller claims in its
-/// headers.
+/// it is, and the name of the one endpoint that may run the request, whatever the caller claims in
+/// its headers.
 #[tokio::test]
 async fn endpoint_receives_the_customer_name_but_not_the_key() {
     let (server, site) = start(Kind::NonIdempotent).await;
@@ -108,9 +108,9 @@
 
 /// An operator revokes a customer's key while the store cannot be reached.
 ///
-/// The relay is not notified. Once its information on keys is as old as a revoked key may go on
-/// working, it answers 503 to all requests with a key, with the time to retry; requests without
-/// a key are still served.
+/// The relay is not notified. Once its proof of the keys is older than the time for which a revoked
+/// key may go on working, it answers 503 to all requests with a key, with the time to retry;
+/// requests without a key are still served.
 #[tokio::test]
 async fn keys_are_refused_after_a_while_without_the_store() {
     let server = Server::start(vec![Action::Write(ok_response("ok"))]).await;
@@ -138,9 +138,10 @@
 
 /// The store becomes unavailable right after a watch that reported no change.
 ///
-/// Callers with keys may be served until the proof of the keys is as old as a revoked key may go
-/// on working. Such a watch proves little, so an instance that only watched would refuse them a
-/// second or two too soon; it has to read between watches even while nothing changes.
+/// Callers with keys may be served until the proof of the keys is older than the time for which a
+/// revoked key may go on working. Such a watch proves little, so an instance that only watched
+/// would refuse callers a second or two too soon; it has to read between watches even while nothing
+/// changes.
 #[tokio::test]
 async fn keys_are_proven_by_reads_while_nothing_changes() {
     let (_server, site) = start(Kind::Idempotent).await;
--- a/crates/relay/tests/it/restarts.rs
+++ b/crates/relay/tests/it/restarts.rs
@@ -81,8 +81,8 @@
     assert_eq!(placements(&instance), ["e0"]);
 }
 
-/// The load is that of other instances, whose status update on the earlier start arrives after
-/// the new one has registered.
+/// A news message of another instance reports load on an endpoint's earlier start, and arrives
+/// after the new start has registered.
 #[tokio::test]
 async fn late_load_of_an_earlier_start_does_not_count_for_the_new_one() {
     let instance = instance_with_endpoints();
@@ -93,7 +93,7 @@
     instance.apply_notice(Notice { endpoint: old, reading_ms: 9_000.0, part: None });
     let _busy = instance.place(&Job { tried: &[], ..prompt_job(None, 10_000) });
     assert_eq!(placements(&instance).len(), 1, "one endpoint should be busy and the other free");
-    // A status update on the new start counts.
+    // A news message about the new start counts.
     let instance = instance_with_endpoints();
     instance.register_endpoint(registration("e0", 9, 200, 20));
     instance.update_peer(
@@ -121,7 +121,7 @@
     instance.register_endpoint(registration("e0", 9, 200, 20));
     let run = instance.place(&prompt_job(Some(7), 10_000)).expect("an endpoint should take the job");
     assert_eq!(run.source, None);
-    // The expected load includes reading the part again.
+    // The expected load includes processing the part again.
     let backlog: f64 = instance.own_loads().iter().map(|(_, load)| load.backlog_ms).sum();
     let announced: f64 = instance.next_notices().await.iter().map(|notice| notice.reading_ms).sum();
     let whole = instance.expected_idle_ms(&Job { own_tokens: 15_000, shared_tokens: 0, ..prompt_job(Some(7), 10_000) });
@@ -144,7 +144,7 @@
 }
 
 /// The clock of a server's machine is set back, and the server restarts: the new start looks
-/// older than the one before. The store's revision shows the right order.
+/// older than the one before. The revision of the registration shows the right order.
 #[tokio::test]
 async fn start_with_an_earlier_clock_time_counts_as_a_restart() {
     let instance = instance_with_endpoints();
--- a/crates/relay/tests/it/rollouts.rs
+++ b/crates/relay/tests/it/rollouts.rs
@@ -1,4 +1,4 @@
-//! A roll-out of a new version: few callers reach it, and it is reverted if it is bad.
+//! A rollout of a new version: few callers reach it, and it is reverted if it is bad.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -97,7 +97,7 @@
     slow_version_is_reverted: Action::WriteSlowly([vec![String::new(); 12], vec![ok_response("ok")]].concat());
 }
 
-/// Sessions are in progress when the roll-out is ordered.
+/// Sessions are in progress when the rollout is ordered.
 ///
 /// Callers notice when the version changes within a session, so these stay on the old version
 /// for as long as they last; only sessions that begin later may reach the new one.
@@ -127,9 +127,9 @@
     assert!(new < old, "{new} of {}", new + old);
 }
 
-/// In a large fleet each instance sees only two failures of a bad version, and by status updates
-/// alone it took seconds until any instance knew of enough of them. The instances that watch the
-/// store therefore receive reports every third of a second.
+/// In a large fleet each instance sees only two failures of a bad version. With news messages
+/// alone it would take seconds until any instance has enough evidence, so the instances that watch
+/// the store receive the evidence of all others every third of a second.
 #[test]
 fn evidence_of_many_instances_reverts_a_version() {
     let instance = instance_with_catalog(1);
--- a/crates/relay/tests/it/site.rs
+++ b/crates/relay/tests/it/site.rs
@@ -42,13 +42,13 @@
     pub endpoints: Vec<Endpoint>,
     /// Names of endpoints whose registrations cannot be read.
     pub unreadable: Vec<String>,
-    /// Ordered roll-outs.
+    /// Ordered rollouts.
     pub rollouts: Vec<Rollout>,
     /// Quarantined requests.
     pub refused: Vec<Refused>,
     /// Whether calls are never answered.
     pub silent: bool,
-    /// Whether every listing and every write of the quarantine is refused.
+    /// Whether the store rejects every listing and every write of the quarantine.
     pub refuses: bool,
     /// Time until the answer to a listing begins.
     pub delay: Duration,
@@ -61,9 +61,9 @@
 /// A store in memory.
 pub struct Store {
     contents: watch::Sender<StoreContents>,
-    /// Roll-out stages that were reported.
+    /// Rollout stages that were reported.
     pub reported: Mutex<Vec<Stage>>,
-    /// Number of catalog reads, refused ones included.
+    /// Number of catalog reads, including rejected ones.
     pub catalog_reads: AtomicUsize,
     /// Number of catalog reads that accepted a copy of any age.
     pub any_age_catalog_reads: AtomicUsize,
@@ -344,7 +344,7 @@
     }
 }
 
-/// Returns a route for streams that can go from a small to a large model.
+/// Returns a route for streams with a small and a large model.
 pub fn cascade_route(prefix: &str) -> Route {
     let model = |name: &str, cost| Model { name: name.into(), cost };
     let kind = Kind::Stream { resumable: true };
--- a/crates/relay/tests/it/stale_catalog.rs
+++ b/crates/relay/tests/it/stale_catalog.rs
@@ -44,7 +44,7 @@
     catalog(version, prefixes.iter().map(public).collect())
 }
 
-/// Delivers a status update of another instance that has catalog `version`.
+/// Delivers a news message of another instance that has catalog `version`.
 fn announce_catalog(instance: &Dispatcher, version: u64) {
     let update = Status {
         run: 1,
@@ -71,10 +71,9 @@
     }
 }
 
-/// A request without a key was sent to a service from which the operator had moved its route
-/// seconds before. Another instance had announced the new catalog, and this one could not read
-/// it; the age of the catalog was checked only for requests with a key, so it served by the old
-/// one indefinitely.
+/// An operator moves a route to another service. Another instance announces the new catalog, and
+/// this one cannot read it. It must not go on sending requests to the old service, which includes
+/// requests without a key: the age of the catalog is checked for these too.
 #[tokio::test]
 async fn catalog_known_to_be_replaced_serves_no_request_after_the_limit() {
     let (_server, site) = start().await;
@@ -96,9 +95,9 @@
     timeout(Duration::from_secs(5), served).await.expect("the new catalog should serve requests");
 }
 
-/// An operator has just added a route. An instance that had heard of the new catalog but not
-/// read it answered 404, after which callers do not retry. It cannot know whether the route
-/// exists, so it has to answer 503.
+/// An operator has just added a route. An instance that was notified of the new catalog but has
+/// not read it cannot know whether the route exists, so it has to answer 503. Callers do not retry
+/// after 404.
 #[tokio::test]
 async fn unknown_route_gets_503_while_the_catalog_is_known_to_be_replaced() {
     let (_server, site) = start().await;
@@ -123,9 +122,9 @@
     }
 }
 
-/// The store refuses one instance while it serves the others. The instance knew of the new
-/// catalog and refused requests past the limit, though any other instance could have sent it a
-/// copy.
+/// The store rejects the calls of one instance while it serves the others. The instance is
+/// notified of the new catalog and has to copy it from another instance; otherwise it would refuse
+/// requests once the limit has passed.
 #[tokio::test]
 async fn newer_catalog_is_copied_from_an_instance_that_has_it() {
     let (_server, site) = start().await;
--- a/crates/relay/tests/it/startup.rs
+++ b/crates/relay/tests/it/startup.rs
@@ -15,8 +15,8 @@
 };
 
 /// All instances crash at once and restart. Their waiting callers retry within milliseconds,
-/// before an instance has read the catalog. All were refused and retried in a burst; now
-/// requests wait those milliseconds.
+/// before an instance has read the catalog. Requests wait until it has; otherwise all callers
+/// would be refused and retry in a burst.
 async fn check_first_request(delay: Duration, status: u16) {
     let server = Server::start(vec![Action::Write(ok_response("ok"))]).await;
     let contents = StoreContents {
@@ -61,8 +61,8 @@
     (seed, started)
 }
 
-/// Hundreds of instances start together. Each read the registrations of all others from the
-/// store: six calls per start that nothing depended on.
+/// Hundreds of instances start together. Each gets the names of the others from a seed; reading
+/// their registrations from the store would take six calls per start.
 #[tokio::test]
 async fn other_instances_are_learned_from_a_seed() {
     let (_seed, started) = start_with_seed(true).await;
--- a/crates/relay/tests/it/streams.rs
+++ b/crates/relay/tests/it/streams.rs
@@ -47,9 +47,9 @@
     assert!(started_at.elapsed() < Duration::from_secs(4), "{:?}", started_at.elapsed());
 }
 
-/// A server has so many prompts to read that one of its streams pauses for seconds, while events
+/// A server has so many prompts to process that one of its streams pauses for seconds, while events
 /// of another stream arrive. If such streams were restarted elsewhere, their prompts would have
-/// to be read again and delay everyone further; so the relay waits for as long as it receives
+/// to be processed again and delay everyone further; so the relay waits for as long as it receives
 /// anything from the server.
 #[tokio::test]
 async fn stalled_stream_of_a_busy_server_is_waited_for() {
--- a/crates/relay/tests/it/synchronization.rs
+++ b/crates/relay/tests/it/synchronization.rs
@@ -114,8 +114,8 @@
 }
 
 /// The store compacts its history, and the watcher has to list again. It derives the changes
-/// from what it knew before and passes them on; without that, each other instance had to list as
-/// well, sixty at once on a large deployment.
+/// from what it knew before and passes them on; otherwise each other instance would have to list
+/// as well, sixty at once in a large fleet.
 #[tokio::test]
 async fn relisting_is_passed_on_as_changes() {
     let contents = StoreContents {
@@ -139,7 +139,7 @@
     assert_eq!(endpoint_ids(watcher), ["e1", "e2"]);
 }
 
-/// An instance loses power. About a second after its last status update, callers are not sent to
+/// An instance loses power. About a second after its last news message, callers are not sent to
 /// it any more, and its pending requests no longer count as load.
 #[tokio::test]
 async fn silent_instance_is_left_out() {
@@ -176,7 +176,7 @@
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     assert!(!here.caller_addresses(&Caller::default()).contains(&front));
     assert_eq!(here.live_instance_count(), 1);
-    // Loads are recomputed with the next status update from any instance.
+    // Loads are recomputed with the next news message from any instance.
     here.update_peer(
         "else",
         ([127, 0, 0, 8], 7).into(),
@@ -197,8 +197,8 @@
     assert!(other.keys_age().unwrap() >= Duration::from_millis(30));
 }
 
-/// The watcher proves a catalog that the other instance does not have: the older keys of that
-/// instance are not proven by it.
+/// The watcher proves a newer catalog than the other instance has. That is no proof of the older
+/// keys which the other instance still uses.
 #[test]
 fn older_catalog_is_not_proven() {
     let (watcher, other) = (instance_with_catalog(2), instance_with_catalog(1));
@@ -272,7 +272,7 @@
 
 /// The instance that keeps this one synchronized was cut off from the store without a reset: its
 /// watch hangs, and for seconds it still proves the catalog that it has. The operator changes
-/// the catalog. A third instance has the new one and says so in its status update, which makes
+/// the catalog. A third instance has the new one and says so in its news message, which makes
 /// this one read it.
 #[tokio::test]
 async fn newer_catalog_in_any_status_update_is_read() {
@@ -330,9 +330,9 @@
     assert_eq!(other.keys_age(), None);
 }
 
-/// The store refuses this instance and serves all others, which go on to announce a newer
-/// catalog many times a second. The instance must not react to each announcement with another
-/// call that is refused, and has to have the catalog soon after the store serves it again.
+/// The store rejects the calls of this instance and serves all others, which announce a newer
+/// catalog many times a second. The instance must not make another rejected call for each
+/// announcement, and must read the catalog soon after the store serves it again.
 #[tokio::test]
 async fn refused_read_of_an_announced_catalog_is_not_repeated_at_once() {
     let routes = || vec![route("/a/", Kind::Idempotent)];
@@ -381,10 +381,10 @@
         .expect("the catalog should be read soon after the store serves it");
 }
 
-/// A fleet starts before an operator has written the first catalog. No instance is ready, and
-/// each one watched the store itself, with tens of calls, until the catalog appeared. Now an
-/// instance that has found no catalog keeps others synchronized too, and its proof that there is
-/// none counts from its own read.
+/// A fleet starts before an operator has written the first catalog, so no instance is ready. An
+/// instance that has found no catalog keeps others synchronized too; otherwise each one would
+/// watch the store itself, with tens of calls, until the catalog appears. Its proof that there is
+/// no catalog counts from its own read.
 #[test]
 fn instance_without_a_catalog_keeps_others_synchronized() {
     let empty = || {
@@ -411,7 +411,7 @@
     assert!(other.watcher_to_ask(0).is_some() || !other.is_synchronized());
 }
 
-/// Instances that are leaving keep no others synchronized: they end within seconds.
+/// Instances that are leaving keep no others synchronized, because they stop within seconds.
 #[test]
 fn leaving_instance_is_not_asked() {
     let instance = instance_with_catalog(1);
@@ -423,7 +423,7 @@
 }
 
 /// Many instances start at once. Each finds some of the others in the store and is found by
-/// others. An instance found in the store is sent status updates at once, until one arrives from
+/// others. An instance found in the store is sent news messages at once, until one arrives from
 /// it; an instance that sends its first one gets one in return.
 #[test]
 fn new_instances_are_sent_status_updates_at_once() {
@@ -499,8 +499,8 @@
     assert_ne!(instance.watcher_to_ask(0).unwrap(), first);
 }
 
-/// `lost` of the other four instances have lost the store, and callers are told of `fronts`
-/// instances in total.
+/// Checks that callers receive the addresses of `fronts` instances when `lost` of the other four
+/// instances have lost the store.
 fn check_fronts(lost: u16, fronts: usize) {
     let here = instance_with_catalog(1);
     here.renew(clock::now(), Proof::Read);
@@ -519,22 +519,23 @@
     assert_eq!(here.caller_addresses(&Caller::default()).len(), fronts);
 }
 
-/// Callers were sent to instances that depend on the proofs of others, though most instances
-/// could reach the store themselves.
+/// Callers must not be sent to instances that depend on the proofs of others while most instances
+/// can reach the store themselves.
 #[test]
 fn instances_that_lost_the_store_are_left_out() {
     check_fronts(2, 3);
 }
 
-/// The remaining instances could not carry the load of all callers.
+/// Most instances have lost the store. If they were left out, the remaining ones could not carry
+/// the load of all callers.
 #[test]
 fn majority_that_lost_the_store_is_not_left_out() {
     check_fronts(3, 5);
 }
 
-/// The store is down. As soon as the instances that watch it reported that, every instance of a
-/// large fleet called it for each kind of record, six times in the first second: some five
-/// thousand calls, each refused and each paid for.
+/// The store is down, and the instances that watch it report that. The other instances of a large
+/// fleet must not all call it then: for each kind of record, six times in the first second, these
+/// would be some five thousand calls, each rejected and each paid for.
 #[tokio::test]
 async fn lost_store_is_polled_by_few_instances() {
     let site = Site::start(vec![route("/a/", Kind::Idempotent)], &[]).await;
--- a/crates/relay/tests/it/unreadable_registrations.rs
+++ b/crates/relay/tests/it/unreadable_registrations.rs
@@ -10,7 +10,7 @@
     site::{Site, StoreContents, catalog, endpoint, route},
 };
 
-/// Another writer overwrites an endpoint's registration with something unreadable. By the old
+/// Another writer overwrites an endpoint's registration with something unreadable. With the old
 /// registration, requests might go to an address where no server of the service listens any
 /// more, so the endpoint has to be removed at once. This holds after an outage of the store too,
 /// although endpoints that are missing from a listing are then kept for a while. The other
