--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -104,16 +104,16 @@
         }
     }
 
-    /// Builds the response; `spread` from 0 to 1 lengthens `Retry-After` by up to half, so
+    /// Builds the response; `jitter` from 0 to 1 lengthens `Retry-After` by up to half, so
     /// that callers do not all retry at once.
     #[must_use]
-    pub fn to_response(&self, spread: f64) -> Response<Body> {
-        let mut response = Response::new(text(self.to_string()));
+    pub fn to_response(&self, jitter: f64) -> Response<Body> {
+        let mut response = Response::new(text_body(self.to_string()));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
         if let Some(after) = self.retry_after() {
-            let seconds = after.as_secs_f64() * (1.0 + 0.5 * spread);
+            let seconds = after.as_secs_f64() * (1.0 + 0.5 * jitter);
             headers.insert(header::RETRY_AFTER, crate::request_params::value(&format!("{seconds:.2}")));
         }
         response
@@ -156,6 +156,6 @@
     response
 }
 
-fn text(content: String) -> Body {
+fn text_body(content: String) -> Body {
     full_body(Bytes::from(content))
 }
--- a/crates/relay/src/catalog/wire.rs
+++ b/crates/relay/src/catalog/wire.rs
@@ -16,7 +16,7 @@
     hosts: Vec<(String, Vec<RouteCopy>)>,
     /// Names of the services and the tokens that fit into an endpoint's prompt cache.
     services: Vec<(String, Option<u64>)>,
-    keys: Option<Vec<(String, TeamCopy)>>,
+    keys: Option<Vec<(String, CustomerCopy)>>,
     header_bytes: u64,
     body_bytes: u64,
     header_time: Duration,
@@ -50,7 +50,7 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct TeamCopy {
+struct CustomerCopy {
     name: String,
     rank: Option<u8>,
 }
@@ -58,13 +58,13 @@
 impl From<&Catalog> for CatalogCopy {
     fn from(catalog: &Catalog) -> Self {
         let routes = |routes: &Vec<Arc<Route>>| routes.iter().map(|route| RouteCopy::from(&**route)).collect();
-        let team = |team: &Customer| TeamCopy { name: team.name.clone(), rank: team.rank };
+        let customer = |customer: &Customer| CustomerCopy { name: customer.name.clone(), rank: customer.rank };
         let Limits { header_bytes, body_bytes, header_time, idle_time } = catalog.limits;
         Self {
             version: catalog.version,
             hosts: catalog.hosts.iter().map(|(host, all)| (host.clone(), routes(all))).collect(),
             services: catalog.services.iter().map(|(name, service)| (name.clone(), service.memory_tokens)).collect(),
-            keys: catalog.keys.as_ref().map(|keys| keys.iter().map(|(key, t)| (key.clone(), team(t))).collect()),
+            keys: catalog.keys.as_ref().map(|keys| keys.iter().map(|(key, t)| (key.clone(), customer(t))).collect()),
             header_bytes: u64::try_from(header_bytes).unwrap_or(u64::MAX),
             body_bytes: u64::try_from(body_bytes).unwrap_or(u64::MAX),
             header_time,
@@ -78,11 +78,13 @@
         let size = |bytes: u64| usize::try_from(bytes).unwrap_or(usize::MAX);
         let service =
             |(name, memory_tokens): (String, Option<u64>)| (name.clone(), Arc::new(Service { name, memory_tokens }));
-        let team = |(key, team): (String, TeamCopy)| (key, Arc::new(Customer { name: team.name, rank: team.rank }));
+        let customer = |(key, customer): (String, CustomerCopy)| {
+            (key, Arc::new(Customer { name: customer.name, rank: customer.rank }))
+        };
         let mut catalog = Self {
             version: copy.version,
             services: copy.services.into_iter().map(service).collect(),
-            keys: copy.keys.map(|keys| keys.into_iter().map(team).collect::<HashMap<_, _>>()),
+            keys: copy.keys.map(|keys| keys.into_iter().map(customer).collect::<HashMap<_, _>>()),
             limits: Limits {
                 header_bytes: size(copy.header_bytes),
                 body_bytes: size(copy.body_bytes),
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -23,14 +23,14 @@
     if request.uri().path() != dispatcher.dialect.addresses_path {
         return answer::empty_response(StatusCode::NOT_FOUND);
     }
-    let fronts = dispatcher.caller_addresses(&parse_caller(dispatcher, request));
-    if fronts.is_empty() {
+    let instance_addresses = dispatcher.caller_addresses(&parse_caller(dispatcher, request));
+    if instance_addresses.is_empty() {
         return answer::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let longest = u32::try_from(dispatcher.settings.max_address_cache_time.as_secs()).unwrap_or(ADDRESS_CACHE_S);
+    let max_cache_s = u32::try_from(dispatcher.settings.max_address_cache_time.as_secs()).unwrap_or(ADDRESS_CACHE_S);
     let mut response = Response::new(answer::full_body((dispatcher.dialect.build_addresses)(
-        &fronts,
-        ADDRESS_CACHE_S.min(longest.max(1)),
+        &instance_addresses,
+        ADDRESS_CACHE_S.min(max_cache_s.max(1)),
     )));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -30,7 +30,7 @@
     /// Route of the request.
     pub route: Arc<Route>,
     /// Customer that owns the request's access key; `None` if no key is needed.
-    pub team: Option<Arc<Customer>>,
+    pub customer: Option<Arc<Customer>>,
     /// Urgency of the route compared with the other routes that have a ladder of models.
     pub urgency: Urgency,
     /// Version of the catalog.
@@ -62,16 +62,16 @@
     }
     let time = params.deadline.unwrap_or(DEFAULT_DEADLINE).min(admission.route.timeout);
     let limit = started + time.saturating_sub(ANSWER_TIME_RESERVE);
-    let longest = dispatcher.catalog().map_or(0, |catalog| catalog.limits.body_bytes);
+    let max_bytes = dispatcher.catalog().map_or(0, |catalog| catalog.limits.body_bytes);
     let mut memory = dispatcher.reserve_body_memory();
-    let body = match timeout(time, read_body(body, longest, &mut memory)).await {
+    let body = match timeout(time, read_body(body, max_bytes, &mut memory)).await {
         Ok(Ok(body)) => body,
         Ok(Err(refusal)) => return Err((params, refusal)),
         Err(_) => return Err((params, Refusal::Truncated)),
     };
-    let team = admission.team.as_ref().map(|team| team.name.as_str());
+    let customer = admission.customer.as_ref().map(|customer| customer.name.as_str());
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-    let content = Content::of(team, head.method.as_str(), &host, path, &body);
+    let content = Content::of(customer, head.method.as_str(), &host, path, &body);
     let mut headers = end_to_end(&head.headers);
     for name in &dispatcher.dialect.names.reserved {
         headers.remove(name);
@@ -114,20 +114,20 @@
     // get 404 or 401 do not retry.
     let or_replaced = |refusal| if dispatcher.is_behind() { Refusal::Replaced } else { refusal };
     let route = catalog.route(host, path).ok_or_else(|| or_replaced(Refusal::NoRoute))?;
-    let team = match &catalog.keys {
+    let customer = match &catalog.keys {
         Some(keys) if !route.public => {
             // A key may have been revoked while this instance had no contact with the store,
             // so no key is accepted without a recent confirmation.
             if !dispatcher.is_fresh() {
                 return Err(Refusal::KeysStale { elsewhere: dispatcher.is_fresh_elsewhere() });
             }
-            let team = params.key.as_deref().and_then(|key| keys.get(key));
-            Some(Arc::clone(team.ok_or_else(|| or_replaced(Refusal::NoKey))?))
+            let customer = params.key.as_deref().and_then(|key| keys.get(key));
+            Some(Arc::clone(customer.ok_or_else(|| or_replaced(Refusal::NoKey))?))
         }
         _ => None,
     };
     let urgency = catalog.urgency(route);
-    Ok(Admission { route: Arc::clone(route), team, urgency, version: catalog.version })
+    Ok(Admission { route: Arc::clone(route), customer, urgency, version: catalog.version })
 }
 
 /// Returns the request's host in lower case, without the port.
@@ -137,15 +137,15 @@
     host.split(':').next().unwrap_or_default().to_ascii_lowercase()
 }
 
-/// Reads a body of up to `longest` bytes and accounts for its memory in `reservation`.
-async fn read_body(mut body: Incoming, longest: usize, reservation: &mut Reservation) -> Result<Bytes, Refusal> {
-    if body.size_hint().lower() > u64::try_from(longest).unwrap_or(u64::MAX) {
+/// Reads a body of up to `max_bytes` bytes and accounts for its memory in `reservation`.
+async fn read_body(mut body: Incoming, max_bytes: usize, reservation: &mut Reservation) -> Result<Bytes, Refusal> {
+    if body.size_hint().lower() > u64::try_from(max_bytes).unwrap_or(u64::MAX) {
         return Err(Refusal::TooLarge);
     }
     let mut whole = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| Refusal::Truncated)?.into_data() else { continue };
-        if whole.len() + data.len() > longest {
+        if whole.len() + data.len() > max_bytes {
             return Err(Refusal::TooLarge);
         }
         // Thousands of slow callers with long bodies could otherwise use up the memory and
--- a/crates/relay/src/exchange/plan.rs
+++ b/crates/relay/src/exchange/plan.rs
@@ -103,8 +103,9 @@
     /// Returns the time limit for the first byte of a run's answer.
     pub(super) fn first_byte_timeout(&self, run: &Run) -> Duration {
         let route = &self.admission.route;
-        let last = self.sent >= route.attempts || !self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Retry);
-        if last || !route.kind.repeatable() {
+        let is_last_try =
+            self.sent >= route.attempts || !self.dispatcher.allows_extra_dispatch(&self.service, Purpose::Retry);
+        if is_last_try || !route.kind.repeatable() {
             return self.left();
         }
         first_byte_timeout(run.expected_ms(), route.target_time)
@@ -123,14 +124,19 @@
         let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(names.deadline.clone(), request_params::value(&left.to_string()));
         headers.insert(names.expect_endpoint.clone(), request_params::value(&run.endpoint.id));
-        if let Some(team) = &self.admission.team {
-            headers.insert(names.customer.clone(), request_params::value(&team.name));
+        if let Some(customer) = &self.admission.customer {
+            headers.insert(names.customer.clone(), request_params::value(&customer.name));
         }
         if let Some(model) = model.and_then(|index| self.admission.route.models.get(index)) {
             headers.insert(names.model.clone(), request_params::value(&model.name));
         }
         if self.params.tokens.is_some() {
-            let rank = self.admission.team.as_ref().and_then(|team| team.rank).unwrap_or(self.admission.route.rank);
+            let rank = self
+                .admission
+                .customer
+                .as_ref()
+                .and_then(|customer| customer.rank)
+                .unwrap_or(self.admission.route.rank);
             headers.insert(names.rank.clone(), request_params::value(&rank.min(9).to_string()));
         }
         if let Some(source) = run.source {
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -216,11 +216,11 @@
     /// Returns whether to wait before probing a store that others seem to have lost. The
     /// whole fleet learns of it at once, and usually the store is lost to all instances.
     fn defers_first_probe(&mut self) -> bool {
-        let doubts = self.kind == Kind::Catalog
+        let suspects_outage = self.kind == Kind::Catalog
             && self.dispatcher.suspects_store_outage()
             && !self.dispatcher.probes_store_often();
-        let is_first = doubts && !self.has_deferred_probe;
-        self.has_deferred_probe = doubts;
+        let is_first = suspects_outage && !self.has_deferred_probe;
+        self.has_deferred_probe = suspects_outage;
         is_first
     }
 
@@ -266,11 +266,11 @@
     /// This helps when the store rejects this instance and serves the others. The store is
     /// still asked first, because callers are directed to instances in contact with it.
     async fn copy_catalog(&self) -> bool {
-        let Some(teller) = self.dispatcher.newer_catalog_peer() else { return false };
-        match share::fetch(teller).await {
+        let Some(peer) = self.dispatcher.newer_catalog_peer() else { return false };
+        match share::fetch(peer).await {
             Ok(catalog) => self.dispatcher.install(catalog),
             Err(cause) => {
-                tracing::info!(%teller, cause, "copying the catalog from another instance failed");
+                tracing::info!(teller = %peer, cause, "copying the catalog from another instance failed");
                 false
             }
         }
--- a/crates/relay/src/join.rs
+++ b/crates/relay/src/join.rs
@@ -25,7 +25,7 @@
     let me = Instance { name: dispatcher.settings.instance.clone(), news: dispatcher.settings.listeners.news };
     let progress = Progress::default();
     let mut is_registered = register(&*source, &me).await;
-    let mut has_discovered = discovered_by_seeds(&dispatcher).await;
+    let mut has_discovered = wait_for_seeds(&dispatcher).await;
     loop {
         if !has_discovered {
             // When a whole fleet starts at once, an old listing shows none of the others,
@@ -68,7 +68,7 @@
 /// Waits for an answer of a seed and returns whether one came; the seed then names the other
 /// instances. That saves a listing by each instance, which takes one call per fifty
 /// instances.
-async fn discovered_by_seeds(dispatcher: &Dispatcher) -> bool {
+async fn wait_for_seeds(dispatcher: &Dispatcher) -> bool {
     while dispatcher.awaits_seeds() && dispatcher.live_instance_count() == 1 {
         sleep(SEED_CHECK_PAUSE).await;
     }
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -97,10 +97,10 @@
     // Wall-clock time is only used to order the starts of one instance. Time since boot
     // would restart after a power loss, and others would ignore the instance as outdated.
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let run = u64::try_from(since_epoch.as_nanos()).unwrap_or(0);
+    let start_time = u64::try_from(since_epoch.as_nanos()).unwrap_or(0);
     let (last_question, broadcasts) = (Mutex::default(), Broadcasts::new());
     tokio::join!(
-        send_periodically(&dispatcher, &socket, run),
+        send_periodically(&dispatcher, &socket, start_time),
         broadcasts.serve(&dispatcher, &socket),
         ask_watchers(&dispatcher, &socket, &last_question),
         receive(&dispatcher, &socket, &last_question, &broadcasts)
@@ -133,30 +133,30 @@
 /// In a large fleet each instance sees only a few runs of a bad version. With news alone it
 /// takes many seconds until any instance has enough evidence.
 fn send_evidence(dispatcher: &Dispatcher, socket: &UdpSocket) {
-    let orders: Vec<RolloutEvidence> = dispatcher.rollout_reports().iter().map(RolloutEvidence::from).collect();
-    if orders.is_empty() {
+    let evidence: Vec<RolloutEvidence> = dispatcher.rollout_reports().iter().map(RolloutEvidence::from).collect();
+    if evidence.is_empty() {
         return;
     }
-    let bytes = encode(&Packet::Evidence(short_hash(&dispatcher.settings.instance), orders));
+    let bytes = encode(&Packet::Evidence(short_hash(&dispatcher.settings.instance), evidence));
     for watcher in dispatcher.watchers() {
         send(socket, watcher, &bytes);
     }
 }
 
 /// Announces this start to the seeds, then periodically sends news.
-async fn send_periodically(dispatcher: &Dispatcher, socket: &UdpSocket, run: u64) {
+async fn send_periodically(dispatcher: &Dispatcher, socket: &UdpSocket, start_time: u64) {
     // `try_send_to` fails on a new socket until its readiness was awaited once.
     if let Err(error) = socket.writable().await {
         tracing::warn!(%error, "cannot announce this start to the seeds");
     }
     for seed in &dispatcher.settings.seeds {
-        send(socket, *seed, &encode(&Packet::News(news_message(dispatcher, run, NEWS_PAUSE, MAX_NAMED))));
+        send(socket, *seed, &encode(&Packet::News(news_message(dispatcher, start_time, NEWS_PAUSE, MAX_NAMED))));
     }
     let mut turn = 0;
     loop {
         let NewsRecipients { near, far } = dispatcher.news_recipients(turn, MAX_RECEIVERS);
         let time_to_next = NEWS_PAUSE * u32::try_from(near.rounds).unwrap_or(u32::MAX);
-        let bytes = encode(&Packet::News(news_message(dispatcher, run, time_to_next, MAX_NAMED)));
+        let bytes = encode(&Packet::News(news_message(dispatcher, start_time, time_to_next, MAX_NAMED)));
         // Random, because with a counter the same instances would miss the reminders in each
         // round.
         let reminders = if rand::random_ratio(1, REMINDER_RATIO) { reminders(dispatcher) } else { Vec::new() };
@@ -165,7 +165,7 @@
         }
         if !far.news.is_empty() {
             let pause = NEWS_PAUSE * u32::try_from(far.rounds).unwrap_or(u32::MAX);
-            let bytes = encode(&Packet::News(brief_message(dispatcher, run, pause)));
+            let bytes = encode(&Packet::News(brief_message(dispatcher, start_time, pause)));
             for receiver in far.news {
                 send_news(socket, receiver, &bytes, &reminders);
             }
@@ -176,7 +176,7 @@
             tokio::select! {
                 () = &mut pause => break,
                 () = dispatcher.wait_for_urgent_news() => break,
-                () = dispatcher.wait_for_new_peers() => greet(dispatcher, socket, run, time_to_next).await,
+                () = dispatcher.wait_for_new_peers() => greet(dispatcher, socket, start_time, time_to_next).await,
             }
         }
     }
@@ -184,9 +184,9 @@
 
 /// Sends news to newly discovered instances at once, so that a starting instance discovers
 /// the others. When a fleet starts, those found at about the same time are greeted together.
-async fn greet(dispatcher: &Dispatcher, socket: &UdpSocket, run: u64, pause: Duration) {
+async fn greet(dispatcher: &Dispatcher, socket: &UdpSocket, start_time: u64, pause: Duration) {
     sleep(GREETING_DELAY).await;
-    let bytes = encode(&Packet::News(news_message(dispatcher, run, pause, MAX_NAMED_IN_GREETING)));
+    let bytes = encode(&Packet::News(news_message(dispatcher, start_time, pause, MAX_NAMED_IN_GREETING)));
     let reminders = reminders(dispatcher);
     for receiver in dispatcher.take_new_peers() {
         send_news(socket, receiver, &bytes, &reminders);
@@ -218,14 +218,14 @@
 }
 
 /// Applies notices, except this instance's own, which relay instances send back to it.
-fn take_notices(dispatcher: &Dispatcher, notices: Vec<Notice>) {
+fn apply_notices(dispatcher: &Dispatcher, notices: Vec<Notice>) {
     let me = short_hash(&dispatcher.settings.instance);
     for notice in notices.into_iter().filter(|notice| notice.origin != me) {
         dispatcher.apply_notice(notice.into());
     }
 }
 
-fn take_findings(dispatcher: &Dispatcher, findings: &[Finding]) {
+fn apply_findings(dispatcher: &Dispatcher, findings: &[Finding]) {
     dispatcher.apply_findings(findings.iter().copied().map(quarantine::Finding::from));
 }
 
@@ -249,18 +249,18 @@
                 dispatcher.apply_sightings(message.sightings.iter().map(Sighting::from));
                 dispatcher.update_peer(&message.name, from, Status::from(&message));
             }
-            Ok(Packet::Evidence(name, orders)) => {
-                dispatcher.apply_reports(name, orders.iter().map(Report::from).collect());
+            Ok(Packet::Evidence(name, evidence)) => {
+                dispatcher.apply_reports(name, evidence.iter().map(Report::from).collect());
             }
-            Ok(Packet::Notices(notices)) => take_notices(dispatcher, notices),
+            Ok(Packet::Notices(notices)) => apply_notices(dispatcher, notices),
             Ok(Packet::PassOn(notices)) => {
                 broadcasts.notices.enqueue(notices.clone());
-                take_notices(dispatcher, notices);
+                apply_notices(dispatcher, notices);
             }
-            Ok(Packet::Findings(findings)) => take_findings(dispatcher, &findings),
+            Ok(Packet::Findings(findings)) => apply_findings(dispatcher, &findings),
             Ok(Packet::PassOnFindings(findings)) => {
                 broadcasts.findings.enqueue(findings.clone());
-                take_findings(dispatcher, &findings);
+                apply_findings(dispatcher, &findings);
             }
             Ok(Packet::Limits(limits)) => dispatcher.apply_limits(limits.iter().map(fleet::Limit::from)),
             Ok(Packet::PassOnLimits(limits)) => {
@@ -290,10 +290,10 @@
 
 /// Builds a news message; `pause` is the time until the receiver gets the next one, and
 /// `named` the number of other instances to name.
-fn news_message(dispatcher: &Dispatcher, run: u64, pause: Duration, named: usize) -> NewsMessage {
+fn news_message(dispatcher: &Dispatcher, start_time: u64, pause: Duration, named: usize) -> NewsMessage {
     NewsMessage {
         name: dispatcher.settings.instance.clone(),
-        run,
+        run: start_time,
         front: dispatcher.settings.listeners.front,
         phase: dispatcher.phase().into(),
         fresh: dispatcher.is_fresh(),
@@ -316,8 +316,12 @@
 }
 
 /// Builds a news message without the parts that would be outdated before the next one.
-fn brief_message(dispatcher: &Dispatcher, run: u64, pause: Duration) -> NewsMessage {
-    NewsMessage { loads: Vec::new(), sightings: Vec::new(), ..news_message(dispatcher, run, pause, MAX_NAMED_IN_BRIEF) }
+fn brief_message(dispatcher: &Dispatcher, start_time: u64, pause: Duration) -> NewsMessage {
+    NewsMessage {
+        loads: Vec::new(),
+        sightings: Vec::new(),
+        ..news_message(dispatcher, start_time, pause, MAX_NAMED_IN_BRIEF)
+    }
 }
 
 /// Returns when other instances were last heard from, if a round of news takes several
--- a/crates/relay/src/news/spread.rs
+++ b/crates/relay/src/news/spread.rs
@@ -105,7 +105,7 @@
     fn send_to_all(&self, dispatcher: &Dispatcher, socket: &UdpSocket, items: &[T]) {
         let me = dispatcher.settings.listeners.news;
         for items in items.chunks(MAX_BATCH) {
-            let (audience, packet) = match dispatcher.notice_recipients() {
+            let (receivers, packet) = match dispatcher.notice_recipients() {
                 NoticeRecipients::All(all) => (all, (self.to_all)(items.to_vec())),
                 NoticeRecipients::Relays(relays) => {
                     if relays.contains(&me) {
@@ -115,7 +115,7 @@
                 }
             };
             let bytes = encode(&packet);
-            for receiver in audience.into_iter().filter(|receiver| *receiver != me) {
+            for receiver in receivers.into_iter().filter(|receiver| *receiver != me) {
                 send(socket, receiver, &bytes);
             }
         }
@@ -126,10 +126,10 @@
     async fn pass_on(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         loop {
             let items = self.next_batch().await;
-            let neighbours = dispatcher.live_peers_in_domain();
+            let peers_in_domain = dispatcher.live_peers_in_domain();
             for items in items.chunks(MAX_BATCH) {
                 let bytes = encode(&(self.to_all)(items.to_vec()));
-                for receiver in &neighbours {
+                for receiver in &peers_in_domain {
                     send(socket, *receiver, &bytes);
                 }
             }
--- a/crates/relay/src/request_params.rs
+++ b/crates/relay/src/request_params.rs
@@ -118,8 +118,8 @@
         .collect();
     let mut copy = HeaderMap::with_capacity(headers.len() + 4);
     for (name, value) in headers {
-        let hop = HOP_BY_HOP.contains(name) || name == "keep-alive" || name == "proxy-connection";
-        if !hop && !named.iter().any(|other| other == name.as_str()) {
+        let is_hop_by_hop = HOP_BY_HOP.contains(name) || name == "keep-alive" || name == "proxy-connection";
+        if !is_hop_by_hop && !named.iter().any(|other| other == name.as_str()) {
             copy.append(name, value.clone());
         }
     }
