--- a/crates/relay/src/news/spread.rs
+++ b/crates/relay/src/news/spread.rs
@@ -1,8 +1,8 @@
 //! Broadcasts urgent items to all instances: long prompts, crashes, endpoint limits.
 //!
 //! In a large fleet an item is sent to one relay instance in each failure domain,
-//! which passes it on to its neighbours together with other items that arrive at
-//! about the same time.
+//! which passes it on to the instances of that domain together with other items that
+//! arrive at about the same time.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -17,7 +17,7 @@
 };
 use crate::dispatcher::{Dispatcher, fleet::short_hash, peers::NoticeRecipients};
 
-/// Time for which a relay collects items before it passes them on.
+/// Time for which a relay instance collects items before it passes them on.
 const BATCH_DELAY: Duration = Duration::from_millis(30);
 
 /// Maximum number of items in a datagram.
@@ -101,11 +101,11 @@
         self.queued.notify_one();
     }
 
-    /// Sends items to all instances; in a large fleet, to the relays.
+    /// Sends items to all instances; in a large fleet, to the relay instances.
     fn send_to_all(&self, dispatcher: &Dispatcher, socket: &UdpSocket, items: &[T]) {
         let me = dispatcher.settings.listeners.news;
         for items in items.chunks(MAX_BATCH) {
-            let (audience, packet) = match dispatcher.notice_recipients() {
+            let (receivers, packet) = match dispatcher.notice_recipients() {
                 NoticeRecipients::All(all) => (all, (self.to_all)(items.to_vec())),
                 NoticeRecipients::Relays(relays) => {
                     if relays.contains(&me) {
@@ -115,27 +115,28 @@
                 }
             };
             let bytes = encode(&packet);
-            for receiver in audience.into_iter().filter(|receiver| *receiver != me) {
+            for receiver in receivers.into_iter().filter(|receiver| *receiver != me) {
                 send(socket, receiver, &bytes);
             }
         }
     }
 
-    /// Passes queued items on to the neighbours, in batches; never returns.
+    /// Passes queued items on to the instances of this failure domain, in batches; never
+    /// returns.
     async fn pass_on(&self, dispatcher: &Dispatcher, socket: &UdpSocket) {
         loop {
             let items = self.next_batch().await;
-            let neighbours = dispatcher.live_peers_in_domain();
+            let peers_in_domain = dispatcher.live_peers_in_domain();
             for items in items.chunks(MAX_BATCH) {
                 let bytes = encode(&(self.to_all)(items.to_vec()));
-                for receiver in &neighbours {
+                for receiver in &peers_in_domain {
                     send(socket, *receiver, &bytes);
                 }
             }
         }
     }
 
-    /// Waits for an item and for those that follow within the collecting time, and takes them.
+    /// Waits for an item, then for [`BATCH_DELAY`], and takes all queued items.
     async fn next_batch(&self) -> Vec<T> {
         loop {
             self.queued.notified().await;
