--- a/crates/config/examples/measure/fleet.rs
+++ b/crates/config/examples/measure/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances with real peer links on a stand-in platform.
+//! A fleet of instances with real peer links on a stand-in platform.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -17,12 +17,12 @@
     instance::{Id, Incarnation, Instance, State},
 };
 
-/// The platform's rates, shared by all instances.
+/// The platform's rate limits, shared by all instances.
 const WRITES_PER_S: f64 = 300.0;
 const READS_PER_S: f64 = 2_000.0;
-/// Failure domains of the site.
+/// Number of failure domains of the site.
 pub const DOMAINS: usize = 4;
-/// Longest wait for a peer's answer.
+/// Timeout of a call to a peer.
 const ANSWER: Duration = Duration::from_secs(1);
 
 pub struct Fleet {
@@ -53,13 +53,13 @@
         Self { platform, members }
     }
 
-    /// Bytes between instances so far, both directions.
+    /// Returns the bytes sent between instances so far, in both directions.
     pub fn peer_bytes(&self) -> u64 {
         let each = self.members.iter().map(|member| member.peers.traffic());
         each.map(|traffic| traffic.received + traffic.sent).sum()
     }
 
-    /// Calls that the platform took so far.
+    /// Returns the number of calls that the platform has received so far.
     pub fn calls(&self) -> u64 {
         let calls = self.platform.calls();
         calls.gets + calls.lists + calls.watches + calls.creates + calls.updates + calls.deletes
@@ -100,7 +100,7 @@
     Member { config, peers, platform }
 }
 
-/// Carries news and questions to peers.
+/// Sends update messages and requests to peers.
 async fn send(peers: peer::Handle, config: config::Handle, mut outbound: mpsc::Receiver<Outbound>) {
     while let Some(message) = outbound.recv().await {
         let (scope, bytes) = match message {
@@ -131,7 +131,7 @@
     }
 }
 
-/// The instance of each domain with the highest weight reads for it.
+/// Makes the instance with the highest rendezvous weight the reader of its domain.
 async fn choose_reader(peers: peer::Handle, config: config::Handle) {
     let mut members = peers.members();
     loop {
--- a/crates/config/examples/measure/force.rs
+++ b/crates/config/examples/measure/force.rs
@@ -1,4 +1,4 @@
-//! Time until a change is in force everywhere, and what that costs.
+//! Measures the time until a change is in force everywhere, and its cost in calls and bytes.
 
 use std::{
     collections::BTreeMap,
@@ -17,9 +17,9 @@
     objects::{contract, site},
 };
 
-/// Seconds for links and readers to settle.
+/// Time for links and readers to settle.
 const SETTLE: Duration = Duration::from_secs(4);
-/// Objects of one change while the site is set up.
+/// Number of objects per change while the site is set up.
 const BATCH: usize = 200;
 
 #[derive(Debug, Clone, Copy)]
@@ -32,7 +32,7 @@
     pub idle: bool,
 }
 
-/// When generations came into force at one instance.
+/// Generations that came into force at one instance, with the times.
 type Seen = Arc<Mutex<Vec<(u64, Instant)>>>;
 
 pub async fn run(plan: Plan) {
@@ -115,14 +115,15 @@
     println!("change: in force everywhere, ms      {}", quantiles(&everywhere));
 }
 
-/// When an instance had a generation or, having got several at once, a later one.
+/// Returns when a generation came into force at an instance, or a later one if it
+/// was skipped.
 fn reached(seen: &Seen, generation: u64) -> Instant {
     let seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
     let first = seen.iter().find(|(reached, _)| *reached >= generation);
     first.expect("in force by now").1
 }
 
-/// Makes one claim after the other, as fast as the budget lets it.
+/// Makes one claim after the other, as fast as the rate limit allows.
 async fn claim(platform: store::Handle, prefix: String) {
     for number in 0_u64.. {
         let _ = platform.create(Priority::Claim, &format!("{prefix}/{number}"), &number).await;
--- a/crates/config/examples/measure/layout.rs
+++ b/crates/config/examples/measure/layout.rs
@@ -1,8 +1,8 @@
-//! Bytes and calls per change of two layouts, counted by the fake platform.
+//! Measures bytes and calls per change of two layouts, counted by the fake platform.
 //!
 //! *Head*: immutable objects `object/<key>/<revision>` and one head that names
-//! the revision of each, moved by conditional update. *Log*: what this crate
-//! does. Eight readers each; a change replaces one contract.
+//! the revision of each, moved by conditional update. *Log*: the layout of
+//! this crate. Each has eight readers; a change replaces one contract.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -17,7 +17,7 @@
 const READERS: usize = 8;
 const CHANGES: u32 = 50;
 
-/// Calls and bytes of some changes.
+/// Platform calls and bytes of a number of changes.
 struct Cost {
     calls: usize,
     sent: usize,
@@ -71,7 +71,7 @@
         create(&writer, "contract/c0", edit, &contract(0, edit).to_json()).await;
         revisions.insert("contract/c0".into(), edit);
         written = writer.update(Priority::Config, &item, &revisions).await.expect("up");
-        // Readers follow every single change, as they do at 6,800 a day.
+        // The pause lets readers follow every single change, as they do at 6,800 a day.
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     let cost = cost(&platform, before);
@@ -86,7 +86,7 @@
     assert!(write.expect("up").is_done());
 }
 
-/// Follows the head and reads what it names anew.
+/// Watches the head and reads every object whose revision changed.
 async fn follow(reader: Handle, version: u64) {
     let mut known: BTreeMap<String, u32> = BTreeMap::new();
     let mut watch = reader.watch(Priority::Config, "head", version);
@@ -114,7 +114,7 @@
         let access = open_with(Settings::fake(format!("{id}/1"), 1), Arc::new(platform.client()));
         let source = Source { instance: id.clone(), incarnation: instance::Incarnation(1) };
         let recorder = Recorder::open(source, Capacity::default());
-        // Dropped news: every reader hears from the platform alone.
+        // Update messages are dropped: every reader uses the platform alone.
         let (config, _) = config::spawn(config::Settings::new(id, domain), access, recorder);
         config.set_reader(true).await;
         handles.push(config);
@@ -132,7 +132,7 @@
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     let mut cost = cost(&platform, before);
-    // Without the reads that only confirm freshness, one a second and reader.
+    // Subtracts the reads that only confirm freshness, one per second and reader.
     let idle = usize::try_from(started.elapsed().as_secs()).expect("short") * READERS;
     cost.calls = cost.calls.saturating_sub(idle);
     cost
--- a/crates/config/examples/measure/main.rs
+++ b/crates/config/examples/measure/main.rs
@@ -4,8 +4,7 @@
 //! - `force`: time until a change is in force at every instance, calls and
 //!   bytes when idle and under change, over the stand-in platform and real
 //!   peer links;
-//! - `layout`: bytes and calls per change of the log and of the layout it was
-//!   weighed against.
+//! - `layout`: bytes and calls per change of the log and of an alternative layout.
 
 mod fleet;
 mod force;
--- a/crates/config/examples/measure/objects.rs
+++ b/crates/config/examples/measure/objects.rs
@@ -1,8 +1,8 @@
-//! A site's objects.
+//! Generates the objects of a site.
 
 use world::object::Object;
 
-/// Models with their versions, pools, and a contract for each customer.
+/// Returns models with their versions, pools, and a contract for each customer.
 pub fn site(customers: usize) -> Vec<Object> {
     let models = (0..3).map(model);
     let pools = (0..4).map(pool);
@@ -35,7 +35,7 @@
     Object::parse_file(text).expect("an object").remove(0)
 }
 
-/// A customer's contract; `edit` makes each one different.
+/// Returns a customer's contract, which differs for each `edit`.
 pub fn contract(customer: usize, edit: u32) -> Object {
     let text = format!(
         "kind: contract\nname: c{customer}\nspec:\n  keys: [{{ sha256: \"{customer:064x}\" }}]\n  models:\n    - {{ model: m0, versions: [\"1\", \"2\", \"3\"] }}\n    - {{ model: m1, versions: [\"1\", \"2\"] }}\n  budget: {{ amount: \"1200.00\", currency: EUR, period: month }}\n  rank: {{ weight: 4, deadline_ms: {} }}\n",
--- a/crates/config/src/applier.rs
+++ b/crates/config/src/applier.rs
@@ -1,4 +1,6 @@
-//! The task that makes changes.
+//! The task that appends operators' changes to the log.
+//!
+//! It also writes snapshots and truncates the log from time to time.
 
 use std::sync::Arc;
 
@@ -20,10 +22,10 @@
     state::{Revision, State},
 };
 
-/// Times an applier looks whether a snapshot is due, between two snapshots.
+/// Number of checks for a due snapshot per snapshot interval.
 const SNAPSHOT_LOOKS: u64 = 8;
 
-/// One operator's change.
+/// A queued request to apply an operator's change.
 #[derive(Debug)]
 pub(crate) struct Apply {
     pub(crate) author: String,
@@ -32,7 +34,7 @@
     pub(crate) answer: oneshot::Sender<Result<Applied, Error>>,
 }
 
-/// The task's state.
+/// State of the applier task.
 #[derive(Debug)]
 pub(crate) struct Applier {
     settings: Arc<Settings>,
@@ -40,7 +42,7 @@
     state: watch::Receiver<Arc<State>>,
     inbox: mpsc::WeakSender<Message>,
     recorder: Recorder,
-    /// Keeps the log short, apart from the changes that go on meanwhile.
+    /// Background task that writes a snapshot and truncates the log while changes continue.
     keeping: Option<JoinHandle<()>>,
 }
 
@@ -55,7 +57,7 @@
         Self { settings, log, state, inbox, recorder, keeping: None }
     }
 
-    /// One change at a time: two at once would only race each other.
+    /// Applies one change at a time, since concurrent ones would only race each other.
     pub(crate) async fn run(mut self, mut requests: mpsc::Receiver<Apply>) {
         while let Some(Apply { author, change, edits, answer }) = requests.recv().await {
             let result = self.apply(&author, &change, &edits).await;
@@ -66,8 +68,8 @@
 
     async fn apply(&self, author: &str, change: &str, edits: &[Edit]) -> Result<Applied, Error> {
         let until = Instant::now() + self.settings.deadline;
-        // What is in force here may be old. That is no risk for a change, since
-        // the create decides; but a refusal must rest on the newest state.
+        // The state in force here may be outdated. That is safe for a change, since
+        // the create decides; but a refusal must be based on the newest state.
         let mut newest = false;
         loop {
             let state = self.state.borrow().clone();
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Makes the entry; nothing when another was first.
+    /// Creates the change's entry; returns `None` if another entry took its generation first.
     async fn append(&self, change: Change) -> Result<Option<Applied>, Error> {
         let generation = change.generation();
         let asked = Instant::now();
@@ -106,8 +108,8 @@
         if self.is_void(generation, &item).await? {
             return Ok(None);
         }
-        // Under the stamp that went with the change: readers of the platform
-        // may have it in force by now, and its effects are to be read after it.
+        // Recorded with the change's own stamp: readers of the platform may
+        // already have it in force, and its effects must be ordered after it.
         let stamp = change.revision.stamp;
         let objects = change.edits.iter().filter_map(|edit| edit.action.key()).collect();
         self.recorder.record_at(stamp, Event::Edit { generation, objects });
@@ -115,19 +117,21 @@
         Ok(Some(Applied { generation, changed: true }))
     }
 
-    /// An instance paused for very long may create an entry that was cut off
-    /// long ago: it would be told "accepted" for a change that nobody will
-    /// ever see. Entries are cut only `keep.changes` below a snapshot, so any
-    /// snapshot that far above ours proves that ours is void.
+    /// Returns whether the entry just created lies in the truncated part of the log.
+    ///
+    /// An instance that was paused for very long may recreate an entry that was
+    /// truncated long ago and report a change as accepted that no instance will
+    /// ever see. Entries are truncated only `keep.changes` below a snapshot, so a
+    /// snapshot that far above the new entry proves the entry void.
     async fn is_void(&self, generation: u64, item: &store::Item) -> Result<bool, Error> {
         let newest = self.log.newest_snapshot().await.map_err(|_| Error::Unknown { generation })?;
         if newest.unwrap_or(0) < generation + self.settings.keep.changes {
             return Ok(false);
         }
-        // Left standing it would do no harm: readers take no entry that is
-        // parted from the rest by a hole, and the next cut deletes it.
+        // A failed retraction is harmless: readers apply no entry that a gap
+        // separates from the rest, and the next truncation deletes it.
         if let Err(error) = self.log.retract(item).await {
-            tracing::warn!(%error, generation, "a void entry stays until the next cut");
+            tracing::warn!(%error, generation, "cannot retract a void log entry; the next truncation deletes it");
         }
         Ok(true)
     }
@@ -138,7 +142,7 @@
         self.tell(found, Origin::Read { asked }).await
     }
 
-    /// Hands something to the observer and waits until it is in force here.
+    /// Sends log entries to the observer and waits until it has processed them.
     async fn tell(&self, found: Found, origin: Origin) -> Result<(), Error> {
         let (done, told) = oneshot::channel();
         let inbox = self.inbox.upgrade().ok_or(Error::Closed)?;
@@ -159,12 +163,14 @@
         }
     }
 
-    /// Snapshots and cuts off once in a while; whoever makes a change that is
-    /// due does it, and when it fails the next one does.
+    /// Starts writing a snapshot and truncating the log if that is due.
+    ///
+    /// The instance that made the last change does this; after a failure a later
+    /// change tries again.
     fn keep_short(&mut self) {
         let state = self.state.borrow().clone();
         let every = self.settings.keep.snapshot_every;
-        // Looking costs a read, so not after each change.
+        // Each check costs a read, so it is not done after every change.
         let due = state.generation().is_multiple_of((every / SNAPSHOT_LOOKS).max(1));
         if !due || self.keeping.as_ref().is_some_and(|keeping| !keeping.is_finished()) {
             return;
@@ -172,7 +178,7 @@
         let (log, keep) = (self.log.clone(), self.settings.keep);
         self.keeping = Some(tokio::spawn(async move {
             if let Err(error) = shorten(&log, &state, keep).await {
-                tracing::warn!(%error, "no snapshot yet; a later change tries again");
+                tracing::warn!(%error, "cannot write a snapshot or truncate the log; a later change tries again");
             }
         }));
     }
--- a/crates/config/src/contact.rs
+++ b/crates/config/src/contact.rs
@@ -1,20 +1,20 @@
-//! How long ago the state in force was last known to be the newest.
+//! Tracks when the state in force was last confirmed to be the newest.
 //!
 //! A withdrawal is accepted by one write to the platform. An instance cut off
-//! from platform and peers would go on sending work to the withdrawn version;
-//! so it takes no new work once its last confirmation is older than the
-//! freshness bound. Two things confirm:
+//! from the platform and its peers would continue to send work to the withdrawn
+//! version; so it accepts no new work once its last confirmation is older than
+//! the freshness bound. There are two kinds of confirmation:
 //!
-//! - *The platform*: a plain read found nothing newer. Counted from the moment
-//!   before the read was sent, so that an answer that was held up in between,
-//!   or a process paused before it saw the answer, cannot make an old state
-//!   look fresh. A peer's answer passes on the age of its own confirmation.
-//! - *Being in step*, for an outage in which nobody reaches the platform:
+//! - *By the platform*: a plain read found nothing newer. Its age counts from
+//!   just before the read was sent, so that a delayed answer, or a process paused
+//!   before it saw the answer, cannot make an old state look fresh. A peer's
+//!   answer forwards the age of its own platform confirmation.
+//! - *By a quorum*, for an outage in which no instance reaches the platform:
 //!   peers in more than half of the site's failure domains answered that they
-//!   know nothing newer. It is not passed on.
+//!   have nothing newer. It is not forwarded.
 //!
-//! One-way news confirms nothing: there is no telling how long it was under
-//! way.
+//! A published update message confirms nothing, because its transit time is
+//! unknown.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -30,28 +30,29 @@
 
 use crate::settings::Settings;
 
-/// Confirmations, shared by the observer that writes and handles that read.
+/// Times of the confirmations, written by the observer and read by handles.
 #[derive(Debug)]
 pub(crate) struct Contact {
     opened: Instant,
     bound: Duration,
     own: Domain,
     domains: Vec<Domain>,
-    /// Milliseconds after `opened`, plus one; 0 for never.
+    /// Time of the last confirmation by the platform, in milliseconds after the
+    /// tracker was created plus one; 0 for never. `quorum` is encoded alike.
     platform: AtomicU64,
     quorum: AtomicU64,
     blocked: AtomicBool,
     reached: Mutex<Reached>,
 }
 
-/// Failure domains by what their instances said.
+/// Failure domains that peers reported.
 #[derive(Debug, Default)]
 struct Reached {
-    /// When each was in step.
+    /// When a peer in each domain last confirmed that it has nothing newer.
     in_step: BTreeMap<Domain, Instant>,
-    /// Those that were ever heard of. Settings that leave some out would make
-    /// a small part of the site look like more than half of it, and instances
-    /// cut off in that part would stay fresh for ever.
+    /// All domains ever reported by peers. If the settings omit some, a small
+    /// part of the site would look like more than half of it, and instances cut
+    /// off in that part would stay fresh forever.
     met: BTreeSet<Domain>,
 }
 
@@ -69,29 +70,29 @@
         }
     }
 
-    /// Whether new work may start.
+    /// Returns whether new work may start.
     pub(crate) fn fresh(&self) -> bool {
         let age = |cell| self.age(cell).is_some_and(|age| age < self.bound);
         !self.blocked.load(Ordering::Acquire) && (age(&self.platform) || age(&self.quorum))
     }
 
-    /// Age of the newest confirmation of either kind.
+    /// Returns the age of the newest confirmation of either kind.
     pub(crate) fn newest(&self) -> Option<Duration> {
         let ages = [self.age(&self.platform), self.age(&self.quorum)];
         ages.into_iter().flatten().min()
     }
 
-    /// Age of the platform's confirmation, own or passed on.
+    /// Returns the age of the platform's last confirmation, own or forwarded by a peer.
     pub(crate) fn platform_age(&self) -> Option<Duration> {
         self.age(&self.platform)
     }
 
-    /// The platform had nothing newer at that time.
+    /// Records that the platform had nothing newer at that time.
     pub(crate) fn confirm(&self, at: Instant) {
         self.raise(&self.platform, at);
     }
 
-    /// A peer in that domain had nothing newer at that time.
+    /// Records that an instance in that domain had nothing newer at that time.
     pub(crate) fn in_step(&self, domain: Domain, at: Instant) {
         let mut reached = self.reached.lock().unwrap_or_else(PoisonError::into_inner);
         let last = reached.in_step.entry(domain).or_insert(at);
@@ -101,18 +102,18 @@
         }
     }
 
-    /// There is a domain of this name.
+    /// Records that the site has this failure domain.
     pub(crate) fn met(&self, domain: Domain) {
         self.reached.lock().unwrap_or_else(PoisonError::into_inner).met.insert(domain);
     }
 
-    /// Blocks new work while an entry of the log cannot be read.
+    /// Sets whether new work is blocked because an entry of the log cannot be decoded.
     pub(crate) fn block(&self, blocked: bool) {
         self.blocked.store(blocked, Ordering::Release);
     }
 
-    /// Since when more than half of the domains have been in step; the own
-    /// domain counts by itself, if it is one of them.
+    /// Returns the latest time by which more than half of the domains had confirmed.
+    /// The own domain, if it is one of them, always counts as confirmed.
     fn quorum_at(&self, reached: &Reached) -> Option<Instant> {
         if self.domains.is_empty() {
             return None;
--- a/crates/config/src/edit.rs
+++ b/crates/config/src/edit.rs
@@ -1,38 +1,38 @@
-//! What operators ask for, and what they get.
+//! Edits that operators submit, and the result of an accepted change.
 
 use world::object::{Key, Object};
 
-/// One object's change.
+/// An operator's edit of one object.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Edit {
-    /// Creates or replaces.
+    /// Creates or replaces the object.
     Put(Object, Expected),
-    /// Deletes.
+    /// Deletes the object.
     Delete(Key, Expected),
 }
 
-/// What the operator believes to stand there.
+/// Condition on the object's current state, checked before the edit is accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expected {
-    /// Whatever it is.
+    /// No condition.
     Any,
-    /// Nothing.
+    /// The object does not exist.
     Absent,
-    /// The object as this generation left it.
+    /// The object exists and was last changed in this generation.
     At(u64),
 }
 
 /// An accepted change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Applied {
-    /// The generation that holds it.
+    /// The generation that contains the change.
     pub generation: u64,
-    /// False when everything stood there already; no generation was made.
+    /// False when the edits matched the current state, so that no generation was created.
     pub changed: bool,
 }
 
 impl Edit {
-    /// The object's key.
+    /// Returns the key of the edited object.
     #[must_use]
     pub fn key(&self) -> Key {
         match self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// What the edit leaves there.
+    /// Returns the object after the edit, or `None` for a deletion.
     pub(crate) fn object(&self) -> Option<&Object> {
         match self {
             Self::Put(object, _) => Some(object),
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a change was not accepted.
+//! Errors of reading and changing the configuration.
 
 use std::fmt;
 
@@ -6,48 +6,48 @@
 
 use crate::{edit::Expected, state::Revision};
 
-/// Why a change was not accepted.
+/// Reason why a change was not accepted or the log could not be read.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Error {
-    /// The objects do not fit each other; nothing was changed.
+    /// The objects are inconsistent with each other; nothing was changed.
     Invalid(Vec<Fault>),
     /// Another change of the same object came first; nothing was changed.
     Conflict(Box<Conflict>),
-    /// Two edits of one object; nothing was changed.
+    /// The change contains two edits of one object; nothing was changed.
     Twice(Key),
     /// Other changes came first until the deadline; nothing was changed.
     Busy,
-    /// More than one entry of the log holds; nothing was changed.
+    /// The change is too large for one entry of the log; nothing was changed.
     TooLarge {
-        /// Its size in bytes.
+        /// Size of the change in bytes.
         bytes: usize,
     },
-    /// The platform is out of reach; nothing was changed.
+    /// The platform is unavailable; nothing was changed.
     Down(store::Error),
     /// The change may or may not have been accepted.
     Unknown {
-        /// The generation that holds it if it was.
+        /// The generation that contains the change if it was accepted.
         generation: u64,
     },
-    /// An entry of the log that this build cannot read.
+    /// This build cannot decode an entry of the log.
     Unreadable {
-        /// Its generation.
+        /// Generation of the entry.
         generation: u64,
         /// The parser's message.
         message: String,
     },
-    /// This instance shuts down; nothing was changed.
+    /// This instance is shutting down; nothing was changed.
     Closed,
 }
 
-/// A lost race on one object.
+/// A mismatch between the expected and the current state of one object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Conflict {
-    /// The object.
+    /// Key of the object.
     pub object: Key,
-    /// What the operator believed to stand there.
+    /// The condition that the operator gave.
     pub expected: Expected,
-    /// The change that stands there; nothing when the object never was.
+    /// The object's last change; `None` if it never existed or its deletion is no longer kept.
     pub found: Option<Revision>,
     /// Whether the object exists now.
     pub exists: bool,
--- a/crates/config/src/handle.rs
+++ b/crates/config/src/handle.rs
@@ -1,4 +1,4 @@
-//! What the other crates call.
+//! The interface of the configuration for other crates.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,11 +24,11 @@
     wire,
 };
 
-/// Most bytes in one answer, apart from a single larger change or object;
-/// whoever missed more asks again. Far below what a peer link takes.
+/// Largest answer in bytes, unless a single change or object is larger. A peer that
+/// missed more asks again. Far below the message limit of a peer link.
 const ANSWER_SIZE: usize = 512 * 1024;
 
-/// The configuration at this instance; cheap to clone.
+/// Handle to the configuration at this instance; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     catalog: watch::Receiver<Arc<Catalog>>,
@@ -40,23 +40,23 @@
     settings: Arc<Settings>,
 }
 
-/// One step of an object's history.
+/// One change in an object's history.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Past {
-    /// Which change, when and by whom.
+    /// Generation, time and author of the change.
     pub revision: Revision,
-    /// What it left; nothing for a deletion.
+    /// The object after the change; `None` for a deletion.
     pub object: Option<Object>,
 }
 
-/// Where this instance stands.
+/// State of the configuration at this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
     /// The generation in force.
     pub generation: u64,
-    /// Whether new work may start.
+    /// Whether new work may be accepted.
     pub fresh: bool,
-    /// Time since the last confirmation; nothing before the first.
+    /// Time since the last confirmation; `None` before the first.
     pub age: Option<Duration>,
 }
 
@@ -73,36 +73,36 @@
         Self { catalog, state, contact, inbox, applies, log, settings }
     }
 
-    /// The catalog in force.
+    /// Returns the catalog in force.
     #[must_use]
     pub fn current(&self) -> Arc<Catalog> {
         self.catalog.borrow().clone()
     }
 
-    /// The catalog in force, and each that follows.
+    /// Returns a receiver of the catalog in force and every later one.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<Catalog>> {
         self.catalog.clone()
     }
 
-    /// Whether new work may start: platform or peers have confirmed the
+    /// Returns whether new work may start: the platform or peers have confirmed the
     /// catalog in force within the freshness bound.
     #[must_use]
     pub fn fresh(&self) -> bool {
         self.contact.fresh()
     }
 
-    /// Time since the platform last confirmed the catalog in force, to this
-    /// instance or to a peer that passed it on; nothing before the first.
+    /// Returns the time since the platform last confirmed the catalog in force, to
+    /// this instance or to a peer that forwarded it; `None` before the first.
     ///
-    /// Longer than a few confirmations' interval means that nobody here
-    /// reaches the platform.
+    /// If it exceeds a few confirmation intervals, neither this instance nor the
+    /// peers it reaches can reach the platform.
     #[must_use]
     pub fn platform_age(&self) -> Option<Duration> {
         self.contact.platform_age()
     }
 
-    /// Where this instance stands.
+    /// Returns the state of the configuration at this instance.
     #[must_use]
     pub fn status(&self) -> Status {
         let generation = self.state.borrow().generation();
@@ -114,23 +114,24 @@
         self.tell(Message::SetReader(reader)).await;
     }
 
-    /// Takes a peer's news or a peer's answer to [`crate::Outbound::Want`].
+    /// Processes a peer's update message or its answer to [`crate::Outbound::Want`].
     pub async fn offer(&self, bytes: Bytes) {
         self.tell(Message::Offer(bytes)).await;
     }
 
-    /// Answers a peer's want; an unreadable one gets the whole state.
+    /// Answers a peer's request; one that cannot be decoded is answered as if the peer
+    /// had no state.
     #[must_use]
     pub fn serve(&self, bytes: &[u8]) -> Bytes {
         let want = wire::Want::decode(bytes).unwrap_or_default();
-        // The age before the state: the other way round, a change that comes
-        // between would lend its fresh confirmation to the state before it.
+        // The age is read before the state: in the opposite order, a change in
+        // between would attach its newer confirmation to the older state.
         let age = self.contact.platform_age();
         let state = self.state.borrow().clone();
         wire::encode(&news(&state, age, &self.settings.domain, want))
     }
 
-    /// The whole state, to be offered to an instance that starts.
+    /// Returns the whole state, encoded for an instance that is starting.
     #[must_use]
     pub fn snapshot_bytes(&self) -> Bytes {
         let state = self.state.borrow().clone();
@@ -139,13 +140,13 @@
         wire::encode(&wire::News { domain, head: state.generation(), snapshot, ..wire::News::default() })
     }
 
-    /// Takes a peer's whole state; nothing happens when it is no newer.
+    /// Processes a peer's whole state; ignores it if it is not newer.
     pub async fn offer_snapshot(&self, bytes: Bytes) {
         self.offer(bytes).await;
     }
 
-    /// Checks edits and makes them the next generation, in force here when
-    /// this returns and everywhere within seconds.
+    /// Checks edits and appends them as the next generation, which is in force here
+    /// when this returns and everywhere within seconds.
     ///
     /// # Errors
     ///
@@ -155,12 +156,12 @@
         self.apply_as(author, "", edits).await
     }
 
-    /// As [`Handle::apply`], under the operator's own id of the change, which
-    /// the history shows.
+    /// Like [`Handle::apply`], with the operator's own id of the change, which the
+    /// history shows.
     ///
     /// # Errors
     ///
-    /// As [`Handle::apply`].
+    /// The same as [`Handle::apply`].
     pub async fn apply_as(&self, author: &str, change: &str, edits: Vec<Edit>) -> Result<Applied, Error> {
         let (answer, answered) = oneshot::channel();
         let apply = Apply { author: author.into(), change: change.into(), edits, answer };
@@ -168,14 +169,14 @@
         answered.await.map_err(|_| Error::Closed)?
     }
 
-    /// The last change of an object, its deletion included.
+    /// Returns the last change of an object, which may be its deletion.
     #[must_use]
     pub fn revision(&self, key: &Key) -> Option<Revision> {
         Some(self.state.borrow().entry(key)?.revision.clone())
     }
 
-    /// The changes of an object, newest first, as far back as they are kept;
-    /// one read of the platform for each.
+    /// Returns at most `limit` changes of an object, newest first, as far back as
+    /// they are kept, with one read of the platform for each.
     ///
     /// # Errors
     ///
@@ -199,15 +200,15 @@
     }
 
     async fn tell(&self, message: Message) {
-        // Without an observer the runtime shuts down.
+        // The observer is gone only while the runtime shuts down.
         let _ = self.inbox.send(message).await;
     }
 }
 
-/// What is newer than a generation, as a message for peers.
+/// Returns the update message that answers a peer's request.
 pub(crate) fn news(state: &State, age: Option<Duration>, domain: &Domain, want: wire::Want) -> wire::News {
     let wire::Want { id, after, snapshot, skip } = want;
-    // Rounded up: never younger than it is.
+    // Rounded up, so that it is never reported younger than it is.
     let confirmed_ms = age.and_then(|age| u64::try_from(age.as_millis() + 1).ok());
     let domain = domain.to_string();
     let mut news = wire::News { id, domain, head: state.generation(), confirmed_ms, ..wire::News::default() };
@@ -215,7 +216,7 @@
         return news;
     }
     let Some(changes) = state.changes_after(after) else {
-        // A state that has changed since is told from its start.
+        // A state that has changed since is sent from its start.
         news.skip = if snapshot == state.generation() { skip } else { 0 };
         let (part, more) = state.snapshot_part(usize::try_from(news.skip).unwrap_or(usize::MAX), ANSWER_SIZE);
         news.snapshot = serde_json::to_vec(&part).unwrap_or_default().into();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,18 +1,18 @@
 //! Configuration: one totally ordered log of changes, observed by every instance.
 //!
 //! A change is one immutable entry `config/change/<generation>` in the
-//! platform, made by create-if-absent. That one write decides every race:
-//! whoever creates the entry has made the generation, whoever finds it taken
-//! reads it and tries the next (docs/design/configuration.md).
+//! platform, written by create-if-absent. That one write decides every race:
+//! the instance that creates the entry owns the generation; an instance that
+//! finds it taken reads it and tries the next one (docs/design/configuration.md).
 //!
-//! Two tasks share the work. The observer owns the state in force: it
-//! takes entries from the platform and from peers, in order, and never goes
-//! back. The applier makes new entries. One instance per failure domain
-//! is the domain's reader and watches the platform; the others hear of changes
-//! over peer links and ask a peer once a second whether they missed one.
+//! Two tasks share the work. The observer owns the state in force: it applies
+//! entries from the platform and from peers in order and never moves to an
+//! older generation. The applier creates new entries. One instance per failure
+//! domain is the domain's reader and watches the platform; the others receive
+//! changes over peer links and poll a peer once a second for missed ones.
 //!
-//! The daemon pumps [`Outbound`] messages to the peer links, hands what comes
-//! in to [`Handle::offer`] and answers peers' calls with [`Handle::serve`].
+//! The daemon forwards [`Outbound`] messages to the peer links, passes incoming
+//! messages to [`Handle::offer`] and answers peers' calls with [`Handle::serve`].
 
 mod applier;
 mod contact;
@@ -44,24 +44,24 @@
 use observer::Observer;
 use state::State;
 
-/// Messages that may wait for a busy observer or daemon.
+/// Capacity, in messages, of each queue to the observer, the applier and the daemon.
 const QUEUE: usize = 256;
 
-/// A message for peers.
+/// A message that the daemon sends to peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outbound {
-    /// Publish to every live instance.
+    /// An update message to publish to every live instance.
     News(bytes::Bytes),
-    /// Call a peer and hand its answer to [`Handle::offer`].
+    /// A request to call peers with; each answer goes to [`Handle::offer`].
     Want {
-        /// Whom to ask.
+        /// Which peers to call.
         scope: Scope,
-        /// What to send; the peer answers by [`Handle::serve`].
+        /// The encoded request, which the peer answers with [`Handle::serve`].
         bytes: bytes::Bytes,
     },
 }
 
-/// Whom to ask for news.
+/// Which peers to ask for updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// One peer: the reader of the own failure domain, or any other.
@@ -70,10 +70,10 @@
     EachDomain,
 }
 
-/// Starts observing; ends with the last handle.
+/// Starts the observer and the applier, which end when the last handle is dropped.
 ///
 /// The first catalog is the empty generation 0, and [`Handle::fresh`] is
-/// false until platform or peers have confirmed a state.
+/// false until the platform or peers have confirmed a state.
 #[must_use]
 pub fn spawn(settings: Settings, platform: store::Handle, recorder: Recorder) -> (Handle, mpsc::Receiver<Outbound>) {
     let settings = Arc::new(settings);
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in the platform: entries, snapshots, cut-off.
+//! The log in the platform: reading and writing entries and snapshots, and truncation.
 
 use serde::de::DeserializeOwned;
 use store::{Item, Priority, Write};
@@ -10,40 +10,40 @@
     state::State,
 };
 
-/// Keys of changes, by generation.
+/// Key prefix of changes, followed by the generation.
 pub(crate) const CHANGES: &str = "config/change/";
-/// Keys of snapshots, by generation.
+/// Key prefix of snapshots, followed by the generation.
 const SNAPSHOTS: &str = "config/snapshot/";
-/// Keys of what does not fit into a snapshot's own value.
+/// Key prefix of the entries that do not fit into a snapshot's own value.
 const PARTS: &str = "config/part/";
-/// Bytes of entries in one value; the platform takes up to a megabyte.
+/// Largest size of the entries in one value, in bytes; the platform accepts up to a megabyte.
 const PART_SIZE: usize = 768 * 1024;
-/// Snapshots kept; a reader that has just found one gets time to read it.
+/// Number of snapshots kept; the older one gives a reader that just found it time to read it.
 const SNAPSHOTS_KEPT: usize = 2;
-/// Tries to read a snapshot and what follows while others cut off.
+/// Attempts to read a snapshot and the changes after it while others truncate the log.
 const SNAPSHOT_TRIES: u32 = 8;
-/// Most old changes deleted after one snapshot.
+/// Maximum number of old changes, and of old parts, deleted after one snapshot.
 const CUT_BATCH: usize = 512;
-/// Keys read to find the newest snapshot.
+/// Maximum number of snapshot keys listed at once.
 const SNAPSHOT_KEYS: usize = 1_000;
-/// What every call here is for.
+/// Priority of all platform calls here except deletions during truncation.
 const PRIORITY: Priority = Priority::Config;
 
-/// The log in the platform.
+/// Access to the log in the platform.
 #[derive(Debug, Clone)]
 pub(crate) struct Log {
     platform: store::Handle,
     keep: Keep,
 }
 
-/// What a reading of the log brought: everything after the generation asked for.
+/// Everything in the log after a generation.
 #[derive(Debug)]
 pub(crate) struct Found {
-    /// A state to start from, where changes alone do not connect.
+    /// The state to start from if the changes do not directly follow the generation.
     pub(crate) snapshot: Option<Snapshot>,
-    /// The changes after that, by generation.
+    /// The changes after that, in order of generation.
     pub(crate) changes: Vec<Change>,
-    /// The store's version from which a watch misses nothing.
+    /// The store version from which a watch must start to miss no change.
     pub(crate) version: u64,
 }
 
@@ -52,7 +52,7 @@
         Self { platform, keep }
     }
 
-    /// The same log with another deadline per call.
+    /// Returns the same log with another deadline per call.
     pub(crate) fn within(&self, deadline: std::time::Duration) -> Self {
         Self { platform: self.platform.within(deadline), keep: self.keep }
     }
@@ -61,7 +61,7 @@
         self.platform.watch(PRIORITY, CHANGES, version)
     }
 
-    /// Everything after a generation; one read when changes connect.
+    /// Reads everything after a generation; takes one read if the changes directly follow it.
     pub(crate) async fn read_after(&self, generation: u64) -> Result<Found, Error> {
         if generation > 0 {
             let found = self.changes_after(generation).await?;
@@ -70,12 +70,12 @@
             }
         }
         for _ in 0..SNAPSHOT_TRIES {
-            // Not found: cut off between two reads, and a newer one stands there.
+            // If it is missing, it was truncated between two reads and a newer one exists.
             let newest = self.newest_snapshot().await?.unwrap_or(0);
             let snapshot = if newest == 0 { None } else { self.snapshot(newest).await? };
             if snapshot.is_some() || newest == 0 {
                 let found = self.changes_after(newest).await?;
-                // Nothing above the newest snapshot has ever been cut off.
+                // Nothing above the newest snapshot is ever truncated.
                 if found.connects(newest, u64::MAX) {
                     return Ok(Found { snapshot, ..found });
                 }
@@ -84,31 +84,33 @@
         Err(Error::Busy)
     }
 
-    /// One change; nothing when it is cut off or never was.
+    /// Reads one change; returns `None` if it was truncated or never existed.
     pub(crate) async fn change(&self, generation: u64) -> Result<Option<Change>, Error> {
         let item = self.platform.get(PRIORITY, &change_key(generation)).await?;
         item.map(|item| read(generation, &item)).transpose()
     }
 
-    /// Makes a change the next one; the create decides every race.
+    /// Creates the entry of a change; the create decides every race for its generation.
     pub(crate) async fn append(&self, change: &Change) -> Result<Write, store::Error> {
         self.platform.create(PRIORITY, &change_key(change.generation()), change).await
     }
 
-    /// Takes an entry away again.
+    /// Deletes an entry again.
     pub(crate) async fn retract(&self, item: &Item) -> Result<(), store::Error> {
         self.platform.delete(PRIORITY, item).await.map(drop)
     }
 
-    /// Generation of the newest snapshot.
+    /// Returns the generation of the newest snapshot.
     pub(crate) async fn newest_snapshot(&self) -> Result<Option<u64>, Error> {
         let keys = self.platform.keys(PRIORITY, SNAPSHOTS, "", SNAPSHOT_KEYS).await?;
         Ok(keys.iter().filter_map(|key| generation_of(SNAPSHOTS, key)).max())
     }
 
-    /// Writes a state's snapshot. Parts go first, under keys of their own, and
-    /// the snapshot names them: whoever creates that key has made the
-    /// snapshot, and a writer that stops half-way leaves nothing that reads.
+    /// Writes a snapshot of a state.
+    ///
+    /// Parts are written first under their own keys, and the snapshot lists them.
+    /// Creating the snapshot's key completes it, so a writer that stops half-way
+    /// leaves no snapshot that readers could find.
     pub(crate) async fn write_snapshot(&self, state: &State) -> Result<Write, store::Error> {
         let mut snapshot = state.to_snapshot();
         let mut parts = split(std::mem::take(&mut snapshot.entries));
@@ -122,8 +124,8 @@
         self.platform.create(PRIORITY, &snapshot_key(snapshot.generation), &snapshot).await
     }
 
-    /// Deletes what is no longer needed: all but the newest snapshots, parts
-    /// older than those, and changes up to a generation.
+    /// Truncates the log: deletes all but the newest snapshots, parts older than
+    /// those, and changes up to a generation.
     pub(crate) async fn cut(&self, up_to: u64) -> Result<(), store::Error> {
         let snapshots = self.platform.list_page(PRIORITY, SNAPSHOTS, "", SNAPSHOT_KEYS).await?.items;
         let (old, kept) = snapshots.split_at(snapshots.len().saturating_sub(SNAPSHOTS_KEPT));
@@ -139,7 +141,7 @@
 
     async fn delete_all(&self, items: &[Item]) -> Result<(), store::Error> {
         for item in items {
-            // Lost: another cuts at the same time.
+            // A lost race means that another instance truncates at the same time.
             self.platform.delete(Priority::Statistics, item).await?;
         }
         Ok(())
@@ -167,24 +169,24 @@
 }
 
 impl Found {
-    /// Changes alone, for instance from a watch.
+    /// Creates a value of changes alone, for instance from a watch.
     pub(crate) fn changes(changes: Vec<Change>) -> Self {
         Self { snapshot: None, changes, version: 0 }
     }
 
-    /// The newest generation in here.
+    /// Returns the newest generation contained.
     pub(crate) fn head(&self) -> u64 {
         let snapshot = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.generation);
         self.changes.last().map_or(snapshot, |change| change.generation().max(snapshot))
     }
 
-    /// Whether the changes may be taken after a generation.
+    /// Returns whether the changes can be applied directly after a generation.
     ///
-    /// An instance paused for long may have made a stray entry in the place of
-    /// one that was cut off. Taken for the next change by a reader that stands
-    /// right before it, it would part that reader's state from everyone's. A
-    /// stray is at least `kept` generations below the newest snapshot, so it
-    /// either has a hole above it or that many entries.
+    /// An instance that was paused for long may have created a stray entry in
+    /// place of a truncated one. A reader at the generation just before it that
+    /// applied it as the next change would diverge from all other instances. A
+    /// stray is at least `kept` generations below the newest snapshot, so it is
+    /// followed either by a gap or by that many entries.
     fn connects(&self, generation: u64, kept: u64) -> bool {
         if u64::try_from(self.changes.len()).is_ok_and(|len| len >= kept) {
             return false;
@@ -193,13 +195,13 @@
     }
 }
 
-/// Reads an entry of the log; nothing for a key of another form.
+/// Decodes an entry of the log; returns `None` for a key of another form.
 pub(crate) fn parse_change(item: &Item) -> Option<Result<Change, Error>> {
     let generation = generation_of(CHANGES, &item.key)?;
     Some(read(generation, item))
 }
 
-/// Wide enough for every generation, so that keys sort as numbers do.
+/// Returns the key of a change, zero-padded so that keys sort by generation.
 pub(crate) fn change_key(generation: u64) -> String {
     format!("{CHANGES}{generation:016}")
 }
@@ -220,7 +222,7 @@
     item.read().map_err(|error| Error::Unreadable { generation, message: error.to_string() })
 }
 
-/// Entries in groups that fit into one value each; at least one group.
+/// Splits entries into groups that fit into one value each; returns at least one group.
 fn split(entries: Vec<Entry>) -> Vec<Vec<Entry>> {
     let mut groups = vec![Vec::new()];
     let mut size = 0;
--- a/crates/config/src/observer.rs
+++ b/crates/config/src/observer.rs
@@ -1,10 +1,10 @@
 //! The task that owns the state in force.
 //!
-//! It takes changes in the order of their generations from wherever they come
-//! first, never goes back, and keeps asking whether it missed one: a reader
-//! asks the platform once an interval, everyone else a peer. When peers have
-//! been silent too long it reads the platform itself, backing off while that
-//! is away.
+//! It applies changes in the order of their generations from whichever source
+//! delivers them first, never moves to an older generation, and polls for missed
+//! changes: a reader polls the platform once per interval, every other instance
+//! polls a peer. If the state has gone unconfirmed by the platform for too long,
+//! it reads the platform itself, with backoff while the platform is unavailable.
 
 mod take;
 
@@ -34,59 +34,59 @@
     wire,
 };
 
-/// Intervals without confirmation after which an instance helps itself.
+/// Intervals without a platform confirmation after which an instance reads the platform itself.
 const SILENT_INTERVALS: f64 = 2.5;
-/// Longest pause between two reads of a platform that is away, in intervals.
+/// Longest pause between two reads of an unavailable platform, in intervals.
 const BACKOFF_INTERVALS: u32 = 8;
-/// A reader publishes what its watch brought only if no peer has within this
-/// time; the instance that made the change usually has.
+/// Longest time that a reader waits before it publishes a change from its watch. It
+/// publishes only if no peer did so before; usually the change's author did.
 const PUBLISH_DELAY: Duration = Duration::from_millis(200);
 
-/// What the observer is told.
+/// A message to the observer.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// A peer's news or answer.
+    /// An update message or an answer from a peer.
     Offer(Bytes),
-    /// Something was read from the log or written to it.
+    /// Entries were read from the log or written to it.
     Found {
-        /// What.
+        /// The entries.
         found: Found,
-        /// How it came.
+        /// How they were obtained.
         origin: Origin,
-        /// Told when it is in force.
+        /// Notified when the entries have been processed.
         done: Option<oneshot::Sender<()>>,
     },
-    /// The log could not be read.
+    /// The reader could not read the log.
     Unreadable(Error),
     /// The observer's own read of the platform failed.
     ReadFailed(Error),
-    /// Whether this instance watches for its failure domain.
+    /// Sets whether this instance watches the platform for its failure domain.
     SetReader(bool),
 }
 
-/// How something came from the log.
+/// How entries of the log were obtained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// By a watch; may lag, confirms nothing.
+    /// By a watch, which may lag and confirms nothing.
     Watch,
-    /// By a read sent at this time, complete as of then.
+    /// By a reader's read, complete as of the time when it was sent.
     Read {
         /// When it was sent.
         asked: Instant,
     },
-    /// By the observer's own read.
+    /// By the observer's own read, complete as of the time when it was sent.
     OwnRead {
         /// When it was sent.
         asked: Instant,
     },
-    /// By this instance's own change, sent at this time.
+    /// By a change that this instance made.
     Applied {
         /// When it was sent.
         asked: Instant,
     },
 }
 
-/// The task's state.
+/// State of the observer task.
 #[derive(Debug)]
 pub(crate) struct Observer {
     settings: Arc<Settings>,
@@ -99,15 +99,16 @@
     out: mpsc::Sender<Outbound>,
     rng: StdRng,
     reader: Option<AbortHandle>,
-    /// Wants under way: when each was sent.
+    /// Pending requests to peers by id, with the time when each was sent.
     wants: BTreeMap<u64, Instant>,
     last_want: u64,
     reading: bool,
     read_backoff: Option<Backoff>,
     next_read: Instant,
-    /// Generation that a watch brought, to be published at this time.
+    /// The generation before changes from a watch that are still to be published, and
+    /// when to publish them.
     unpublished: Option<(u64, Instant)>,
-    /// The first part of a state that a peer tells.
+    /// The first entries of a snapshot that peers send in parts.
     part: Option<Snapshot>,
     was_fresh: bool,
     blocked: Option<u64>,
@@ -181,12 +182,12 @@
         }
     }
 
-    /// Asks whether something was missed.
+    /// Polls the platform or peers for missed changes.
     fn tick(&mut self) {
         if self.generation() > 0 {
-            // Matters to a site of one failure domain, which is in step with
-            // itself. Not before the first state: an empty catalog would turn
-            // every customer away as unknown.
+            // Needed by a site of one failure domain, which confirms itself. Not
+            // done before the first state: with an empty catalog every customer
+            // would be refused as unknown.
             self.contact.in_step(self.settings.domain.clone(), Instant::now());
         }
         let silent = self.silent();
@@ -207,7 +208,7 @@
         self.contact.platform_age().is_none_or(|age| age > bound)
     }
 
-    /// Reads the platform, one read at a time.
+    /// Starts a read of the platform; the caller ensures that only one runs at a time.
     fn read(&mut self) {
         self.reading = true;
         let (log, inbox) = (self.log.within(self.settings.interval()), self.inbox.clone());
@@ -262,7 +263,7 @@
             _ => {}
         }
         if self.generation() < head {
-            // A hole: only what follows from here on can fill it.
+            // There is a gap, which only the entries after this state can fill.
             self.next_read = Instant::now();
             return self.want(Scope::One);
         }
@@ -274,7 +275,7 @@
 
     fn offer(&mut self, bytes: &[u8]) {
         let Ok(news) = wire::News::decode(bytes) else {
-            return tracing::warn!("news that does not read; a peer speaks another protocol");
+            return tracing::warn!("cannot decode an update message; a peer speaks another protocol");
         };
         if let Ok(domain) = Domain::parse(&news.domain) {
             self.contact.met(domain);
@@ -287,14 +288,14 @@
             self.unpublished = None;
         }
         if news.head > self.generation() {
-            // Published news that came before the one it follows, or an answer
-            // that did not hold all of it.
+            // A published update arrived before the one it follows, or an answer
+            // did not contain everything.
             if news.id == 0 || self.generation() > before {
                 self.want(Scope::One);
             }
             return;
         }
-        // Only what was asked for has a known age; see `contact`.
+        // Only an answer to a request has a known age; see `contact`.
         if let Some(asked) = self.wants.get(&news.id).copied() {
             self.confirmed_by(&news, asked);
         }
@@ -302,8 +303,8 @@
     }
 
     fn confirmed_by(&mut self, news: &wire::News, asked: Instant) {
-        // A peer behind us has confirmed an older state, which says nothing
-        // about ours; it is in step all the same, since we know its newest.
+        // A peer at an older generation has confirmed an older state, which says
+        // nothing about this one; but it still shows that it has nothing newer.
         let age = news.confirmed_ms.filter(|_| news.head == self.generation()).map(Duration::from_millis);
         if let Some(at) = age.and_then(|age| asked.checked_sub(age)) {
             self.contact.confirm(at);
@@ -335,7 +336,7 @@
         }
     }
 
-    /// Tells every instance of the changes after a generation.
+    /// Publishes the changes after a generation to every instance.
     fn publish(&self, after: u64) {
         let state = self.state.borrow().clone();
         let want = wire::Want { after, ..wire::Want::default() };
@@ -343,7 +344,8 @@
         self.send(Outbound::News(wire::encode(&news)));
     }
 
-    /// A full queue drops the message: news is asked for again each interval.
+    /// Queues a message; drops it if the queue is full, since updates are requested
+    /// again in each interval.
     fn send(&self, message: Outbound) {
         if self.out.try_send(message).is_err() {
             metrics::counter!("config_outbound_dropped_total").increment(1);
@@ -366,7 +368,7 @@
         self.state.borrow().generation()
     }
 
-    /// Four fifths to six fifths, so that instances do not ask in step.
+    /// Returns four to six fifths of an interval, so that instances do not poll in lockstep.
     fn jittered(&mut self, interval: Duration) -> Duration {
         interval.mul_f64(self.rng.random_range(0.8..1.2))
     }
--- a/crates/config/src/observer/take.rs
+++ b/crates/config/src/observer/take.rs
@@ -1,4 +1,4 @@
-//! Putting into force what is newer, and refusing what does not read.
+//! Puts newer states into force, and blocks new work when an entry cannot be decoded.
 
 use std::sync::Arc;
 
@@ -29,12 +29,12 @@
         self.take(snapshot.as_ref(), &changes)
     }
 
-    /// Joins a part of a state to those before it; the whole once it is there.
+    /// Appends a part of a snapshot to those before it; returns the snapshot once complete.
     fn join(&mut self, part: Snapshot, news: &wire::News) -> Option<Snapshot> {
         let before = self.part.take().filter(|before| before.generation == part.generation);
         let held = before.as_ref().map_or(0, |before| before.entries.len() as u64);
         if news.skip != held {
-            // Another peer's answer to the same question, or one too late.
+            // Another peer's answer to the same request, or a late one.
             self.part = before;
             return None;
         }
@@ -48,9 +48,9 @@
         None
     }
 
-    /// Puts into force what is newer and follows without a hole.
+    /// Puts into force everything that is newer and follows without a gap.
     pub(super) fn take(&mut self, snapshot: Option<&Snapshot>, changes: &[Change]) -> Result<(), Error> {
-        // A snapshot below what is in force would be a step back.
+        // An older snapshot would move the state in force to an older generation.
         if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.generation > self.generation()) {
             let state = State::from_snapshot(snapshot)?;
             self.put_in_force(state);
@@ -67,7 +67,7 @@
         state.forget_deleted(generation.saturating_sub(self.settings.keep.changes));
         self.part.take_if(|part| part.generation <= generation);
         let state = Arc::new(state);
-        // The state first: whoever is woken by the catalog finds its revisions.
+        // The state goes first, so that tasks woken by the catalog find its revisions.
         self.state.send_replace(state.clone());
         self.catalog.send_replace(state.catalog().clone());
         if self.blocked.is_some_and(|blocked| blocked <= generation) {
@@ -82,19 +82,21 @@
         tracing::info!(generation, "configuration in force");
     }
 
-    /// Keeps what is in force when something newer cannot be read. An instance
-    /// that cannot follow takes no new work: a withdrawal may be in there.
+    /// Keeps the state in force after a newer entry could not be decoded or applied.
+    ///
+    /// An instance that cannot follow the log accepts no new work, since the entry
+    /// may contain a withdrawal.
     pub(super) fn refuse(&mut self, error: &Error) {
         match error {
             Error::Unreadable { generation, .. } if *generation > self.generation() => self.block(*generation, error),
             Error::Invalid(_) => self.block(self.generation() + 1, error),
-            _ => tracing::debug!(%error, "the log could not be read"),
+            _ => tracing::debug!(%error, "cannot read the log"),
         }
     }
 
     fn block(&mut self, generation: u64, error: &Error) {
         if self.blocked.is_none() {
-            tracing::error!(generation, %error, "cannot follow the configuration; taking no new work");
+            tracing::error!(generation, %error, "cannot follow the configuration; accepting no new work");
         }
         self.blocked = Some(generation);
         self.contact.block(true);
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Watches the log for a whole failure domain.
+//! Watches the log in the platform on behalf of a failure domain.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     state::State,
 };
 
-/// One reader; runs until aborted or the observer is gone.
+/// A task that watches the log and runs until it is aborted or the observer ends.
 #[derive(Debug)]
 pub(crate) struct Reader {
     pub(crate) settings: Arc<Settings>,
@@ -33,14 +33,14 @@
             watch.relist_after(&log::change_key(self.generation()));
             let events = match watch.next().await {
                 Ok(Batch::Changes { changes, .. }) => changes,
-                // After a gap only the log itself can tell which entries
-                // follow on what is in force.
+                // After a gap only a read of the log can tell which entries
+                // follow the state in force.
                 Ok(Batch::Relisted(_)) => {
                     watch = self.start().await;
                     continue;
                 }
-                // Needs nothing here: the watch backs off by itself, and the
-                // observer's own reads tell it that the platform is away.
+                // Needs no handling: the watch backs off by itself, and the
+                // observer's own reads detect that the platform is unavailable.
                 Err(_) => continue,
             };
             let changes = match parse(events) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Reads what there is and the version to watch from.
+    /// Reads the log after the state in force and returns a watch that continues from there.
     async fn start(&self) -> store::Watch {
         loop {
             let asked = Instant::now();
@@ -68,7 +68,7 @@
                     self.send(Message::Found { found, origin, done: None }).await;
                     return self.log.watch(version).waiting(self.settings.watch_wait);
                 }
-                // The platform's own backoff has run until its deadline.
+                // The store client has already retried with backoff until its deadline.
                 Err(error) => {
                     self.send(Message::Unreadable(error)).await;
                     sleep(self.settings.interval()).await;
@@ -92,7 +92,7 @@
     items.iter().filter_map(log::parse_change).collect()
 }
 
-/// Deletions are the cut-off's and need nothing.
+/// Returns a written item; deletions come from truncation and are ignored.
 fn put(event: Event) -> Option<Item> {
     match event {
         Event::Put(item) => Some(item),
--- a/crates/config/src/record.rs
+++ b/crates/config/src/record.rs
@@ -1,8 +1,7 @@
-//! The log's entries as the platform keeps them, JSON.
+//! The JSON records of the log as the platform stores them.
 //!
-//! Specs stay JSON values here and are read into objects by
-//! [`crate::state`], so that an entry which this build cannot read is refused
-//! there with its generation.
+//! Object specs stay JSON values here. [`crate::state`] decodes them into objects,
+//! so that an entry which this build cannot decode is reported with its generation.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -13,40 +12,40 @@
 /// One change: the value of `config/change/<generation>`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Change {
-    /// Which change, when and by whom.
+    /// Generation, time and author of the change.
     #[serde(flatten)]
     pub(crate) revision: Revision,
-    /// What it changed.
+    /// The edits that the change consists of.
     pub(crate) edits: Vec<Edit>,
 }
 
-/// One object's change.
+/// The change of one object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Edit {
-    /// Generation of the object's change before, 0 for none: the history is
-    /// walked along these, one read a step, and needs no index.
+    /// Generation of the object's previous change, 0 for none. The history follows
+    /// these links with one read per step and needs no index.
     pub(crate) before: u64,
-    /// What it did.
+    /// The new state of the object.
     #[serde(flatten)]
     pub(crate) action: Action,
 }
 
-/// What an edit did.
+/// The state of an object after an edit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Action {
-    /// The object now standing there.
+    /// The object exists with this value.
     Put(Value),
-    /// Nothing stands there now.
+    /// The object is deleted.
     Delete(Key),
 }
 
 /// All objects of one generation: the value of `config/snapshot/<generation>`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Snapshot {
-    /// The generation.
+    /// The generation that the snapshot describes.
     pub(crate) generation: u64,
-    /// Its objects, and the deleted ones that the history still knows.
+    /// Its objects, including deleted ones whose history is still kept.
     pub(crate) entries: Vec<Entry>,
     /// Keys of the values that hold further entries.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -56,9 +55,9 @@
 /// One object of a snapshot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Entry {
-    /// Its last change.
+    /// The object's last change.
     pub(crate) revision: Revision,
-    /// What that left.
+    /// State of the object after that change.
     #[serde(flatten)]
     pub(crate) action: Action,
 }
@@ -74,7 +73,7 @@
 }
 
 impl Action {
-    /// The object's key; nothing when the value is no object.
+    /// Returns the object's key, or `None` if the value is not an object.
     pub(crate) fn key(&self) -> Option<Key> {
         match self {
             Self::Delete(key) => Some(key.clone()),
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,49 +1,49 @@
-//! How an instance observes the configuration.
+//! Settings of the configuration at one instance.
 
 use std::time::{Duration, SystemTime};
 
 use world::{Timestamp, domain::Domain, instance};
 
-/// How an instance observes the configuration.
+/// How an instance observes and changes the configuration.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// This instance; named in the changes it makes.
+    /// This instance; recorded in the changes it makes.
     pub instance: instance::Id,
-    /// Where it stands.
+    /// Failure domain of this instance.
     pub domain: Domain,
-    /// Every failure domain of the site. While nobody reaches the platform, an
-    /// instance stays fresh as long as it is in step with more than half of
-    /// them; left empty, it goes stale.
+    /// All failure domains of the site. While no instance reaches the platform, an
+    /// instance stays fresh as long as peers in more than half of them confirm its
+    /// state; if empty, it becomes stale.
     pub domains: Vec<Domain>,
-    /// How old the last confirmation may grow before new work stops.
+    /// Age of the last confirmation at which the instance stops accepting new work.
     pub freshness: Duration,
-    /// Longest time between two confirmations; a tight freshness bound makes
-    /// it shorter.
+    /// Longest time between two attempts to confirm the state; a tight freshness
+    /// bound makes it shorter.
     pub interval: Duration,
-    /// How long the platform holds a reader's watch.
+    /// Longest time that the platform holds a reader's watch call open.
     pub watch_wait: Duration,
-    /// Longest time for one change, races with other changes included.
+    /// Longest time for one change, including retries after lost races.
     pub deadline: Duration,
-    /// What the platform keeps.
+    /// How much of the log the platform keeps.
     pub keep: Keep,
-    /// Seed of jitter; drawn from the system when absent.
+    /// Seed of the jitter; random if absent.
     pub seed: Option<u64>,
-    /// Wall clock, for the times in the history.
+    /// Wall clock for the times in the history.
     pub clock: fn() -> Timestamp,
 }
 
-/// What the platform keeps of the log; the same at every instance, since it
-/// decides which entries may be taken for the next change.
+/// How much of the log the platform keeps. It must be the same at every instance,
+/// since it decides which entries may be applied as the next change.
 #[derive(Debug, Clone, Copy)]
 pub struct Keep {
-    /// A snapshot each so many generations.
+    /// Number of generations between two snapshots.
     pub snapshot_every: u64,
-    /// Generations kept before the newest snapshot, for the history.
+    /// Number of generations kept before the newest snapshot, for the history.
     pub changes: u64,
 }
 
-/// Confirmations tried for within the freshness bound: a few may be lost or
-/// late without a pause in new work.
+/// Number of confirmations attempted within the freshness bound, so that a few may
+/// be lost or late without an interruption of new work.
 const TRIES: u32 = 5;
 
 impl Settings {
@@ -51,7 +51,7 @@
         self.interval.min(self.freshness / TRIES)
     }
 
-    /// The defaults for one instance.
+    /// Returns the default settings of an instance.
     #[must_use]
     pub fn new(instance: instance::Id, domain: Domain) -> Self {
         Self {
--- a/crates/config/src/state.rs
+++ b/crates/config/src/state.rs
@@ -1,5 +1,7 @@
-//! All objects of a generation with their last changes, and the step to the
-//! next generation. Pure.
+//! All objects of a generation with their last changes, and the transition to
+//! the next generation.
+//!
+//! Pure functions without I/O.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -17,25 +19,25 @@
     record::{self, Action, Change, Snapshot},
 };
 
-/// Changes kept for peers that missed some; whoever missed more takes a snapshot.
+/// Number of changes kept for peers that missed some; a peer that missed more gets a snapshot.
 const RECENT: usize = 128;
 
-/// Which change, when and by whom.
+/// Identifies a change: its generation, time and author.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// Its place in the order of all changes.
+    /// Position of the change in the total order of changes.
     pub generation: u64,
-    /// When it was made, by the clock of the instance that made it.
+    /// Time of the change, by the clock of the instance that made it.
     pub at: Timestamp,
-    /// The operator.
+    /// The operator who submitted the change.
     pub author: String,
-    /// The instance that made it.
+    /// The instance that appended the change to the log.
     pub instance: String,
-    /// The operator's own id of the change, by which it is found again when
-    /// the answer was lost; empty when none was given.
+    /// The operator's own id of the change, used to find it again if the answer
+    /// was lost; empty if none was given.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub change: String,
-    /// Its maker's clock; what follows from the change has later stamps.
+    /// Logical clock of that instance; effects of the change have later stamps.
     #[serde(default)]
     pub stamp: Stamp,
 }
@@ -48,14 +50,14 @@
     recent: Vec<Recent>,
 }
 
-/// One object with its last change; a deleted one stays for its history.
+/// An object with its last change; a deleted object keeps its entry for the history.
 #[derive(Debug, Clone)]
 pub(crate) struct Entry {
     pub(crate) revision: Revision,
     pub(crate) object: Option<Object>,
 }
 
-/// A change as peers get it.
+/// A change in the encoding sent to peers.
 #[derive(Debug, Clone)]
 pub(crate) struct Recent {
     pub(crate) generation: u64,
@@ -71,7 +73,7 @@
         self.catalog.generation()
     }
 
-    /// Clock of the maker of this generation.
+    /// Returns the stamp of the change that created this generation.
     pub(crate) fn stamp(&self) -> Option<Stamp> {
         let mut revisions = self.entries.values().map(|entry| &entry.revision);
         revisions.find(|revision| revision.generation == self.generation()).map(|revision| revision.stamp)
@@ -81,7 +83,7 @@
         self.entries.get(key)
     }
 
-    /// The changes after a generation, if all of them are still held.
+    /// Returns the changes after a generation, or `None` if some are no longer held.
     pub(crate) fn changes_after(&self, generation: u64) -> Option<&[Recent]> {
         let first = self.recent.first().map_or(self.generation() + 1, |recent| recent.generation);
         let skipped = (generation + 1).checked_sub(first)?;
@@ -89,7 +91,7 @@
         Some(&self.recent[skipped..])
     }
 
-    /// Reads a snapshot.
+    /// Builds the state that a snapshot describes.
     pub(crate) fn from_snapshot(snapshot: &Snapshot) -> Result<Self, Error> {
         let generation = snapshot.generation;
         let mut state = Self::default();
@@ -99,13 +101,14 @@
         state.build(generation)
     }
 
-    /// Every object, as a snapshot without parts.
+    /// Returns all entries as one snapshot without parts.
     pub(crate) fn to_snapshot(&self) -> Snapshot {
         Snapshot { generation: self.generation(), entries: self.snapshot_entries().collect(), parts: Vec::new() }
     }
 
-    /// A snapshot's entries after the first `skip`, at least one and else no
-    /// more than so many bytes, and whether others follow.
+    /// Returns the snapshot's entries after the first `skip`, and whether more follow.
+    ///
+    /// Returns at least one entry and otherwise at most `bytes` bytes of them.
     pub(crate) fn snapshot_part(&self, skip: usize, bytes: usize) -> (Snapshot, bool) {
         let mut entries = Vec::new();
         let mut size = 0;
@@ -127,8 +130,8 @@
         })
     }
 
-    /// The state after all those changes that follow without a hole; nothing
-    /// when none does. Built once for all of them.
+    /// Returns the state after all changes that follow without a gap, or `None` if
+    /// none does. The catalog is built once for all of them.
     pub(crate) fn after(&self, changes: &[Change]) -> Result<Option<Self>, Error> {
         let mut next: Option<Self> = None;
         let mut generation = self.generation();
@@ -142,13 +145,13 @@
         next.map(|state| state.build(generation)).transpose()
     }
 
-    /// Forgets objects deleted up to a generation.
+    /// Removes the entries of objects deleted up to a generation.
     pub(crate) fn forget_deleted(&mut self, up_to: u64) {
         self.entries.retain(|_, entry| entry.object.is_some() || entry.revision.generation > up_to);
     }
 
-    /// Checks an operator's edits against what stands here and makes the next
-    /// change of them; nothing when all of them stand here already.
+    /// Checks an operator's edits against this state and returns the next change,
+    /// or `None` if the state already matches all of them.
     pub(crate) fn propose(&self, edits: &[Edit], revision: Revision) -> Result<Option<Change>, Error> {
         let mut keys = std::collections::BTreeSet::new();
         let mut changed = Vec::new();
@@ -167,8 +170,8 @@
             return Ok(None);
         }
         let change = Change::new(revision, changed);
-        // Checked whole, as every observer will: what does not build here
-        // must not enter the log.
+        // Builds the resulting state, as every observer will: a change that does
+        // not build must not enter the log.
         self.after(std::slice::from_ref(&change))?;
         Ok(Some(change))
     }
--- a/crates/config/src/wire.rs
+++ b/crates/config/src/wire.rs
@@ -1,52 +1,52 @@
-//! What instances tell each other about the configuration.
+//! Messages about the configuration that instances exchange.
 //!
-//! Changes and snapshots travel as the platform keeps them, so that a change
-//! is the same bytes whichever way it came, and a build that does not know a
-//! member passes it on unharmed. Fields are added, never reused.
+//! Changes and snapshots are sent in the platform's encoding, so that a change
+//! has the same bytes on every path, and a build that does not know a JSON
+//! member forwards it unmodified. Fields are added, never reused.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// Asks a peer for whatever is newer.
+/// Asks a peer for everything newer than a generation.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Want {
-    /// Comes back in the answer.
+    /// Request id, repeated in the answer.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The generation in force at the asker.
+    /// The generation in force at the sender.
     #[prost(uint64, tag = "2")]
     pub after: u64,
-    /// The generation of a state that the asker has the first part of.
+    /// Generation of a snapshot of which the sender holds the first entries; 0 for none.
     #[prost(uint64, tag = "3")]
     pub snapshot: u64,
-    /// How many entries of it.
+    /// Number of those entries, which the answer skips.
     #[prost(uint64, tag = "4")]
     pub skip: u64,
 }
 
-/// Tells what is newer: an answer, or published of its own accord.
+/// Newer changes or a snapshot, sent as an answer or published unasked.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct News {
-    /// The want it answers; 0 when published.
+    /// Id of the request that it answers; 0 if published.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Failure domain of the teller.
+    /// Failure domain of the sender.
     #[prost(string, tag = "2")]
     pub domain: String,
-    /// The generation in force at the teller.
+    /// The generation in force at the sender.
     #[prost(uint64, tag = "3")]
     pub head: u64,
-    /// How long ago the platform confirmed that, in milliseconds.
+    /// Milliseconds since the platform last confirmed that generation as the newest.
     #[prost(uint64, optional, tag = "4")]
     pub confirmed_ms: Option<u64>,
-    /// Changes that follow each other.
+    /// Consecutive changes, oldest first.
     #[prost(bytes = "bytes", repeated, tag = "5")]
     pub changes: Vec<Bytes>,
-    /// A whole state instead, where changes alone would not do, or the next
-    /// part of one; may be empty.
+    /// A snapshot or the next part of one, sent when the sender no longer holds all
+    /// missing changes; may be empty.
     #[prost(bytes = "bytes", tag = "6")]
     pub snapshot: Bytes,
-    /// Entries of the state before this part.
+    /// Number of the snapshot's entries before this part.
     #[prost(uint64, tag = "7")]
     pub skip: u64,
     /// Whether further parts follow.
