--- a/crates/config/tests/config/apply.rs
+++ b/crates/config/tests/config/apply.rs
@@ -1,4 +1,4 @@
-//! Changes as operators make them.
+//! Changes by operators.
 
 use std::time::Duration;
 
@@ -36,8 +36,8 @@
 }
 
 /// Two operators change one object at once, each from the generation it read.
-/// One wins; the other hears which change came first, when and by whom, and
-/// nothing of its own is in force. A silent overwrite would lose a change
+/// One succeeds; the other gets a conflict that names the first change, its time and
+/// author, and its own edit has no effect. A silent overwrite would lose a change
 /// that was reported as accepted.
 #[tokio::test(start_paused = true)]
 async fn second_operator_hears_of_the_first() {
@@ -49,16 +49,16 @@
     let (accepted, winner, refused) = match (&ann, &bob) {
         (Ok(applied), Err(error)) => (applied, "ann", error),
         (Err(error), Ok(applied)) => (applied, "bob", error),
-        both => panic!("one must win: {both:?}"),
+        both => panic!("exactly one must succeed: {both:?}"),
     };
     assert_eq!(accepted.generation, 2);
     let Error::Conflict(conflict) = refused else { panic!("not a conflict: {refused}") };
-    let found = conflict.found.as_ref().expect("a change stands there");
+    let found = conflict.found.as_ref().expect("the object has a last change");
     assert_eq!((found.generation, found.author.as_str(), found.at.0), (2, winner, 1_000));
 }
 
 /// Two operators change two objects at once. Both are accepted: the one that
-/// loses the race for the generation takes the next without being told.
+/// loses the race for the generation silently takes the next one.
 #[tokio::test(start_paused = true)]
 async fn race_on_another_object_is_no_conflict() {
     let site = Site::open(Options::default()).await;
@@ -70,7 +70,7 @@
     assert_eq!(site.config(2).current().models().len(), 2);
 }
 
-/// Instance 3 has not heard of generation 2 yet when an operator works there.
+/// Returns a site whose instance 3 is still at generation 1 of 2.
 async fn behind() -> Site {
     let site = Site::open(Options::default()).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
@@ -83,18 +83,18 @@
     site
 }
 
-/// An operator puts back what this instance still has in force. Taken for
-/// "unchanged" it would be reported as accepted while generation 2, which
-/// says otherwise, comes into force everywhere.
+/// An operator submits the object that this outdated instance still has in force. If
+/// it were reported as unchanged, generation 2, which differs, would come into force
+/// everywhere instead.
 #[tokio::test(start_paused = true)]
 async fn unchanged_here_may_be_a_change() {
     let site = behind().await;
     assert_eq!(put(site.config(3), model("m", 1)).await, Ok(3));
 }
 
-/// An operator who has read generation 2 elsewhere changes it here. Refused on
-/// the strength of an old state, he would be told of a conflict with a change
-/// that is older than the one he knows.
+/// An operator who read generation 2 at another instance changes it here. A check
+/// against the old state would report a conflict with a change older than the one
+/// that the operator read.
 #[tokio::test(start_paused = true)]
 async fn refusal_rests_on_the_newest_state() {
     let site = behind().await;
@@ -102,7 +102,8 @@
     assert_eq!(site.config(3).apply("ann", vec![edit]).await.map(|applied| applied.generation), Ok(3));
 }
 
-/// The same for objects that do not fit each other.
+/// An object that is consistent only with the newest state is accepted at an
+/// outdated instance.
 #[tokio::test(start_paused = true)]
 async fn check_rests_on_the_newest_state() {
     let site = behind().await;
@@ -132,8 +133,8 @@
     assert_eq!(site.config(0).apply("ann", edits.into()).await, Err(Error::Twice(key("m"))));
 }
 
-/// A file holds more than one entry of the log can. The operator hears so, in
-/// words about the file and not about the platform's keys.
+/// A change is too large for one entry of the log. The error describes the change
+/// and not the platform's keys.
 #[tokio::test(start_paused = true)]
 async fn change_above_a_megabyte_is_refused() {
     let site = Site::open(Options::default()).await;
--- a/crates/config/tests/config/faults.rs
+++ b/crates/config/tests/config/faults.rs
@@ -1,4 +1,4 @@
-//! Changes while answers get lost and the platform comes and goes.
+//! Changes while answers are lost and the platform fails and recovers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,14 +9,14 @@
 
 use crate::site::{Options, Site, model, put};
 
-/// A snapshot each four changes, and few changes kept before it.
+/// Takes a snapshot every four changes and keeps few changes before it.
 const SHORT: Keep = Keep { snapshot_every: 4, changes: 8 };
 
 fn key(name: &str) -> Key {
     Key { kind: Kind::Model, name: name.into() }
 }
 
-/// Entries of the log that stand in the platform.
+/// Returns the generations of the platform's keys with a prefix.
 pub fn entries(site: &Site, prefix: &str) -> Vec<u64> {
     let objects = site.platform.objects().into_iter();
     objects.filter_map(|object| object.key.strip_prefix(prefix)?.parse().ok()).collect()
@@ -31,9 +31,9 @@
     )* };
 }
 
-/// The answer to a change's write is lost, before or after its effect. The
-/// operator hears of one generation, that generation is in force everywhere,
-/// and no second entry holds the same change.
+/// The answer to a change's write is lost, before or after its effect. The operator
+/// gets one generation, it is in force everywhere, and no second entry contains the
+/// same change.
 async fn check_change(loss: Loss) {
     let site = Site::open(Options::default()).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
@@ -53,9 +53,9 @@
     change_refused: Loss::Refused;
 }
 
-/// The answer to a snapshot's write is lost. The change that it came with is
-/// accepted all the same, a snapshot stands there in the end, and an instance
-/// that starts from it sees what everyone sees.
+/// The answer to a snapshot's write is lost. The change that triggered it is still
+/// accepted, a snapshot exists in the end, and an instance that starts from it
+/// reaches the same state as the others.
 async fn check_snapshot(loss: Loss) {
     let options = Options { keep: SHORT, ..Options::default() };
     let mut site = Site::open(options).await;
@@ -78,8 +78,8 @@
     snapshot_refused: Loss::Refused;
 }
 
-/// The platform is down. The operator hears that nothing was changed, and
-/// nothing is.
+/// The platform is down. The operator is told that nothing was changed, and nothing
+/// is changed later.
 #[tokio::test(start_paused = true)]
 async fn change_in_an_outage_is_certainly_not_accepted() {
     let site = Site::open(Options::default()).await;
@@ -91,8 +91,8 @@
 }
 
 /// The change takes effect, its answer is lost, and the platform goes down
-/// before it can be read back. The operator hears "may have been accepted"
-/// with the generation to look at; when the platform is back it is in force.
+/// before the entry can be read back. The operator gets an unknown outcome with the
+/// generation to check; once the platform recovers, that generation is in force.
 #[tokio::test(start_paused = true)]
 async fn answer_lost_into_an_outage_is_unknown_and_then_in_force() {
     let site = Site::open(Options::default()).await;
@@ -116,7 +116,7 @@
 
 /// Two faults at once: an operator's answer is lost after the effect while
 /// another operator, at an instance cut off from its peers, changes the same
-/// object. Both hear the truth, and everyone ends up with the same state.
+/// object. Both get a correct result, and all instances reach the same state.
 #[tokio::test(start_paused = true)]
 async fn lost_answer_and_race_across_a_partition() {
     let site = Site::open(Options::default()).await;
@@ -131,11 +131,11 @@
         matches!(bob, Err(Error::Conflict(conflict)) if conflict.found.as_ref().is_some_and(|f| f.author == "ann"))
     );
     sleep(Duration::from_secs(3)).await;
-    assert_eq!(site.generations(), [2; 4], "the cut one reads the platform itself");
+    assert_eq!(site.generations(), [2; 4], "the instance without links reads the platform itself");
 }
 
-/// The platform is so slow that no answer comes in time, and then recovers.
-/// Nothing is accepted twice and everyone catches up.
+/// The platform is so slow that no answer arrives in time, and then recovers. The
+/// change is accepted only once, and all instances catch up.
 #[tokio::test(start_paused = true)]
 async fn slow_platform_accepts_once() {
     let site = Site::open(Options::default()).await;
@@ -148,8 +148,8 @@
     assert_eq!(entries(&site, "config/change/"), [1, 2]);
 }
 
-/// The platform takes three seconds for an answer, more than the first wait.
-/// The operator waits and hears of the generation.
+/// The platform takes three seconds for an answer, more than the first timeout. The
+/// operator waits and gets the generation.
 #[tokio::test(start_paused = true)]
 async fn slow_platform_accepts_slowly() {
     let site = Site::open(Options::default()).await;
@@ -160,11 +160,10 @@
     assert_eq!(entries(&site, "config/change/"), [1, 2]);
 }
 
-/// An instance is paused, long enough for the log to be cut off above its
-/// generation. An operator's change at it creates the entry of a generation
-/// that everyone else passed long ago; accepted, it would be in force nowhere.
-/// The instance sees the newer snapshot, takes the entry back and makes the
-/// change anew on top of the newest state.
+/// An instance is cut off until the log is truncated above its generation. An
+/// operator's change there creates the entry of a generation that all others passed
+/// long ago; if accepted, it would never come into force. The instance finds the
+/// newer snapshot, retracts the entry and applies the change to the newest state.
 #[tokio::test(start_paused = true)]
 async fn change_by_an_instance_behind_the_cut_off_is_made_anew() {
     let site = Site::open(Options { keep: SHORT, ..Options::default() }).await;
@@ -177,19 +176,19 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_secs(10)).await;
-    assert!(!entries(&site, "config/change/").contains(&2), "cut off");
+    assert!(!entries(&site, "config/change/").contains(&2), "generation 2 is truncated");
     assert_eq!(site.config(3).current().generation(), 1);
     site.instances[3].client.set_down(false);
     assert_eq!(put(site.config(3), model("late", 1)).await, Ok(33));
     sleep(Duration::from_secs(3)).await;
     assert_eq!(site.generations()[..3], [33; 3]);
-    assert!(!entries(&site, "config/change/").contains(&2), "taken back");
+    assert!(!entries(&site, "config/change/").contains(&2), "the void entry is retracted");
 }
 
-/// The write of a paused instance arrives after the log was cut off above it,
-/// and the instance is gone by then. The stray entry stands there for good. An
-/// instance that comes back at just the generation before it must not take it
-/// for the next one: its state would differ from everyone's, and stay so.
+/// The delayed write of a lost instance arrives after the log was truncated above it,
+/// so nobody retracts the stray entry. An instance that resumes at the generation
+/// just before it must not apply it as the next one: its state would diverge from
+/// all others permanently.
 async fn check_stray(paused_at: u64) {
     let options = Options { keep: SHORT, ..Options::default() };
     let mut site = Site::open(options).await;
@@ -209,7 +208,7 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_secs(40)).await;
-    assert!(entries(&site, "config/change/").contains(&(paused_at + 1)), "the stray has arrived");
+    assert!(entries(&site, "config/change/").contains(&(paused_at + 1)), "the stray entry has arrived");
     assert_eq!(site.config(3).current().generation(), paused_at);
     site.platform.compact();
     let watched: Vec<_> = [0, 3].map(|index| tokio::spawn(never_stray(site.config(index).clone()))).into();
@@ -217,7 +216,7 @@
     site.start(options).await;
     sleep(Duration::from_secs(10)).await;
     assert_eq!(site.generations(), [32; 5]);
-    assert!(watched.iter().all(|watch| !watch.is_finished()), "the stray was in force");
+    assert!(watched.iter().all(|watch| !watch.is_finished()), "the stray entry came into force");
 }
 
 #[tokio::test(start_paused = true)]
@@ -225,17 +224,17 @@
     check_stray(1).await;
 }
 
-/// Changes up to 24 are cut off at 32: the stray stands where the 24th was and
-/// connects to the 25th.
+/// Changes up to 24 are truncated at 32: the stray entry replaces the 24th and is
+/// directly followed by the 25th.
 #[tokio::test(start_paused = true)]
 async fn stray_entry_right_below_the_cut_off() {
     check_stray(23).await;
 }
 
-/// An instance is lost right after one of the writes that its changes make:
-/// the entry, a snapshot, a deletion of the cut-off. Whatever it had begun, the
-/// others go on: they agree, the log has no hole above the cut-off, and a
-/// later change's maker does what the lost one left undone.
+/// An instance is lost right after one of the writes for its changes: an entry, a
+/// snapshot or a deletion by the truncation. The others continue and agree, the
+/// remaining log has no gap, and the author of a later change completes what the
+/// lost instance left unfinished.
 async fn check_lost_after(writes: u64) {
     let options = Options { keep: SHORT, ..Options::default() };
     let mut site = Site::open(options).await;
@@ -257,7 +256,7 @@
     assert_eq!(site.generations()[1..], [head; 3]);
     let kept = entries(&site, "config/change/");
     assert!(kept.windows(2).all(|pair| pair[0] + 1 == pair[1]), "{kept:?}");
-    assert!(kept.len() <= 20, "cut off: {kept:?}");
+    assert!(kept.len() <= 20, "not truncated: {kept:?}");
     let snapshots = entries(&site, "config/snapshot/");
     assert!(snapshots.len() <= 3 && snapshots.last().is_some_and(|newest| newest + 4 >= head), "{snapshots:?}");
     site.start(options).await;
@@ -272,7 +271,7 @@
     }
 }
 
-/// Sends an entry that arrives half a minute later.
+/// Writes an entry that arrives half a minute later.
 fn write_late(site: &Site, generation: u64) {
     let client = site.platform.client();
     client.lose(1, Loss::Late(Duration::from_secs(30)));
@@ -287,7 +286,7 @@
     });
 }
 
-/// Ends when the stray entry is in force.
+/// Returns when the stray entry comes into force.
 async fn never_stray(config: config::Handle) {
     let stray = "stray".parse().expect("a name");
     let mut catalog = config.subscribe();
--- a/crates/config/tests/config/freshness.rs
+++ b/crates/config/tests/config/freshness.rs
@@ -1,4 +1,4 @@
-//! When an instance takes new work, and when it must not.
+//! When an instance may accept new work, and when it must not.
 
 use std::time::Duration;
 
@@ -31,9 +31,9 @@
     }
 }
 
-/// The platform goes away for everyone. Callers go on being served: no change
-/// can be accepted anywhere, and instances in more than half of the failure
-/// domains tell each other that they know nothing newer.
+/// The platform is unavailable for all instances. Requests are still served: no
+/// change can be accepted anywhere, and instances in more than half of the failure
+/// domains confirm to each other that they have nothing newer.
 #[tokio::test(start_paused = true)]
 async fn outage_of_the_platform_leaves_the_site_fresh() {
     let site = settled(Options::default()).await;
@@ -44,9 +44,9 @@
     }
 }
 
-/// One instance is cut off from platform and peers. A change accepted after
-/// that cannot reach it, so it must turn callers away once the bound has
-/// passed: else it would go on sending work to a version that was withdrawn.
+/// One instance is cut off from the platform and its peers. A change accepted after
+/// that cannot reach it, so it must refuse requests after the freshness bound;
+/// otherwise it would keep sending work to a withdrawn version.
 #[tokio::test(start_paused = true)]
 async fn partitioned_instance_goes_stale_and_comes_back() {
     let site = settled(Options::default()).await;
@@ -66,9 +66,9 @@
     assert_eq!(turns, 3, "fresh, stale, fresh");
 }
 
-/// Two of four failure domains are cut off together. They hear each other, and
-/// must go stale all the same: the other half may have the platform and may
-/// have accepted a withdrawal.
+/// Two of four failure domains are cut off together. They reach each other but must
+/// still become stale: the other half may reach the platform and may have accepted
+/// a withdrawal.
 #[tokio::test(start_paused = true)]
 async fn half_of_the_domains_is_not_enough() {
     let site = settled(Options { instances: 2, domains: 4, ..Options::default() }).await;
@@ -77,8 +77,8 @@
     assert_eq!(fresh(&site), [false; 2]);
 }
 
-/// An instance starts while the platform is away. It takes the highest
-/// generation that its peers hold and serves from that.
+/// An instance starts while the platform is unavailable. It loads the highest
+/// generation that its peers have and accepts work with it.
 #[tokio::test(start_paused = true)]
 async fn instance_that_starts_in_an_outage_hears_from_peers() {
     let options = Options::default();
@@ -93,10 +93,9 @@
     assert!(site.config(4).fresh());
 }
 
-/// The whole process is paused for a minute and wakes. In the first instant,
-/// before any task of its has run, it must take no new work: a version may
-/// have been withdrawn meanwhile. It does again once somebody has confirmed
-/// what it has in force.
+/// The whole process is paused for a minute and resumes. Even before any of its
+/// tasks has run, it must accept no new work, since a version may have been
+/// withdrawn meanwhile. It accepts work again once its state is confirmed.
 #[tokio::test(start_paused = true)]
 async fn paused_process_wakes_stale() {
     let site = settled(Options::default()).await;
@@ -106,8 +105,8 @@
     assert_eq!(fresh(&site), [true; 4]);
 }
 
-/// Answers take longer than the freshness bound, each of them right when it
-/// was given. By the time it is read it confirms nothing.
+/// Peers' answers take longer than the freshness bound. Each was correct when sent,
+/// but confirms nothing by the time it arrives.
 #[tokio::test(start_paused = true)]
 async fn answer_older_than_the_bound_confirms_nothing() {
     let site = settled(Options { instances: 2, domains: 0, ..Options::default() }).await;
@@ -119,9 +118,9 @@
     }
 }
 
-/// Only one of four failure domains stands in the settings. The instance in
-/// it is cut off: it has heard of the others and must not take itself for the
-/// whole site, or it would never notice.
+/// The settings list only one of four failure domains, and the instance in it is cut
+/// off. It has received messages from the other domains and must not count itself
+/// as the whole site, or it would stay fresh forever.
 #[tokio::test(start_paused = true)]
 async fn forgotten_domains_count() {
     let site = settled(Options { domains: 1, ..Options::default() }).await;
@@ -131,8 +130,8 @@
     assert_eq!(fresh(&site), [false, true, true, true]);
 }
 
-/// A site of one instance has nobody to ask, and nobody else can change
-/// anything: it goes on while the platform is away.
+/// A site of one instance has no peers, and no other instance can change anything:
+/// it stays fresh while the platform is unavailable.
 #[tokio::test(start_paused = true)]
 async fn single_instance_outlives_an_outage() {
     let site = settled(Options { instances: 1, domains: 1, ..Options::default() }).await;
--- a/crates/config/tests/config/interleaving.rs
+++ b/crates/config/tests/config/interleaving.rs
@@ -1,5 +1,5 @@
-//! Two operators at two instances, with answers lost at any place: what each
-//! of them hears is what is in the log, and everyone ends up with the same.
+//! Two operators change objects at two instances while answers get lost at random
+//! places. Every result matches the log, and all instances reach the same state.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,7 +14,7 @@
     site::{Options, Site, model},
 };
 
-/// What one operator does and meets.
+/// The steps of one operator and the faults of its instance's platform calls.
 #[derive(Debug, Clone)]
 struct Script {
     steps: Vec<Step>,
@@ -24,30 +24,30 @@
 #[derive(Debug, Clone)]
 struct Step {
     pause: u64,
-    /// Which of few objects.
+    /// Index of the model, 0 or 1.
     object: u8,
     delete: bool,
-    /// Whether it names the generation that it read.
+    /// Whether the edit names the generation that the operator read.
     conditional: bool,
 }
 
-/// What else goes wrong: for both operators, for one of them.
+/// Further faults: an outage for all instances, a partition of one.
 #[derive(Debug, Clone)]
 struct Weather {
-    /// The platform is away.
+    /// When the platform is unavailable.
     outage: Option<Span>,
-    /// One instance has no peer links.
+    /// An instance that has no peer links, and when.
     cut: Option<(usize, Span)>,
 }
 
-/// Milliseconds: from the start on, so long.
+/// A period in milliseconds after the start of the run.
 #[derive(Debug, Clone)]
 struct Span {
     start: u64,
     length: u64,
 }
 
-/// What an operator asked for and heard.
+/// An operator's edit and its result.
 #[derive(Debug)]
 struct Told {
     author: String,
@@ -82,7 +82,7 @@
     (outage, cut).prop_map(|(outage, cut)| Weather { outage, cut })
 }
 
-/// Sets a fault for a span.
+/// Sets a fault for the given period.
 async fn during(span: Option<Span>, set: impl Fn(bool)) {
     let Some(Span { start, length }) = span else { return };
     sleep(Duration::from_millis(start)).await;
@@ -97,7 +97,7 @@
         sleep(Duration::from_millis(step.pause)).await;
         let key = Key { kind: Kind::Model, name: format!("m{}", step.object) };
         let expected = expected(config, &key, step.conditional);
-        // Each operator's versions differ, so that each change is its own.
+        // The version counts differ between operators, so that every change is distinct.
         let versions = u32::try_from(number).expect("few") * 2 + u32::from(name == "bob") + 1;
         let edit =
             if step.delete { Edit::Delete(key, expected) } else { Edit::Put(model(&key.name, versions), expected) };
@@ -116,7 +116,7 @@
     }
 }
 
-/// The log as it stands: generation and entry.
+/// Returns the log's entries in the platform, by generation.
 fn log(site: &Site) -> BTreeMap<u64, serde_json::Value> {
     let objects = site.platform.objects().into_iter();
     let entries = objects.filter_map(|object| {
@@ -146,8 +146,8 @@
         check_told(&log, told)?;
     }
     let head = u64::try_from(log.len()).expect("few");
-    prop_assert_eq!(log.keys().copied().collect::<Vec<_>>(), (1..=head).collect::<Vec<_>>(), "no hole");
-    // One more starts from the snapshot and sees what the others see.
+    prop_assert_eq!(log.keys().copied().collect::<Vec<_>>(), (1..=head).collect::<Vec<_>>(), "the log has a gap");
+    // A new instance starts from the snapshot and reaches the same state.
     site.start(Options { instances: 4, domains: 3, keep, ..Options::default() }).await;
     sleep(Duration::from_secs(3)).await;
     prop_assert_eq!(site.generations(), vec![head; 4]);
@@ -155,13 +155,13 @@
     for index in 1..4 {
         prop_assert_eq!(objects(index), objects(0));
     }
-    prop_assert!(!watched.is_finished(), "a generation went back");
+    prop_assert!(!watched.is_finished(), "an instance moved to an older generation");
     watched.abort();
     prop_assert!(entries(&site, "config/snapshot/").iter().all(|generation| *generation <= head));
     Ok(())
 }
 
-/// Fails when a generation goes back.
+/// Panics when an instance moves to an older generation.
 async fn watch(config: Handle) {
     let mut catalog = config.subscribe();
     let mut last = 0;
@@ -177,21 +177,21 @@
         log.iter().filter(|(_, entry)| entry["author"] == told.author.as_str()).map(|(g, _)| *g).collect();
     match &told.answer {
         Ok(applied) if applied.changed => {
-            prop_assert_eq!(&found, &vec![applied.generation], "{} was told accepted", told.author);
+            prop_assert_eq!(&found, &vec![applied.generation], "{} was accepted", told.author);
             check_expected(log, told, applied.generation)
         }
         Err(Error::Unknown { generation }) => {
-            prop_assert!(found.is_empty() || found == [*generation], "{} is in {:?}", told.author, found);
+            prop_assert!(found.is_empty() || found == [*generation], "{} has entries at {:?}", told.author, found);
             Ok(())
         }
         other => {
-            prop_assert!(found.is_empty(), "{} was told {:?} and is in {:?}", told.author, other, found);
+            prop_assert!(found.is_empty(), "{} got {:?} and has entries at {:?}", told.author, other, found);
             Ok(())
         }
     }
 }
 
-/// A conditional change follows right on the one it named.
+/// Checks that a conditional change directly follows the one it named.
 fn check_expected(log: &BTreeMap<u64, serde_json::Value>, told: &Told, generation: u64) -> Result<(), TestCaseError> {
     let (Edit::Put(_, expected) | Edit::Delete(_, expected)) = &told.edit;
     let before = log[&generation]["edits"][0]["before"].as_u64();
@@ -202,7 +202,7 @@
 }
 
 proptest! {
-    // A fixed seed: the same verdict every time. PROPTEST_CASES sets how many.
+    // The fixed seed makes the result reproducible. PROPTEST_CASES sets the number of cases.
     #![proptest_config(ProptestConfig {
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(1),
--- a/crates/config/tests/config/log.rs
+++ b/crates/config/tests/config/log.rs
@@ -1,4 +1,4 @@
-//! Reading the log: gaps, lagging watches, pauses, entries that do not read.
+//! Reading the log: gaps, lagging watches, pauses and entries that cannot be decoded.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     site::{Options, Site, model, put},
 };
 
-/// Only what the platform tells counts: no peer links.
+/// Opens a site without peer links, so that instances depend on the platform alone.
 async fn without_links() -> Site {
     let site = Site::open(Options { keep: Keep { snapshot_every: 8, changes: 16 }, ..Options::default() }).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
@@ -20,8 +20,8 @@
     site
 }
 
-/// The platform forgets the changes that a reader's watch was to go on from.
-/// The reader lists what it lacks; nothing is skipped.
+/// The platform compacts the changes after which a reader's watch would continue.
+/// The reader lists the missing entries, and none is skipped.
 #[tokio::test(start_paused = true)]
 async fn watch_gap_is_read_over() {
     let site = without_links().await;
@@ -34,8 +34,8 @@
     site.wait(5).await;
 }
 
-/// Watches are answered by a replica that lags behind for good. Changes come
-/// by the plain reads that confirm freshness, within an interval or two.
+/// Watches are answered by a replica that lags permanently. Changes arrive through
+/// the plain reads that confirm freshness, within an interval or two.
 #[tokio::test(start_paused = true)]
 async fn lagging_watch_does_not_hold_back_changes() {
     let site = without_links().await;
@@ -45,9 +45,9 @@
     assert_eq!(site.generations(), [2; 4]);
 }
 
-/// A reader is paused, the log goes on and is cut off above its generation.
-/// When it wakes, what its watch brings does not follow on its own state: it
-/// must take the snapshot, in one step and forward only.
+/// A reader loses the platform while the log grows and is truncated above its
+/// generation. The changes from its watch then do not follow its state, so it
+/// must load the snapshot.
 #[tokio::test(start_paused = true)]
 async fn reader_that_wakes_behind_the_cut_off_takes_the_snapshot() {
     let site = without_links().await;
@@ -58,7 +58,7 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_secs(10)).await;
-    assert!(!entries(&site, "config/change/").contains(&2), "cut off");
+    assert!(!entries(&site, "config/change/").contains(&2), "generation 2 is truncated");
     assert!(!site.config(1).fresh());
     seen.mark_unchanged();
     site.instances[1].client.set_down(false);
@@ -67,7 +67,7 @@
     assert_eq!(entries(&site, "config/snapshot/").len(), 2, "older snapshots are gone");
 }
 
-/// A reader hands its part over to another instance of its domain and back.
+/// An instance stops and resumes being its domain's reader several times.
 #[tokio::test(start_paused = true)]
 async fn reader_changes() {
     let site = without_links().await;
@@ -79,9 +79,8 @@
     }
 }
 
-/// An entry comes from a newer build and does not read here. The instance
-/// keeps what it has and takes no new work, since a withdrawal may be in
-/// there; an entry that it can read does not hide the one that it cannot.
+/// An entry from a newer build cannot be decoded here. The instance keeps its state
+/// and accepts no new work, since the entry may contain a withdrawal.
 #[tokio::test(start_paused = true)]
 async fn unreadable_entry_stops_new_work() {
     let site = without_links().await;
@@ -97,8 +96,8 @@
     assert!(site.instances.iter().all(|instance| !instance.config.fresh()));
 }
 
-/// The objects of a fleet do not fit into one value of the platform. The
-/// snapshot is split, and an instance that starts from it has all of them.
+/// The objects of a fleet do not fit into one value of the platform. The snapshot
+/// is split, and an instance that starts from it has all objects.
 #[tokio::test(start_paused = true)]
 async fn snapshot_above_a_megabyte_is_split() {
     let options =
@@ -115,8 +114,8 @@
     assert_eq!(site.config(1).current().models(), site.config(0).current().models());
 }
 
-/// What an idle site costs: a reader's watch and its confirmations, and
-/// nothing at all for those that hear from peers.
+/// An idle site makes calls only for the readers' watches and confirmations.
+/// Instances that are not readers make none.
 #[tokio::test(start_paused = true)]
 async fn idle_calls_stay_under_two_a_second() {
     for (readers, most) in [(true, 2 * 60 * 4), (false, 0)] {
--- a/crates/config/tests/config/main.rs
+++ b/crates/config/tests/config/main.rs
@@ -1,4 +1,4 @@
-//! Configuration over a fake platform and in-process peer links.
+//! Tests of the configuration on a fake platform with in-process peer links.
 
 mod apply;
 mod faults;
--- a/crates/config/tests/config/peers.rs
+++ b/crates/config/tests/config/peers.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other.
+//! Messages between instances.
 
 use std::time::Duration;
 
@@ -40,8 +40,8 @@
     assert!(news.changes.is_empty() && !news.snapshot.is_empty());
 }
 
-/// News comes twice, in the wrong order and from long ago. What is in force
-/// only ever goes forward.
+/// Update messages arrive twice, out of order and very late. The generation in
+/// force never decreases.
 #[tokio::test(start_paused = true)]
 async fn old_and_repeated_news_changes_nothing() {
     let mut site = changed(3).await;
@@ -60,23 +60,23 @@
     assert_eq!(site.generations(), [4; 5]);
 }
 
-/// A peer of a newer build sends fields that this one does not know, and an
-/// older one leaves out what came later. Both are understood.
+/// A peer of a newer build sends a field that this build does not know. The rest of
+/// its message is processed.
 #[tokio::test(start_paused = true)]
 async fn news_of_another_build_is_understood() {
     let site = changed(1).await;
     site.cut(0, true);
     put(site.config(0), model("m", 2)).await.expect("accepted");
     let mut bytes = site.config(0).serve(&Want { after: 1, ..Want::default() }.encode_to_vec()).to_vec();
-    // Field 99, text.
+    // Field 99, a string.
     bytes.extend([0x9a, 0x06, 0x03, b'n', b'e', b'w']);
     site.config(1).offer(bytes.into()).await;
     sleep(Duration::from_millis(1)).await;
     assert_eq!(site.config(1).current().generation(), 2);
 }
 
-/// Bytes that are no message come in. They are dropped, and what follows is
-/// taken.
+/// Bytes that are not a message arrive. They are dropped, and later messages are
+/// processed.
 #[tokio::test(start_paused = true)]
 async fn bytes_that_do_not_read_are_dropped() {
     let site = changed(1).await;
@@ -87,9 +87,9 @@
     site.wait(2).await;
 }
 
-/// The link to the instance that makes changes is lost just before its news
-/// goes out. The others hear of the change all the same: their reader's watch
-/// brings it, or they ask a peer within an interval.
+/// The instance that makes a change loses its links just before it publishes the
+/// change. The others still receive it: from a reader's watch, or by asking a peer
+/// within an interval.
 #[tokio::test(start_paused = true)]
 async fn news_that_got_lost_is_asked_for() {
     let site = changed(1).await;
@@ -102,13 +102,13 @@
     assert_eq!(site.generations(), [2; 4]);
 }
 
-/// A site's whole state is larger than a peer link takes in one message. An
-/// instance that starts while the platform is away gets it part by part.
+/// A site's whole state is larger than one peer message may be. An instance that
+/// starts during an outage of the platform receives it in parts.
 #[tokio::test(start_paused = true)]
 async fn large_state_is_told_in_parts() {
     let options = Options::default();
     let mut site = Site::open(options).await;
-    // More changes than peers hold one by one.
+    // More changes than peers keep individually.
     for versions in 1..150 {
         put(site.config(0), model("m", versions)).await.expect("accepted");
     }
--- a/crates/config/tests/config/site.rs
+++ b/crates/config/tests/config/site.rs
@@ -1,4 +1,4 @@
-//! Instances on one fake platform, with peer links as tasks of one process.
+//! A test site: instances on one fake platform, with peer links simulated by tasks.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -12,7 +12,7 @@
 use tokio::{sync::mpsc, time::sleep};
 use world::{Timestamp, domain::Domain, instance, object::Object};
 
-/// How long a message is under way between two instances.
+/// Default transit time of a message between two instances.
 const LINK: Duration = Duration::from_millis(1);
 
 /// A fake platform with instances on it, one per failure domain.
@@ -22,30 +22,30 @@
     links: Arc<Links>,
 }
 
-/// One instance.
+/// An instance with its platform client and recorder.
 pub struct Instance {
     pub config: Handle,
     pub client: Client,
     pub recorder: Recorder,
 }
 
-/// What every link knows.
+/// State shared by all peer links.
 struct Links {
     peers: Mutex<Vec<Handle>>,
-    /// Links that are cut, by instance.
+    /// Whether each instance's links are cut, by index of the instance.
     cut: Mutex<Vec<bool>>,
     delay: Mutex<Duration>,
 }
 
-/// What is not the default.
+/// Options of a site and its instances.
 #[derive(Clone, Copy)]
 pub struct Options {
     pub instances: usize,
-    /// Failure domains that the settings name.
+    /// Number of failure domains listed in the settings.
     pub domains: usize,
     pub keep: Keep,
     pub freshness: Duration,
-    /// Whether every instance watches the platform, or none does.
+    /// Whether instances watch the platform.
     pub readers: bool,
 }
 
@@ -91,17 +91,17 @@
         &self.instances[index].config
     }
 
-    /// Cuts an instance's peer links, or joins them again.
+    /// Cuts or restores an instance's peer links.
     pub fn cut(&self, index: usize, cut: bool) {
         lock(&self.links.cut)[index] = cut;
     }
 
-    /// How long every message is under way from now on.
+    /// Sets the transit time of all messages from now on.
     pub fn slow_links(&self, delay: Duration) {
         *lock(&self.links.delay) = delay;
     }
 
-    /// Generations in force, by instance.
+    /// Returns the generation in force at each instance.
     pub fn generations(&self) -> Vec<u64> {
         self.instances.iter().map(|instance| instance.config.current().generation()).collect()
     }
@@ -126,7 +126,7 @@
     Domain::parse(&format!("d{index}")).expect("a name")
 }
 
-/// A model with this many versions.
+/// Returns a model with the given number of versions.
 pub fn model(name: &str, versions: u32) -> Object {
     let versions: Vec<_> = (1..=versions)
         .map(|v| format!("{{ version: \"{v}\", price: {{ input: \"1\", output: \"1\", currency: EUR }} }}"))
@@ -135,7 +135,7 @@
     Object::parse_file(&text).expect("a model").remove(0)
 }
 
-/// Applies one object whatever stands there.
+/// Applies one object unconditionally and returns its generation.
 pub async fn put(config: &Handle, object: Object) -> Result<u64, Error> {
     config.apply("ann", vec![Edit::Put(object, Expected::Any)]).await.map(|applied| applied.generation)
 }
@@ -166,7 +166,8 @@
         lock(&self.peers)[index].clone()
     }
 
-    /// A message under way when its link is cut is lost.
+    /// Waits for the transit time and returns whether the message arrives; it is lost
+    /// if the link is cut by then.
     async fn pass(&self, from: usize, to: usize) -> bool {
         let delay = *lock(&self.delay);
         sleep(delay).await;
