--- a/crates/config/src/applier.rs
+++ b/crates/config/src/applier.rs
@@ -15,7 +15,7 @@
 use crate::{
     edit::{Applied, Edit},
     error::Error,
-    log::{Found, Log},
+    log::{Log, Tail},
     observer::{Message, Origin},
     record::Change,
     settings::{Keep, Settings},
@@ -23,7 +23,7 @@
 };
 
 /// Number of checks for a due snapshot per snapshot interval.
-const SNAPSHOT_LOOKS: u64 = 8;
+const SNAPSHOT_CHECKS: u64 = 8;
 
 /// A queued request to apply an operator's change.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     inbox: mpsc::WeakSender<Message>,
     recorder: Recorder,
     /// Background task that writes a snapshot and truncates the log while changes continue.
-    keeping: Option<JoinHandle<()>>,
+    truncation: Option<JoinHandle<()>>,
 }
 
 impl Applier {
@@ -54,7 +54,7 @@
         inbox: mpsc::WeakSender<Message>,
         recorder: Recorder,
     ) -> Self {
-        Self { settings, log, state, inbox, recorder, keeping: None }
+        Self { settings, log, state, inbox, recorder, truncation: None }
     }
 
     /// Applies one change at a time, since concurrent ones would only race each other.
@@ -62,36 +62,36 @@
         while let Some(Apply { author, change, edits, answer }) = requests.recv().await {
             let result = self.apply(&author, &change, &edits).await;
             let _ = answer.send(result);
-            self.keep_short();
+            self.start_truncation_if_due();
         }
     }
 
     async fn apply(&self, author: &str, change: &str, edits: &[Edit]) -> Result<Applied, Error> {
-        let until = Instant::now() + self.settings.deadline;
+        let deadline = Instant::now() + self.settings.deadline;
         // The state in force here may be outdated. That is safe for a change, since
         // the create decides; but a refusal must be based on the newest state.
-        let mut newest = false;
+        let mut caught_up = false;
         loop {
             let state = self.state.borrow().clone();
             let revision = self.revision(author, change, state.generation() + 1);
             let change = match state.propose(edits, revision) {
                 Ok(Some(change)) => change,
-                Ok(None) if newest => return Ok(Applied { generation: state.generation(), changed: false }),
-                Err(error) if newest => return Err(error),
+                Ok(None) if caught_up => return Ok(Applied { generation: state.generation(), changed: false }),
+                Err(error) if caught_up => return Err(error),
                 Ok(None) | Err(_) => {
                     self.catch_up(state.generation()).await?;
-                    newest = true;
+                    caught_up = true;
                     continue;
                 }
             };
             if let Some(applied) = self.append(change).await? {
                 return Ok(applied);
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(Error::Busy);
             }
             self.catch_up(state.generation()).await?;
-            newest = true;
+            caught_up = true;
         }
     }
 
@@ -113,7 +113,7 @@
         let stamp = change.revision.stamp;
         let objects = change.edits.iter().filter_map(|edit| edit.action.key()).collect();
         self.recorder.record_at(stamp, Event::Edit { generation, objects });
-        self.tell(Found::changes(vec![change]), Origin::Applied { asked }).await?;
+        self.send_to_observer(Tail::changes(vec![change]), Origin::Applied { asked }).await?;
         Ok(Some(Applied { generation, changed: true }))
     }
 
@@ -138,16 +138,16 @@
 
     async fn catch_up(&self, generation: u64) -> Result<(), Error> {
         let asked = Instant::now();
-        let found = self.log.read_after(generation).await?;
-        self.tell(found, Origin::Read { asked }).await
+        let tail = self.log.read_after(generation).await?;
+        self.send_to_observer(tail, Origin::Read { asked }).await
     }
 
     /// Sends log entries to the observer and waits until it has processed them.
-    async fn tell(&self, found: Found, origin: Origin) -> Result<(), Error> {
-        let (done, told) = oneshot::channel();
+    async fn send_to_observer(&self, tail: Tail, origin: Origin) -> Result<(), Error> {
+        let (done, processed) = oneshot::channel();
         let inbox = self.inbox.upgrade().ok_or(Error::Closed)?;
-        inbox.send(Message::Found { found, origin, done: Some(done) }).await.map_err(|_| Error::Closed)?;
-        told.await.map_err(|_| Error::Closed)
+        inbox.send(Message::Tail { tail, origin, done: Some(done) }).await.map_err(|_| Error::Closed)?;
+        processed.await.map_err(|_| Error::Closed)
     }
 
     fn revision(&self, author: &str, change: &str, generation: u64) -> Revision {
@@ -167,29 +167,29 @@
     ///
     /// The instance that made the last change does this; after a failure a later
     /// change tries again.
-    fn keep_short(&mut self) {
+    fn start_truncation_if_due(&mut self) {
         let state = self.state.borrow().clone();
         let every = self.settings.keep.snapshot_every;
         // Each check costs a read, so it is not done after every change.
-        let due = state.generation().is_multiple_of((every / SNAPSHOT_LOOKS).max(1));
-        if !due || self.keeping.as_ref().is_some_and(|keeping| !keeping.is_finished()) {
+        let due = state.generation().is_multiple_of((every / SNAPSHOT_CHECKS).max(1));
+        if !due || self.truncation.as_ref().is_some_and(|truncation| !truncation.is_finished()) {
             return;
         }
         let (log, keep) = (self.log.clone(), self.settings.keep);
-        self.keeping = Some(tokio::spawn(async move {
-            if let Err(error) = shorten(&log, &state, keep).await {
+        self.truncation = Some(tokio::spawn(async move {
+            if let Err(error) = snapshot_and_truncate(&log, &state, keep).await {
                 tracing::warn!(%error, "cannot write a snapshot or truncate the log; a later change tries again");
             }
         }));
     }
 }
 
-async fn shorten(log: &Log, state: &State, keep: Keep) -> Result<(), Error> {
+async fn snapshot_and_truncate(log: &Log, state: &State, keep: Keep) -> Result<(), Error> {
     let newest = log.newest_snapshot().await?.unwrap_or(0);
     if state.generation() < newest + keep.snapshot_every {
         return Ok(());
     }
     log.write_snapshot(state).await?;
-    log.cut(state.generation().saturating_sub(keep.changes)).await?;
+    log.truncate(state.generation().saturating_sub(keep.changes)).await?;
     Ok(())
 }
--- a/crates/config/src/contact.rs
+++ b/crates/config/src/confirmations.rs
@@ -32,52 +32,52 @@
 
 /// Times of the confirmations, written by the observer and read by handles.
 #[derive(Debug)]
-pub(crate) struct Contact {
-    opened: Instant,
+pub(crate) struct Confirmations {
+    created: Instant,
     bound: Duration,
     own: Domain,
     domains: Vec<Domain>,
-    /// Time of the last confirmation by the platform, in milliseconds after the
-    /// tracker was created plus one; 0 for never. `quorum` is encoded alike.
+    /// Time of the last confirmation by the platform, in milliseconds after
+    /// `created` plus one; 0 for never. `quorum` is encoded alike.
     platform: AtomicU64,
     quorum: AtomicU64,
     blocked: AtomicBool,
-    reached: Mutex<Reached>,
+    reports: Mutex<DomainReports>,
 }
 
 /// Failure domains that peers reported.
 #[derive(Debug, Default)]
-struct Reached {
+struct DomainReports {
     /// When a peer in each domain last confirmed that it has nothing newer.
-    in_step: BTreeMap<Domain, Instant>,
+    confirmed_at: BTreeMap<Domain, Instant>,
     /// All domains ever reported by peers. If the settings omit some, a small
     /// part of the site would look like more than half of it, and instances cut
     /// off in that part would stay fresh forever.
-    met: BTreeSet<Domain>,
+    known: BTreeSet<Domain>,
 }
 
-impl Contact {
+impl Confirmations {
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
-            opened: Instant::now(),
+            created: Instant::now(),
             bound: settings.freshness,
             own: settings.domain.clone(),
             domains: settings.domains.clone(),
             platform: AtomicU64::new(0),
             quorum: AtomicU64::new(0),
             blocked: AtomicBool::new(false),
-            reached: Mutex::default(),
+            reports: Mutex::default(),
         }
     }
 
     /// Returns whether new work may start.
-    pub(crate) fn fresh(&self) -> bool {
-        let age = |cell| self.age(cell).is_some_and(|age| age < self.bound);
+    pub(crate) fn is_fresh(&self) -> bool {
+        let age = |time| self.age(time).is_some_and(|age| age < self.bound);
         !self.blocked.load(Ordering::Acquire) && (age(&self.platform) || age(&self.quorum))
     }
 
     /// Returns the age of the newest confirmation of either kind.
-    pub(crate) fn newest(&self) -> Option<Duration> {
+    pub(crate) fn newest_age(&self) -> Option<Duration> {
         let ages = [self.age(&self.platform), self.age(&self.quorum)];
         ages.into_iter().flatten().min()
     }
@@ -88,39 +88,39 @@
     }
 
     /// Records that the platform had nothing newer at that time.
-    pub(crate) fn confirm(&self, at: Instant) {
-        self.raise(&self.platform, at);
+    pub(crate) fn add_platform_confirmation(&self, at: Instant) {
+        self.advance(&self.platform, at);
     }
 
     /// Records that an instance in that domain had nothing newer at that time.
-    pub(crate) fn in_step(&self, domain: Domain, at: Instant) {
-        let mut reached = self.reached.lock().unwrap_or_else(PoisonError::into_inner);
-        let last = reached.in_step.entry(domain).or_insert(at);
+    pub(crate) fn add_peer_confirmation(&self, domain: Domain, at: Instant) {
+        let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
+        let last = reports.confirmed_at.entry(domain).or_insert(at);
         *last = at.max(*last);
-        if let Some(at) = self.quorum_at(&reached) {
-            self.raise(&self.quorum, at);
+        if let Some(at) = self.quorum_time(&reports) {
+            self.advance(&self.quorum, at);
         }
     }
 
     /// Records that the site has this failure domain.
-    pub(crate) fn met(&self, domain: Domain) {
-        self.reached.lock().unwrap_or_else(PoisonError::into_inner).met.insert(domain);
+    pub(crate) fn add_domain(&self, domain: Domain) {
+        self.reports.lock().unwrap_or_else(PoisonError::into_inner).known.insert(domain);
     }
 
     /// Sets whether new work is blocked because an entry of the log cannot be decoded.
-    pub(crate) fn block(&self, blocked: bool) {
+    pub(crate) fn set_blocked(&self, blocked: bool) {
         self.blocked.store(blocked, Ordering::Release);
     }
 
     /// Returns the latest time by which more than half of the domains had confirmed.
     /// The own domain, if it is one of them, always counts as confirmed.
-    fn quorum_at(&self, reached: &Reached) -> Option<Instant> {
+    fn quorum_time(&self, reports: &DomainReports) -> Option<Instant> {
         if self.domains.is_empty() {
             return None;
         }
-        let domains: BTreeSet<_> = self.domains.iter().chain(&reached.met).collect();
+        let domains: BTreeSet<_> = self.domains.iter().chain(&reports.known).collect();
         let others = domains.iter().filter(|domain| ***domain != self.own);
-        let mut times: Vec<_> = others.filter_map(|domain| reached.in_step.get(*domain)).collect();
+        let mut times: Vec<_> = others.filter_map(|domain| reports.confirmed_at.get(*domain)).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         let own = usize::from(domains.contains(&self.own));
         match domains.len() / 2 + 1 - own {
@@ -129,14 +129,14 @@
         }
     }
 
-    fn raise(&self, cell: &AtomicU64, at: Instant) {
-        let millis = at.saturating_duration_since(self.opened).as_millis();
+    fn advance(&self, time: &AtomicU64, at: Instant) {
+        let millis = at.saturating_duration_since(self.created).as_millis();
         let millis = u64::try_from(millis).unwrap_or(u64::MAX - 1) + 1;
-        cell.fetch_max(millis, Ordering::AcqRel);
+        time.fetch_max(millis, Ordering::AcqRel);
     }
 
-    fn age(&self, cell: &AtomicU64) -> Option<Duration> {
-        let millis = cell.load(Ordering::Acquire).checked_sub(1)?;
-        Some(self.opened.elapsed().saturating_sub(Duration::from_millis(millis)))
+    fn age(&self, time: &AtomicU64) -> Option<Duration> {
+        let millis = time.load(Ordering::Acquire).checked_sub(1)?;
+        Some(self.created.elapsed().saturating_sub(Duration::from_millis(millis)))
     }
 }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -14,7 +14,7 @@
     /// Another change of the same object came first; nothing was changed.
     Conflict(Box<Conflict>),
     /// The change contains two edits of one object; nothing was changed.
-    Twice(Key),
+    DuplicateObject(Key),
     /// Other changes came first until the deadline; nothing was changed.
     Busy,
     /// The change is too large for one entry of the log; nothing was changed.
@@ -61,7 +61,7 @@
                 faults.iter().try_for_each(|fault| write!(f, "\n  {fault}"))
             }
             Self::Conflict(conflict) => conflict.fmt(f),
-            Self::Twice(key) => write!(f, "{key} stands twice in this change; keep one"),
+            Self::DuplicateObject(key) => write!(f, "{key} stands twice in this change; keep one"),
             Self::Busy => f.write_str("other changes came first every time; nothing was changed, apply again"),
             Self::TooLarge { bytes } => write!(
                 f,
--- a/crates/config/src/handle.rs
+++ b/crates/config/src/handle.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     applier::Apply,
-    contact::Contact,
+    confirmations::Confirmations,
     edit::{Applied, Edit},
     error::Error,
     log::Log,
@@ -26,23 +26,23 @@
 
 /// Largest answer in bytes, unless a single change or object is larger. A peer that
 /// missed more asks again. Far below the message limit of a peer link.
-const ANSWER_SIZE: usize = 512 * 1024;
+const MAX_ANSWER_BYTES: usize = 512 * 1024;
 
 /// Handle to the configuration at this instance; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     catalog: watch::Receiver<Arc<Catalog>>,
     state: watch::Receiver<Arc<State>>,
-    contact: Arc<Contact>,
+    confirmations: Arc<Confirmations>,
     inbox: mpsc::Sender<Message>,
-    applies: mpsc::Sender<Apply>,
+    applier_inbox: mpsc::Sender<Apply>,
     log: Log,
     settings: Arc<Settings>,
 }
 
 /// One change in an object's history.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Past {
+pub struct HistoryEntry {
     /// Generation, time and author of the change.
     pub revision: Revision,
     /// The object after the change; `None` for a deletion.
@@ -64,13 +64,13 @@
     pub(crate) fn new(
         catalog: watch::Receiver<Arc<Catalog>>,
         state: watch::Receiver<Arc<State>>,
-        contact: Arc<Contact>,
+        confirmations: Arc<Confirmations>,
         inbox: mpsc::Sender<Message>,
-        applies: mpsc::Sender<Apply>,
+        applier_inbox: mpsc::Sender<Apply>,
         log: Log,
         settings: Arc<Settings>,
     ) -> Self {
-        Self { catalog, state, contact, inbox, applies, log, settings }
+        Self { catalog, state, confirmations, inbox, applier_inbox, log, settings }
     }
 
     /// Returns the catalog in force.
@@ -89,7 +89,7 @@
     /// catalog in force within the freshness bound.
     #[must_use]
     pub fn fresh(&self) -> bool {
-        self.contact.fresh()
+        self.confirmations.is_fresh()
     }
 
     /// Returns the time since the platform last confirmed the catalog in force, to
@@ -99,24 +99,24 @@
     /// peers it reaches can reach the platform.
     #[must_use]
     pub fn platform_age(&self) -> Option<Duration> {
-        self.contact.platform_age()
+        self.confirmations.platform_age()
     }
 
     /// Returns the state of the configuration at this instance.
     #[must_use]
     pub fn status(&self) -> Status {
         let generation = self.state.borrow().generation();
-        Status { generation, fresh: self.fresh(), age: self.contact.newest() }
+        Status { generation, fresh: self.fresh(), age: self.confirmations.newest_age() }
     }
 
     /// Sets whether this instance watches the platform for its failure domain.
     pub async fn set_reader(&self, reader: bool) {
-        self.tell(Message::SetReader(reader)).await;
+        self.send_to_observer(Message::SetReader(reader)).await;
     }
 
     /// Processes a peer's update message or its answer to [`crate::Outbound::Want`].
     pub async fn offer(&self, bytes: Bytes) {
-        self.tell(Message::Offer(bytes)).await;
+        self.send_to_observer(Message::Offer(bytes)).await;
     }
 
     /// Answers a peer's request; one that cannot be decoded is answered as if the peer
@@ -126,9 +126,9 @@
         let want = wire::Want::decode(bytes).unwrap_or_default();
         // The age is read before the state: in the opposite order, a change in
         // between would attach its newer confirmation to the older state.
-        let age = self.contact.platform_age();
+        let age = self.confirmations.platform_age();
         let state = self.state.borrow().clone();
-        wire::encode(&news(&state, age, &self.settings.domain, want))
+        wire::encode(&update_for(&state, age, &self.settings.domain, want))
     }
 
     /// Returns the whole state, encoded for an instance that is starting.
@@ -165,7 +165,7 @@
     pub async fn apply_as(&self, author: &str, change: &str, edits: Vec<Edit>) -> Result<Applied, Error> {
         let (answer, answered) = oneshot::channel();
         let apply = Apply { author: author.into(), change: change.into(), edits, answer };
-        self.applies.send(apply).await.map_err(|_| Error::Closed)?;
+        self.applier_inbox.send(apply).await.map_err(|_| Error::Closed)?;
         answered.await.map_err(|_| Error::Closed)?
     }
 
@@ -181,7 +181,7 @@
     /// # Errors
     ///
     /// [`Error::Down`], [`Error::Unreadable`].
-    pub async fn history(&self, key: &Key, limit: usize) -> Result<Vec<Past>, Error> {
+    pub async fn history(&self, key: &Key, limit: usize) -> Result<Vec<HistoryEntry>, Error> {
         let mut history = Vec::new();
         let mut generation = self.revision(key).map_or(0, |revision| revision.generation);
         while generation > 0 && history.len() < limit {
@@ -191,22 +191,22 @@
             };
             let object = match edit.action {
                 Action::Delete(_) => None,
-                Action::Put(value) => Some(read(generation, &value)?),
+                Action::Put(value) => Some(decode_object(generation, &value)?),
             };
-            history.push(Past { revision: change.revision, object });
+            history.push(HistoryEntry { revision: change.revision, object });
             generation = edit.before;
         }
         Ok(history)
     }
 
-    async fn tell(&self, message: Message) {
+    async fn send_to_observer(&self, message: Message) {
         // The observer is gone only while the runtime shuts down.
         let _ = self.inbox.send(message).await;
     }
 }
 
 /// Returns the update message that answers a peer's request.
-pub(crate) fn news(state: &State, age: Option<Duration>, domain: &Domain, want: wire::Want) -> wire::News {
+pub(crate) fn update_for(state: &State, age: Option<Duration>, domain: &Domain, want: wire::Want) -> wire::News {
     let wire::Want { id, after, snapshot, skip } = want;
     // Rounded up, so that it is never reported younger than it is.
     let confirmed_ms = age.and_then(|age| u64::try_from(age.as_millis() + 1).ok());
@@ -218,7 +218,7 @@
     let Some(changes) = state.changes_after(after) else {
         // A state that has changed since is sent from its start.
         news.skip = if snapshot == state.generation() { skip } else { 0 };
-        let (part, more) = state.snapshot_part(usize::try_from(news.skip).unwrap_or(usize::MAX), ANSWER_SIZE);
+        let (part, more) = state.snapshot_part(usize::try_from(news.skip).unwrap_or(usize::MAX), MAX_ANSWER_BYTES);
         news.snapshot = serde_json::to_vec(&part).unwrap_or_default().into();
         news.more = more;
         return news;
@@ -226,7 +226,7 @@
     let mut bytes = 0;
     for change in changes {
         bytes += change.json.len();
-        if bytes > ANSWER_SIZE && !news.changes.is_empty() {
+        if bytes > MAX_ANSWER_BYTES && !news.changes.is_empty() {
             break;
         }
         news.changes.push(change.json.clone());
@@ -234,6 +234,6 @@
     news
 }
 
-fn read(generation: u64, value: &serde_json::Value) -> Result<Object, Error> {
+fn decode_object(generation: u64, value: &serde_json::Value) -> Result<Object, Error> {
     Object::from_json(value).map_err(|error| Error::Unreadable { generation, message: error.to_string() })
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -15,7 +15,7 @@
 //! messages to [`Handle::offer`] and answers peers' calls with [`Handle::serve`].
 
 mod applier;
-mod contact;
+mod confirmations;
 mod edit;
 mod error;
 mod handle;
@@ -34,18 +34,18 @@
 
 pub use edit::{Applied, Edit, Expected};
 pub use error::{Conflict, Error};
-pub use handle::{Handle, Past, Status};
+pub use handle::{Handle, HistoryEntry, Status};
 pub use settings::{Keep, Settings};
 pub use state::Revision;
 
 use applier::Applier;
-use contact::Contact;
+use confirmations::Confirmations;
 use log::Log;
 use observer::Observer;
 use state::State;
 
 /// Capacity, in messages, of each queue to the observer, the applier and the daemon.
-const QUEUE: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 
 /// A message that the daemon sends to peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -77,25 +77,25 @@
 #[must_use]
 pub fn spawn(settings: Settings, platform: store::Handle, recorder: Recorder) -> (Handle, mpsc::Receiver<Outbound>) {
     let settings = Arc::new(settings);
-    let (out, outbound) = mpsc::channel(QUEUE);
-    let (inbox, messages) = mpsc::channel(QUEUE);
-    let (applies, requests) = mpsc::channel(QUEUE);
+    let (out, outbound) = mpsc::channel(QUEUE_CAPACITY);
+    let (inbox, messages) = mpsc::channel(QUEUE_CAPACITY);
+    let (applier_inbox, requests) = mpsc::channel(QUEUE_CAPACITY);
     let (state, watched) = watch::channel(Arc::new(State::default()));
     let catalog = watch::Sender::new(watched.borrow().catalog().clone());
-    let contact = Arc::new(Contact::new(&settings));
+    let confirmations = Arc::new(Confirmations::new(&settings));
     let log = Log::new(platform, settings.keep);
     let handle = Handle::new(
         catalog.subscribe(),
         watched.clone(),
-        contact.clone(),
+        confirmations.clone(),
         inbox.clone(),
-        applies,
+        applier_inbox,
         log.clone(),
         settings.clone(),
     );
-    let maker = Applier::new(settings.clone(), log.clone(), watched, inbox.downgrade(), recorder.clone());
-    tokio::spawn(maker.run(requests));
-    let observer = Observer::new(settings, log, contact, recorder, (state, catalog), inbox.downgrade(), out);
+    let applier = Applier::new(settings.clone(), log.clone(), watched, inbox.downgrade(), recorder.clone());
+    tokio::spawn(applier.run(requests));
+    let observer = Observer::new(settings, log, confirmations, recorder, (state, catalog), inbox.downgrade(), out);
     tokio::spawn(observer.run(messages));
     (handle, outbound)
 }
--- a/crates/config/src/observer.rs
+++ b/crates/config/src/observer.rs
@@ -6,7 +6,7 @@
 //! polls a peer. If the state has gone unconfirmed by the platform for too long,
 //! it reads the platform itself, with backoff while the platform is unavailable.
 
-mod take;
+mod apply;
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -24,9 +24,9 @@
 
 use crate::{
     Outbound, Scope,
-    contact::Contact,
+    confirmations::Confirmations,
     error::Error,
-    log::{Found, Log},
+    log::{Log, Tail},
     reader::Reader,
     record::Snapshot,
     settings::Settings,
@@ -35,12 +35,12 @@
 };
 
 /// Intervals without a platform confirmation after which an instance reads the platform itself.
-const SILENT_INTERVALS: f64 = 2.5;
+const UNCONFIRMED_INTERVALS: f64 = 2.5;
 /// Longest pause between two reads of an unavailable platform, in intervals.
-const BACKOFF_INTERVALS: u32 = 8;
+const MAX_BACKOFF_INTERVALS: u32 = 8;
 /// Longest time that a reader waits before it publishes a change from its watch. It
 /// publishes only if no peer did so before; usually the change's author did.
-const PUBLISH_DELAY: Duration = Duration::from_millis(200);
+const MAX_PUBLISH_DELAY: Duration = Duration::from_millis(200);
 
 /// A message to the observer.
 #[derive(Debug)]
@@ -48,9 +48,9 @@
     /// An update message or an answer from a peer.
     Offer(Bytes),
     /// Entries were read from the log or written to it.
-    Found {
+    Tail {
         /// The entries.
-        found: Found,
+        tail: Tail,
         /// How they were obtained.
         origin: Origin,
         /// Notified when the entries have been processed.
@@ -91,59 +91,59 @@
 pub(crate) struct Observer {
     settings: Arc<Settings>,
     log: Log,
-    contact: Arc<Contact>,
+    confirmations: Arc<Confirmations>,
     recorder: Recorder,
     state: watch::Sender<Arc<State>>,
     catalog: watch::Sender<Arc<Catalog>>,
     inbox: mpsc::WeakSender<Message>,
-    out: mpsc::Sender<Outbound>,
+    outbound: mpsc::Sender<Outbound>,
     rng: StdRng,
     reader: Option<AbortHandle>,
     /// Pending requests to peers by id, with the time when each was sent.
-    wants: BTreeMap<u64, Instant>,
-    last_want: u64,
-    reading: bool,
+    pending_requests: BTreeMap<u64, Instant>,
+    last_request_id: u64,
+    read_in_progress: bool,
     read_backoff: Option<Backoff>,
-    next_read: Instant,
+    next_read_at: Instant,
     /// The generation before changes from a watch that are still to be published, and
     /// when to publish them.
-    unpublished: Option<(u64, Instant)>,
+    to_publish: Option<(u64, Instant)>,
     /// The first entries of a snapshot that peers send in parts.
-    part: Option<Snapshot>,
+    partial_snapshot: Option<Snapshot>,
     was_fresh: bool,
-    blocked: Option<u64>,
+    blocked_at: Option<u64>,
 }
 
 impl Observer {
     pub(crate) fn new(
         settings: Arc<Settings>,
         log: Log,
-        contact: Arc<Contact>,
+        confirmations: Arc<Confirmations>,
         recorder: Recorder,
         (state, catalog): (watch::Sender<Arc<State>>, watch::Sender<Arc<Catalog>>),
         inbox: mpsc::WeakSender<Message>,
-        out: mpsc::Sender<Outbound>,
+        outbound: mpsc::Sender<Outbound>,
     ) -> Self {
         let seed = settings.seed.unwrap_or_else(rand::random) ^ hash::stable(settings.instance.as_str().as_bytes());
         Self {
             log,
-            contact,
+            confirmations,
             recorder,
             state,
             catalog,
             inbox,
-            out,
+            outbound,
             rng: StdRng::seed_from_u64(seed),
             reader: None,
-            wants: BTreeMap::new(),
-            last_want: 0,
-            reading: false,
+            pending_requests: BTreeMap::new(),
+            last_request_id: 0,
+            read_in_progress: false,
             read_backoff: None,
-            next_read: Instant::now(),
-            unpublished: None,
-            part: None,
+            next_read_at: Instant::now(),
+            to_publish: None,
+            partial_snapshot: None,
             was_fresh: false,
-            blocked: None,
+            blocked_at: None,
             settings,
         }
     }
@@ -151,7 +151,7 @@
     pub(crate) async fn run(mut self, mut inbox: mpsc::Receiver<Message>) {
         let mut tick = Instant::now();
         loop {
-            let publish = self.unpublished.map_or(tick + self.settings.interval(), |(_, at)| at);
+            let publish = self.to_publish.map_or(tick + self.settings.interval(), |(_, at)| at);
             tokio::select! {
                 message = inbox.recv() => match message {
                     Some(message) => self.handle(message),
@@ -161,7 +161,7 @@
                     self.tick();
                     tick = Instant::now() + self.jittered(self.settings.interval());
                 }
-                () = sleep_until(publish), if self.unpublished.is_some() => self.publish_unpublished(),
+                () = sleep_until(publish), if self.to_publish.is_some() => self.publish_pending(),
             }
         }
         self.set_reader(false);
@@ -169,15 +169,15 @@
 
     fn handle(&mut self, message: Message) {
         match message {
-            Message::Offer(bytes) => self.offer(&bytes),
-            Message::Found { found, origin, done } => {
-                self.found(&found, origin);
+            Message::Offer(bytes) => self.handle_update(&bytes),
+            Message::Tail { tail, origin, done } => {
+                self.apply_tail(&tail, origin);
                 if let Some(done) = done {
                     let _ = done.send(());
                 }
             }
-            Message::Unreadable(error) => self.refuse(&error),
-            Message::ReadFailed(error) => self.read_failed(&error),
+            Message::Unreadable(error) => self.handle_log_error(&error),
+            Message::ReadFailed(error) => self.handle_read_failure(&error),
             Message::SetReader(reader) => self.set_reader(reader),
         }
     }
@@ -188,35 +188,35 @@
             // Needed by a site of one failure domain, which confirms itself. Not
             // done before the first state: with an empty catalog every customer
             // would be refused as unknown.
-            self.contact.in_step(self.settings.domain.clone(), Instant::now());
+            self.confirmations.add_peer_confirmation(self.settings.domain.clone(), Instant::now());
         }
-        let silent = self.silent();
+        let unconfirmed = self.is_unconfirmed();
         let reader = self.reader.is_some();
         let platform_away = self.read_backoff.is_some();
-        if (reader || silent) && !self.reading && Instant::now() >= self.next_read {
-            self.read();
+        if (reader || unconfirmed) && !self.read_in_progress && Instant::now() >= self.next_read_at {
+            self.start_read();
         }
-        if !reader || platform_away || silent {
-            let scope = if silent || platform_away { Scope::EachDomain } else { Scope::One };
-            self.want(scope);
+        if !reader || platform_away || unconfirmed {
+            let scope = if unconfirmed || platform_away { Scope::EachDomain } else { Scope::One };
+            self.send_request(scope);
         }
-        self.note_freshness();
+        self.report_freshness();
     }
 
-    fn silent(&self) -> bool {
-        let bound = self.settings.interval().mul_f64(SILENT_INTERVALS);
-        self.contact.platform_age().is_none_or(|age| age > bound)
+    fn is_unconfirmed(&self) -> bool {
+        let bound = self.settings.interval().mul_f64(UNCONFIRMED_INTERVALS);
+        self.confirmations.platform_age().is_none_or(|age| age > bound)
     }
 
     /// Starts a read of the platform; the caller ensures that only one runs at a time.
-    fn read(&mut self) {
-        self.reading = true;
-        let (log, inbox) = (self.log.within(self.settings.interval()), self.inbox.clone());
+    fn start_read(&mut self) {
+        self.read_in_progress = true;
+        let (log, inbox) = (self.log.with_deadline(self.settings.interval()), self.inbox.clone());
         let generation = self.generation();
         tokio::spawn(async move {
             let asked = Instant::now();
             let message = match log.read_after(generation).await {
-                Ok(found) => Message::Found { found, origin: Origin::OwnRead { asked }, done: None },
+                Ok(tail) => Message::Tail { tail, origin: Origin::OwnRead { asked }, done: None },
                 Err(error) => Message::ReadFailed(error),
             };
             if let Some(inbox) = inbox.upgrade() {
@@ -225,92 +225,93 @@
         });
     }
 
-    fn read_failed(&mut self, error: &Error) {
-        self.reading = false;
-        self.refuse(error);
-        let (min, max) = (self.settings.interval(), self.settings.interval() * BACKOFF_INTERVALS);
+    fn handle_read_failure(&mut self, error: &Error) {
+        self.read_in_progress = false;
+        self.handle_log_error(error);
+        let (min, max) = (self.settings.interval(), self.settings.interval() * MAX_BACKOFF_INTERVALS);
         let backoff = self.read_backoff.get_or_insert_with(|| Backoff::new(min, max));
-        self.next_read = Instant::now() + backoff.next(Duration::ZERO, &mut self.rng);
+        self.next_read_at = Instant::now() + backoff.next(Duration::ZERO, &mut self.rng);
     }
 
-    fn want(&mut self, scope: Scope) {
-        self.last_want += 1;
+    fn send_request(&mut self, scope: Scope) {
+        self.last_request_id += 1;
         let bound = self.settings.freshness;
-        self.wants.retain(|_, asked| asked.elapsed() < bound);
-        self.wants.insert(self.last_want, Instant::now());
-        let (snapshot, skip) = self.part.as_ref().map_or((0, 0), |part| (part.generation, part.entries.len() as u64));
-        let want = wire::Want { id: self.last_want, after: self.generation(), snapshot, skip };
-        self.send(Outbound::Want { scope, bytes: wire::encode(&want) });
+        self.pending_requests.retain(|_, asked| asked.elapsed() < bound);
+        self.pending_requests.insert(self.last_request_id, Instant::now());
+        let (snapshot, skip) =
+            self.partial_snapshot.as_ref().map_or((0, 0), |part| (part.generation, part.entries.len() as u64));
+        let request = wire::Want { id: self.last_request_id, after: self.generation(), snapshot, skip };
+        self.send(Outbound::Want { scope, bytes: wire::encode(&request) });
     }
 
-    fn found(&mut self, found: &Found, origin: Origin) {
+    fn apply_tail(&mut self, tail: &Tail, origin: Origin) {
         if matches!(origin, Origin::OwnRead { .. }) {
-            self.reading = false;
+            self.read_in_progress = false;
             self.read_backoff = None;
         }
         let before = self.generation();
-        let head = found.head();
-        if let Err(error) = self.take(found.snapshot.as_ref(), &found.changes) {
-            return self.refuse(&error);
+        let head = tail.head();
+        if let Err(error) = self.apply(tail.snapshot.as_ref(), &tail.changes) {
+            return self.handle_log_error(&error);
         }
         let advanced = self.generation() > before;
         match origin {
-            Origin::Watch if advanced => self.unpublished = Some((before, Instant::now() + self.publish_delay())),
+            Origin::Watch if advanced => self.to_publish = Some((before, Instant::now() + self.publish_delay())),
             Origin::Applied { .. } => {
-                self.unpublished = None;
+                self.to_publish = None;
                 self.publish(head.saturating_sub(1));
             }
             _ => {}
         }
         if self.generation() < head {
             // There is a gap, which only the entries after this state can fill.
-            self.next_read = Instant::now();
-            return self.want(Scope::One);
+            self.next_read_at = Instant::now();
+            return self.send_request(Scope::One);
         }
         if let Origin::Read { asked } | Origin::OwnRead { asked } | Origin::Applied { asked } = origin {
-            self.contact.confirm(asked);
+            self.confirmations.add_platform_confirmation(asked);
         }
-        self.note_freshness();
+        self.report_freshness();
     }
 
-    fn offer(&mut self, bytes: &[u8]) {
+    fn handle_update(&mut self, bytes: &[u8]) {
         let Ok(news) = wire::News::decode(bytes) else {
             return tracing::warn!("cannot decode an update message; a peer speaks another protocol");
         };
         if let Ok(domain) = Domain::parse(&news.domain) {
-            self.contact.met(domain);
+            self.confirmations.add_domain(domain);
         }
         let before = self.generation();
-        if let Err(error) = self.take_news(&news) {
-            return self.refuse(&error);
+        if let Err(error) = self.apply_update(&news) {
+            return self.handle_log_error(&error);
         }
-        if news.id == 0 && self.unpublished.is_some_and(|(before, _)| news.head > before) {
-            self.unpublished = None;
+        if news.id == 0 && self.to_publish.is_some_and(|(before, _)| news.head > before) {
+            self.to_publish = None;
         }
         if news.head > self.generation() {
             // A published update arrived before the one it follows, or an answer
             // did not contain everything.
             if news.id == 0 || self.generation() > before {
-                self.want(Scope::One);
+                self.send_request(Scope::One);
             }
             return;
         }
-        // Only an answer to a request has a known age; see `contact`.
-        if let Some(asked) = self.wants.get(&news.id).copied() {
-            self.confirmed_by(&news, asked);
+        // Only an answer to a request has a known age; see `confirmations`.
+        if let Some(asked) = self.pending_requests.get(&news.id).copied() {
+            self.add_confirmations(&news, asked);
         }
-        self.note_freshness();
+        self.report_freshness();
     }
 
-    fn confirmed_by(&mut self, news: &wire::News, asked: Instant) {
+    fn add_confirmations(&mut self, news: &wire::News, asked: Instant) {
         // A peer at an older generation has confirmed an older state, which says
         // nothing about this one; but it still shows that it has nothing newer.
         let age = news.confirmed_ms.filter(|_| news.head == self.generation()).map(Duration::from_millis);
         if let Some(at) = age.and_then(|age| asked.checked_sub(age)) {
-            self.contact.confirm(at);
+            self.confirmations.add_platform_confirmation(at);
         }
         if let Ok(domain) = Domain::parse(&news.domain) {
-            self.contact.in_step(domain, asked);
+            self.confirmations.add_peer_confirmation(domain, asked);
         }
     }
 
@@ -330,8 +331,8 @@
         }
     }
 
-    fn publish_unpublished(&mut self) {
-        if let Some((before, _)) = self.unpublished.take() {
+    fn publish_pending(&mut self) {
+        if let Some((before, _)) = self.to_publish.take() {
             self.publish(before);
         }
     }
@@ -339,26 +340,26 @@
     /// Publishes the changes after a generation to every instance.
     fn publish(&self, after: u64) {
         let state = self.state.borrow().clone();
-        let want = wire::Want { after, ..wire::Want::default() };
-        let news = crate::handle::news(&state, self.contact.platform_age(), &self.settings.domain, want);
+        let request = wire::Want { after, ..wire::Want::default() };
+        let news = crate::handle::update_for(&state, self.confirmations.platform_age(), &self.settings.domain, request);
         self.send(Outbound::News(wire::encode(&news)));
     }
 
     /// Queues a message; drops it if the queue is full, since updates are requested
     /// again in each interval.
     fn send(&self, message: Outbound) {
-        if self.out.try_send(message).is_err() {
+        if self.outbound.try_send(message).is_err() {
             metrics::counter!("config_outbound_dropped_total").increment(1);
         }
     }
 
-    fn note_freshness(&mut self) {
-        let fresh = self.contact.fresh();
+    fn report_freshness(&mut self) {
+        let fresh = self.confirmations.is_fresh();
         if fresh == self.was_fresh {
             return;
         }
         self.was_fresh = fresh;
-        let age_ms = millis(self.contact.newest().unwrap_or_default());
+        let age_ms = millis(self.confirmations.newest_age().unwrap_or_default());
         self.recorder.record(Event::Freshness { fresh, age_ms });
         metrics::gauge!("config_fresh").set(f64::from(u8::from(fresh)));
         tracing::warn!(fresh, age_ms, "configuration freshness");
@@ -374,6 +375,6 @@
     }
 
     fn publish_delay(&mut self) -> Duration {
-        PUBLISH_DELAY.mul_f64(self.rng.random_range(0.25..1.0))
+        MAX_PUBLISH_DELAY.mul_f64(self.rng.random_range(0.25..1.0))
     }
 }
--- a/crates/config/src/observer/take.rs
+++ b/crates/config/src/observer/apply.rs
@@ -14,7 +14,7 @@
 };
 
 impl Observer {
-    pub(super) fn take_news(&mut self, news: &wire::News) -> Result<(), Error> {
+    pub(super) fn apply_update(&mut self, news: &wire::News) -> Result<(), Error> {
         if news.head <= self.generation() {
             return Ok(());
         }
@@ -23,19 +23,19 @@
         let snapshot = Some(&news.snapshot).filter(|json| !json.is_empty());
         let snapshot: Option<Snapshot> =
             snapshot.map(|json| serde_json::from_slice(json).map_err(unreadable)).transpose()?;
-        let snapshot = snapshot.and_then(|part| self.join(part, news));
+        let snapshot = snapshot.and_then(|part| self.join_parts(part, news));
         let changes = news.changes.iter().map(|json| serde_json::from_slice(json).map_err(unreadable));
         let changes = changes.collect::<Result<Vec<Change>, _>>()?;
-        self.take(snapshot.as_ref(), &changes)
+        self.apply(snapshot.as_ref(), &changes)
     }
 
     /// Appends a part of a snapshot to those before it; returns the snapshot once complete.
-    fn join(&mut self, part: Snapshot, news: &wire::News) -> Option<Snapshot> {
-        let before = self.part.take().filter(|before| before.generation == part.generation);
+    fn join_parts(&mut self, part: Snapshot, news: &wire::News) -> Option<Snapshot> {
+        let before = self.partial_snapshot.take().filter(|before| before.generation == part.generation);
         let held = before.as_ref().map_or(0, |before| before.entries.len() as u64);
         if news.skip != held {
             // Another peer's answer to the same request, or a late one.
-            self.part = before;
+            self.partial_snapshot = before;
             return None;
         }
         let mut whole = before.unwrap_or(Snapshot { entries: Vec::new(), ..part.clone() });
@@ -43,19 +43,19 @@
         if !news.more {
             return Some(whole);
         }
-        self.part = Some(whole);
-        self.want(Scope::One);
+        self.partial_snapshot = Some(whole);
+        self.send_request(Scope::One);
         None
     }
 
     /// Puts into force everything that is newer and follows without a gap.
-    pub(super) fn take(&mut self, snapshot: Option<&Snapshot>, changes: &[Change]) -> Result<(), Error> {
+    pub(super) fn apply(&mut self, snapshot: Option<&Snapshot>, changes: &[Change]) -> Result<(), Error> {
         // An older snapshot would move the state in force to an older generation.
         if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.generation > self.generation()) {
             let state = State::from_snapshot(snapshot)?;
             self.put_in_force(state);
         }
-        let next = self.state.borrow().after(changes)?;
+        let next = self.state.borrow().with_changes(changes)?;
         if let Some(state) = next {
             self.put_in_force(state);
         }
@@ -64,15 +64,15 @@
 
     pub(super) fn put_in_force(&mut self, mut state: State) {
         let generation = state.generation();
-        state.forget_deleted(generation.saturating_sub(self.settings.keep.changes));
-        self.part.take_if(|part| part.generation <= generation);
+        state.remove_deleted(generation.saturating_sub(self.settings.keep.changes));
+        self.partial_snapshot.take_if(|part| part.generation <= generation);
         let state = Arc::new(state);
         // The state goes first, so that tasks woken by the catalog find its revisions.
         self.state.send_replace(state.clone());
         self.catalog.send_replace(state.catalog().clone());
-        if self.blocked.is_some_and(|blocked| blocked <= generation) {
-            self.blocked = None;
-            self.contact.block(false);
+        if self.blocked_at.is_some_and(|blocked_at| blocked_at <= generation) {
+            self.blocked_at = None;
+            self.confirmations.set_blocked(false);
         }
         if let Some(stamp) = self.state.borrow().stamp() {
             self.recorder.observe(stamp);
@@ -86,7 +86,7 @@
     ///
     /// An instance that cannot follow the log accepts no new work, since the entry
     /// may contain a withdrawal.
-    pub(super) fn refuse(&mut self, error: &Error) {
+    pub(super) fn handle_log_error(&mut self, error: &Error) {
         match error {
             Error::Unreadable { generation, .. } if *generation > self.generation() => self.block(*generation, error),
             Error::Invalid(_) => self.block(self.generation() + 1, error),
@@ -95,11 +95,11 @@
     }
 
     fn block(&mut self, generation: u64, error: &Error) {
-        if self.blocked.is_none() {
+        if self.blocked_at.is_none() {
             tracing::error!(generation, %error, "cannot follow the configuration; accepting no new work");
         }
-        self.blocked = Some(generation);
-        self.contact.block(true);
-        self.note_freshness();
+        self.blocked_at = Some(generation);
+        self.confirmations.set_blocked(true);
+        self.report_freshness();
     }
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     error::Error,
-    log::{self, Found, Log},
+    log::{self, Log, Tail},
     observer::{Message, Origin},
     record::Change,
     settings::Settings,
@@ -51,7 +51,7 @@
                     continue;
                 }
             };
-            if !self.send(Message::Found { found: Found::changes(changes), origin: Origin::Watch, done: None }).await {
+            if !self.send(Message::Tail { tail: Tail::changes(changes), origin: Origin::Watch, done: None }).await {
                 return;
             }
         }
@@ -62,10 +62,10 @@
         loop {
             let asked = Instant::now();
             match self.log.read_after(self.generation()).await {
-                Ok(found) => {
-                    let version = found.version;
+                Ok(tail) => {
+                    let version = tail.version;
                     let origin = Origin::Read { asked };
-                    self.send(Message::Found { found, origin, done: None }).await;
+                    self.send(Message::Tail { tail, origin, done: None }).await;
                     return self.log.watch(version).waiting(self.settings.watch_wait);
                 }
                 // The store client has already retried with backoff until its deadline.
@@ -88,12 +88,12 @@
 }
 
 fn parse(events: Vec<Event>) -> Result<Vec<Change>, Error> {
-    let items: Vec<Item> = events.into_iter().filter_map(put).collect();
+    let items: Vec<Item> = events.into_iter().filter_map(written_item).collect();
     items.iter().filter_map(log::parse_change).collect()
 }
 
 /// Returns a written item; deletions come from truncation and are ignored.
-fn put(event: Event) -> Option<Item> {
+fn written_item(event: Event) -> Option<Item> {
     match event {
         Event::Put(item) => Some(item),
         Event::Deleted { .. } => None,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -44,11 +44,11 @@
 
 /// Number of confirmations attempted within the freshness bound, so that a few may
 /// be lost or late without an interruption of new work.
-const TRIES: u32 = 5;
+const CONFIRMATIONS_PER_BOUND: u32 = 5;
 
 impl Settings {
     pub(crate) fn interval(&self) -> Duration {
-        self.interval.min(self.freshness / TRIES)
+        self.interval.min(self.freshness / CONFIRMATIONS_PER_BOUND)
     }
 
     /// Returns the default settings of an instance.
@@ -64,7 +64,7 @@
             deadline: Duration::from_secs(10),
             keep: Keep::default(),
             seed: None,
-            clock: wall,
+            clock: wall_clock,
         }
     }
 }
@@ -77,6 +77,6 @@
     }
 }
 
-fn wall() -> Timestamp {
+fn wall_clock() -> Timestamp {
     SystemTime::now().into()
 }
--- a/crates/config/src/state.rs
+++ b/crates/config/src/state.rs
@@ -20,7 +20,7 @@
 };
 
 /// Number of changes kept for peers that missed some; a peer that missed more gets a snapshot.
-const RECENT: usize = 128;
+const MAX_RECENT_CHANGES: usize = 128;
 
 /// Identifies a change: its generation, time and author.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 pub(crate) struct State {
     catalog: Arc<Catalog>,
     entries: BTreeMap<Key, Entry>,
-    recent: Vec<Recent>,
+    recent: Vec<RecentChange>,
 }
 
 /// An object with its last change; a deleted object keeps its entry for the history.
@@ -59,7 +59,7 @@
 
 /// A change in the encoding sent to peers.
 #[derive(Debug, Clone)]
-pub(crate) struct Recent {
+pub(crate) struct RecentChange {
     pub(crate) generation: u64,
     pub(crate) json: Bytes,
 }
@@ -84,11 +84,11 @@
     }
 
     /// Returns the changes after a generation, or `None` if some are no longer held.
-    pub(crate) fn changes_after(&self, generation: u64) -> Option<&[Recent]> {
+    pub(crate) fn changes_after(&self, generation: u64) -> Option<&[RecentChange]> {
         let first = self.recent.first().map_or(self.generation() + 1, |recent| recent.generation);
-        let skipped = (generation + 1).checked_sub(first)?;
-        let skipped = usize::try_from(skipped).unwrap_or(usize::MAX).min(self.recent.len());
-        Some(&self.recent[skipped..])
+        let skip = (generation + 1).checked_sub(first)?;
+        let skip = usize::try_from(skip).unwrap_or(usize::MAX).min(self.recent.len());
+        Some(&self.recent[skip..])
     }
 
     /// Builds the state that a snapshot describes.
@@ -96,9 +96,9 @@
         let generation = snapshot.generation;
         let mut state = Self::default();
         for entry in &snapshot.entries {
-            state.put(generation, &entry.action, &entry.revision)?;
+            state.insert_entry(generation, &entry.action, &entry.revision)?;
         }
-        state.build(generation)
+        state.build_catalog(generation)
     }
 
     /// Returns all entries as one snapshot without parts.
@@ -132,7 +132,7 @@
 
     /// Returns the state after all changes that follow without a gap, or `None` if
     /// none does. The catalog is built once for all of them.
-    pub(crate) fn after(&self, changes: &[Change]) -> Result<Option<Self>, Error> {
+    pub(crate) fn with_changes(&self, changes: &[Change]) -> Result<Option<Self>, Error> {
         let mut next: Option<Self> = None;
         let mut generation = self.generation();
         for change in changes.iter().filter(|change| change.generation() > self.generation()) {
@@ -140,13 +140,13 @@
                 break;
             }
             generation += 1;
-            next.get_or_insert_with(|| self.clone()).take(change)?;
+            next.get_or_insert_with(|| self.clone()).append(change)?;
         }
-        next.map(|state| state.build(generation)).transpose()
+        next.map(|state| state.build_catalog(generation)).transpose()
     }
 
     /// Removes the entries of objects deleted up to a generation.
-    pub(crate) fn forget_deleted(&mut self, up_to: u64) {
+    pub(crate) fn remove_deleted(&mut self, up_to: u64) {
         self.entries.retain(|_, entry| entry.object.is_some() || entry.revision.generation > up_to);
     }
 
@@ -163,7 +163,7 @@
                 changed.push(record::Edit { before, action: action_of(&key, edit.object()) });
             }
             if !keys.insert(key.clone()) {
-                return Err(Error::Twice(key));
+                return Err(Error::DuplicateObject(key));
             }
         }
         if changed.is_empty() {
@@ -172,7 +172,7 @@
         let change = Change::new(revision, changed);
         // Builds the resulting state, as every observer will: a change that does
         // not build must not enter the log.
-        self.after(std::slice::from_ref(&change))?;
+        self.with_changes(std::slice::from_ref(&change))?;
         Ok(Some(change))
     }
 
@@ -183,34 +183,34 @@
     fn check_expected(&self, key: &Key, expected: Expected) -> Result<(), Error> {
         let entry = self.entry(key);
         let exists = entry.is_some_and(|entry| entry.object.is_some());
-        let holds = match expected {
+        let satisfied = match expected {
             Expected::Any => true,
             Expected::Absent => !exists,
             Expected::At(generation) => exists && entry.is_some_and(|entry| entry.revision.generation == generation),
         };
-        if holds {
+        if satisfied {
             return Ok(());
         }
         let found = entry.map(|entry| entry.revision.clone());
         Err(Error::Conflict(Box::new(Conflict { object: key.clone(), expected, found, exists })))
     }
 
-    fn take(&mut self, change: &Change) -> Result<(), Error> {
+    fn append(&mut self, change: &Change) -> Result<(), Error> {
         for edit in &change.edits {
-            self.put(change.generation(), &edit.action, &change.revision)?;
+            self.insert_entry(change.generation(), &edit.action, &change.revision)?;
         }
-        let json = serde_json::to_vec(change).map_err(|error| unreadable(change.generation(), &error))?;
-        self.recent.push(Recent { generation: change.generation(), json: json.into() });
-        let excess = self.recent.len().saturating_sub(RECENT);
+        let json = serde_json::to_vec(change).map_err(|error| unreadable_error(change.generation(), &error))?;
+        self.recent.push(RecentChange { generation: change.generation(), json: json.into() });
+        let excess = self.recent.len().saturating_sub(MAX_RECENT_CHANGES);
         self.recent.drain(..excess);
         Ok(())
     }
 
-    fn put(&mut self, generation: u64, action: &Action, revision: &Revision) -> Result<(), Error> {
+    fn insert_entry(&mut self, generation: u64, action: &Action, revision: &Revision) -> Result<(), Error> {
         let (key, object) = match action {
             Action::Delete(key) => (key.clone(), None),
             Action::Put(value) => {
-                let object = Object::from_json(value).map_err(|error| unreadable(generation, &error))?;
+                let object = Object::from_json(value).map_err(|error| unreadable_error(generation, &error))?;
                 (object.key(), Some(object))
             }
         };
@@ -218,7 +218,7 @@
         Ok(())
     }
 
-    fn build(mut self, generation: u64) -> Result<Self, Error> {
+    fn build_catalog(mut self, generation: u64) -> Result<Self, Error> {
         let objects = self.entries.values().filter_map(|entry| entry.object.clone());
         self.catalog = Arc::new(Catalog::build(generation, objects).map_err(Error::Invalid)?);
         Ok(self)
@@ -229,6 +229,6 @@
     object.map_or_else(|| Action::Delete(key.clone()), |object| Action::Put(object.to_json()))
 }
 
-fn unreadable(generation: u64, error: &impl ToString) -> Error {
+fn unreadable_error(generation: u64, error: &impl ToString) -> Error {
     Error::Unreadable { generation, message: error.to_string() }
 }
--- a/crates/config/tests/config/apply.rs
+++ b/crates/config/tests/config/apply.rs
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn history_goes_back_over_a_deletion() {
+async fn history_continues_before_a_deletion() {
     let site = Site::open(Options::default()).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     put(site.config(0), model("other", 1)).await.expect("accepted");
@@ -40,7 +40,7 @@
 /// author, and its own edit has no effect. A silent overwrite would lose a change
 /// that was reported as accepted.
 #[tokio::test(start_paused = true)]
-async fn second_operator_hears_of_the_first() {
+async fn second_of_two_concurrent_edits_gets_a_conflict() {
     let site = Site::open(Options::default()).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     site.wait(1).await;
@@ -60,7 +60,7 @@
 /// Two operators change two objects at once. Both are accepted: the one that
 /// loses the race for the generation silently takes the next one.
 #[tokio::test(start_paused = true)]
-async fn race_on_another_object_is_no_conflict() {
+async fn concurrent_edits_of_different_objects_do_not_conflict() {
     let site = Site::open(Options::default()).await;
     let (a, b) = tokio::join!(put(site.config(0), model("a", 1)), put(site.config(1), model("b", 1)));
     let mut generations = [a.expect("accepted"), b.expect("accepted")];
@@ -71,7 +71,7 @@
 }
 
 /// Returns a site whose instance 3 is still at generation 1 of 2.
-async fn behind() -> Site {
+async fn site_with_outdated_instance() -> Site {
     let site = Site::open(Options::default()).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     site.wait(1).await;
@@ -87,8 +87,8 @@
 /// it were reported as unchanged, generation 2, which differs, would come into force
 /// everywhere instead.
 #[tokio::test(start_paused = true)]
-async fn unchanged_here_may_be_a_change() {
-    let site = behind().await;
+async fn unchanged_is_decided_on_the_newest_state() {
+    let site = site_with_outdated_instance().await;
     assert_eq!(put(site.config(3), model("m", 1)).await, Ok(3));
 }
 
@@ -96,8 +96,8 @@
 /// against the old state would report a conflict with a change older than the one
 /// that the operator read.
 #[tokio::test(start_paused = true)]
-async fn refusal_rests_on_the_newest_state() {
-    let site = behind().await;
+async fn conflict_is_decided_on_the_newest_state() {
+    let site = site_with_outdated_instance().await;
     let edit = Edit::Put(model("m", 3), Expected::At(2));
     assert_eq!(site.config(3).apply("ann", vec![edit]).await.map(|applied| applied.generation), Ok(3));
 }
@@ -105,21 +105,21 @@
 /// An object that is consistent only with the newest state is accepted at an
 /// outdated instance.
 #[tokio::test(start_paused = true)]
-async fn check_rests_on_the_newest_state() {
-    let site = behind().await;
+async fn consistency_is_checked_on_the_newest_state() {
+    let site = site_with_outdated_instance().await;
     assert_eq!(put(site.config(3), pool("m@2")).await, Ok(3));
 }
 
 #[tokio::test(start_paused = true)]
-async fn objects_that_do_not_fit_are_refused() {
-    let site = behind().await;
+async fn inconsistent_objects_are_refused() {
+    let site = site_with_outdated_instance().await;
     let refused = put(site.config(0), pool("m@9")).await;
     assert!(matches!(&refused, Err(Error::Invalid(faults)) if faults.len() == 1), "{refused:?}");
     assert_eq!(site.config(0).current().generation(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_stands_there_already_makes_no_generation() {
+async fn unchanged_object_creates_no_generation() {
     let site = Site::open(Options::default()).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     let again = site.config(1).apply("ann", vec![Edit::Put(model("m", 1), Expected::Any)]).await;
@@ -127,10 +127,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_object_twice_is_refused() {
+async fn two_edits_of_one_object_are_refused() {
     let site = Site::open(Options::default()).await;
     let edits = [1, 2].map(|versions| Edit::Put(model("m", versions), Expected::Any));
-    assert_eq!(site.config(0).apply("ann", edits.into()).await, Err(Error::Twice(key("m"))));
+    assert_eq!(site.config(0).apply("ann", edits.into()).await, Err(Error::DuplicateObject(key("m"))));
 }
 
 /// A change is too large for one entry of the log. The error describes the change
--- a/crates/config/tests/config/faults.rs
+++ b/crates/config/tests/config/faults.rs
@@ -10,14 +10,14 @@
 use crate::site::{Options, Site, model, put};
 
 /// Takes a snapshot every four changes and keeps few changes before it.
-const SHORT: Keep = Keep { snapshot_every: 4, changes: 8 };
+const SHORT_LOG: Keep = Keep { snapshot_every: 4, changes: 8 };
 
 fn key(name: &str) -> Key {
     Key { kind: Kind::Model, name: name.into() }
 }
 
 /// Returns the generations of the platform's keys with a prefix.
-pub fn entries(site: &Site, prefix: &str) -> Vec<u64> {
+pub fn generations_under(site: &Site, prefix: &str) -> Vec<u64> {
     let objects = site.platform.objects().into_iter();
     objects.filter_map(|object| object.key.strip_prefix(prefix)?.parse().ok()).collect()
 }
@@ -41,7 +41,7 @@
     assert_eq!(put(site.config(0), model("m", 2)).await, Ok(2));
     site.wait(2).await;
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(entries(&site, "config/change/"), [1, 2]);
+    assert_eq!(generations_under(&site, "config/change/"), [1, 2]);
     assert_eq!(site.generations(), [2; 4]);
 }
 
@@ -57,7 +57,7 @@
 /// accepted, a snapshot exists in the end, and an instance that starts from it
 /// reaches the same state as the others.
 async fn check_snapshot(loss: Loss) {
-    let options = Options { keep: SHORT, ..Options::default() };
+    let options = Options { keep: SHORT_LOG, ..Options::default() };
     let mut site = Site::open(options).await;
     for versions in 1..4 {
         put(site.config(0), model("m", versions)).await.expect("accepted");
@@ -65,7 +65,7 @@
     site.instances[0].client.lose(2, loss);
     assert_eq!(put(site.config(0), model("m", 4)).await, Ok(4));
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(entries(&site, "config/snapshot/"), [4]);
+    assert_eq!(generations_under(&site, "config/snapshot/"), [4]);
     site.start(options).await;
     site.wait(4).await;
     assert_eq!(site.config(4).current().models(), site.config(0).current().models());
@@ -81,7 +81,7 @@
 /// The platform is down. The operator is told that nothing was changed, and nothing
 /// is changed later.
 #[tokio::test(start_paused = true)]
-async fn change_in_an_outage_is_certainly_not_accepted() {
+async fn change_in_an_outage_is_not_accepted() {
     let site = Site::open(Options::default()).await;
     site.platform.set_down(true);
     assert!(matches!(put(site.config(0), model("m", 1)).await, Err(Error::Down(_))));
@@ -94,14 +94,14 @@
 /// before the entry can be read back. The operator gets an unknown outcome with the
 /// generation to check; once the platform recovers, that generation is in force.
 #[tokio::test(start_paused = true)]
-async fn answer_lost_into_an_outage_is_unknown_and_then_in_force() {
+async fn answer_lost_in_an_outage_is_unknown_and_later_in_force() {
     let site = Site::open(Options::default()).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     site.wait(1).await;
     site.instances[0].client.lose(1, Loss::After);
     site.instances[0].client.lose_read(1, Fault::Lost { cause: "scripted".into() });
     let outage = async {
-        while entries(&site, "config/change/").len() < 2 {
+        while generations_under(&site, "config/change/").len() < 2 {
             tokio::task::yield_now().await;
         }
         site.platform.set_down(true);
@@ -137,7 +137,7 @@
 /// The platform is so slow that no answer arrives in time, and then recovers. The
 /// change is accepted only once, and all instances catch up.
 #[tokio::test(start_paused = true)]
-async fn slow_platform_accepts_once() {
+async fn unresponsive_platform_accepts_once() {
     let site = Site::open(Options::default()).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     site.platform.set_slow(Duration::from_secs(6));
@@ -145,19 +145,19 @@
     assert_eq!(change.unwrap_err(), Error::Unknown { generation: 2 });
     site.platform.set_slow(Duration::ZERO);
     site.wait(2).await;
-    assert_eq!(entries(&site, "config/change/"), [1, 2]);
+    assert_eq!(generations_under(&site, "config/change/"), [1, 2]);
 }
 
 /// The platform takes three seconds for an answer, more than the first timeout. The
 /// operator waits and gets the generation.
 #[tokio::test(start_paused = true)]
-async fn slow_platform_accepts_slowly() {
+async fn slow_platform_accepts_before_the_deadline() {
     let site = Site::open(Options::default()).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     site.platform.set_slow(Duration::from_secs(3));
     assert_eq!(put(site.config(0), model("m", 2)).await, Ok(2));
     site.wait(2).await;
-    assert_eq!(entries(&site, "config/change/"), [1, 2]);
+    assert_eq!(generations_under(&site, "config/change/"), [1, 2]);
 }
 
 /// An instance is cut off until the log is truncated above its generation. An
@@ -165,8 +165,8 @@
 /// long ago; if accepted, it would never come into force. The instance finds the
 /// newer snapshot, retracts the entry and applies the change to the newest state.
 #[tokio::test(start_paused = true)]
-async fn change_by_an_instance_behind_the_cut_off_is_made_anew() {
-    let site = Site::open(Options { keep: SHORT, ..Options::default() }).await;
+async fn change_by_an_instance_behind_the_truncation_is_applied_again() {
+    let site = Site::open(Options { keep: SHORT_LOG, ..Options::default() }).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     site.wait(1).await;
     site.instances[3].client.set_down(true);
@@ -176,27 +176,27 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_secs(10)).await;
-    assert!(!entries(&site, "config/change/").contains(&2), "generation 2 is truncated");
+    assert!(!generations_under(&site, "config/change/").contains(&2), "generation 2 is truncated");
     assert_eq!(site.config(3).current().generation(), 1);
     site.instances[3].client.set_down(false);
     assert_eq!(put(site.config(3), model("late", 1)).await, Ok(33));
     sleep(Duration::from_secs(3)).await;
     assert_eq!(site.generations()[..3], [33; 3]);
-    assert!(!entries(&site, "config/change/").contains(&2), "the void entry is retracted");
+    assert!(!generations_under(&site, "config/change/").contains(&2), "the void entry is retracted");
 }
 
 /// The delayed write of a lost instance arrives after the log was truncated above it,
 /// so nobody retracts the stray entry. An instance that resumes at the generation
 /// just before it must not apply it as the next one: its state would diverge from
 /// all others permanently.
-async fn check_stray(paused_at: u64) {
-    let options = Options { keep: SHORT, ..Options::default() };
+async fn check_stray_entry(paused_at: u64) {
+    let options = Options { keep: SHORT_LOG, ..Options::default() };
     let mut site = Site::open(options).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     let pause = |site: &Site| {
         site.instances[3].client.set_down(true);
         site.cut(3, true);
-        write_late(site, paused_at + 1);
+        write_stray_entry_late(site, paused_at + 1);
     };
     for generation in 2..33 {
         site.wait(if generation > paused_at { 1 } else { generation - 1 }).await;
@@ -208,10 +208,10 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_secs(40)).await;
-    assert!(entries(&site, "config/change/").contains(&(paused_at + 1)), "the stray entry has arrived");
+    assert!(generations_under(&site, "config/change/").contains(&(paused_at + 1)), "the stray entry has arrived");
     assert_eq!(site.config(3).current().generation(), paused_at);
     site.platform.compact();
-    let watched: Vec<_> = [0, 3].map(|index| tokio::spawn(never_stray(site.config(index).clone()))).into();
+    let watched: Vec<_> = [0, 3].map(|index| tokio::spawn(wait_for_stray_entry(site.config(index).clone()))).into();
     site.instances[3].client.set_down(false);
     site.start(options).await;
     sleep(Duration::from_secs(10)).await;
@@ -220,15 +220,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn stray_entry_far_below_the_cut_off() {
-    check_stray(1).await;
+async fn stray_entry_far_below_the_truncation() {
+    check_stray_entry(1).await;
 }
 
 /// Changes up to 24 are truncated at 32: the stray entry replaces the 24th and is
 /// directly followed by the 25th.
 #[tokio::test(start_paused = true)]
-async fn stray_entry_right_below_the_cut_off() {
-    check_stray(23).await;
+async fn stray_entry_right_below_the_truncation() {
+    check_stray_entry(23).await;
 }
 
 /// An instance is lost right after one of the writes for its changes: an entry, a
@@ -236,7 +236,7 @@
 /// remaining log has no gap, and the author of a later change completes what the
 /// lost instance left unfinished.
 async fn check_lost_after(writes: u64) {
-    let options = Options { keep: SHORT, ..Options::default() };
+    let options = Options { keep: SHORT_LOG, ..Options::default() };
     let mut site = Site::open(options).await;
     site.instances[0].client.lose(writes, Loss::Death);
     for versions in 1.. {
@@ -254,10 +254,10 @@
     sleep(Duration::from_secs(3)).await;
     let head = accepted + 16;
     assert_eq!(site.generations()[1..], [head; 3]);
-    let kept = entries(&site, "config/change/");
+    let kept = generations_under(&site, "config/change/");
     assert!(kept.windows(2).all(|pair| pair[0] + 1 == pair[1]), "{kept:?}");
     assert!(kept.len() <= 20, "not truncated: {kept:?}");
-    let snapshots = entries(&site, "config/snapshot/");
+    let snapshots = generations_under(&site, "config/snapshot/");
     assert!(snapshots.len() <= 3 && snapshots.last().is_some_and(|newest| newest + 4 >= head), "{snapshots:?}");
     site.start(options).await;
     site.wait_for(4, head).await;
@@ -272,7 +272,7 @@
 }
 
 /// Writes an entry that arrives half a minute later.
-fn write_late(site: &Site, generation: u64) {
+fn write_stray_entry_late(site: &Site, generation: u64) {
     let client = site.platform.client();
     client.lose(1, Loss::Late(Duration::from_secs(30)));
     let entry = serde_json::json!({
@@ -287,7 +287,7 @@
 }
 
 /// Returns when the stray entry comes into force.
-async fn never_stray(config: config::Handle) {
+async fn wait_for_stray_entry(config: config::Handle) {
     let stray = "stray".parse().expect("a name");
     let mut catalog = config.subscribe();
     let _ = catalog.wait_for(|catalog| catalog.model(&stray).is_some()).await;
--- a/crates/config/tests/config/interleaving.rs
+++ b/crates/config/tests/config/interleaving.rs
@@ -10,7 +10,7 @@
 use world::object::{Key, Kind, Object};
 
 use crate::{
-    faults::entries,
+    faults::generations_under,
     site::{Options, Site, model},
 };
 
@@ -33,26 +33,26 @@
 
 /// Further faults: an outage for all instances, a partition of one.
 #[derive(Debug, Clone)]
-struct Weather {
+struct Faults {
     /// When the platform is unavailable.
-    outage: Option<Span>,
+    outage: Option<Period>,
     /// An instance that has no peer links, and when.
-    cut: Option<(usize, Span)>,
+    cut: Option<(usize, Period)>,
 }
 
 /// A period in milliseconds after the start of the run.
 #[derive(Debug, Clone)]
-struct Span {
+struct Period {
     start: u64,
     length: u64,
 }
 
 /// An operator's edit and its result.
 #[derive(Debug)]
-struct Told {
+struct Operation {
     author: String,
     edit: Edit,
-    answer: Result<Applied, Error>,
+    result: Result<Applied, Error>,
 }
 
 fn loss() -> impl Strategy<Value = Loss> {
@@ -72,27 +72,27 @@
     (steps, losses).prop_map(|(steps, losses)| Script { steps, losses })
 }
 
-fn span() -> impl Strategy<Value = Span> {
-    (0..150_u64, 0..3_000_u64).prop_map(|(start, length)| Span { start, length })
+fn period() -> impl Strategy<Value = Period> {
+    (0..150_u64, 0..3_000_u64).prop_map(|(start, length)| Period { start, length })
 }
 
-fn weather() -> impl Strategy<Value = Weather> {
-    let outage = prop::option::weighted(0.3, span());
-    let cut = prop::option::weighted(0.3, (0..2_usize, span()));
-    (outage, cut).prop_map(|(outage, cut)| Weather { outage, cut })
+fn faults() -> impl Strategy<Value = Faults> {
+    let outage = prop::option::weighted(0.3, period());
+    let cut = prop::option::weighted(0.3, (0..2_usize, period()));
+    (outage, cut).prop_map(|(outage, cut)| Faults { outage, cut })
 }
 
 /// Sets a fault for the given period.
-async fn during(span: Option<Span>, set: impl Fn(bool)) {
-    let Some(Span { start, length }) = span else { return };
+async fn during(period: Option<Period>, set: impl Fn(bool)) {
+    let Some(Period { start, length }) = period else { return };
     sleep(Duration::from_millis(start)).await;
     set(true);
     sleep(Duration::from_millis(length)).await;
     set(false);
 }
 
-async fn operate(name: &str, config: &Handle, script: &Script) -> Vec<Told> {
-    let mut told = Vec::new();
+async fn operate(name: &str, config: &Handle, script: &Script) -> Vec<Operation> {
+    let mut operations = Vec::new();
     for (number, step) in script.steps.iter().enumerate() {
         sleep(Duration::from_millis(step.pause)).await;
         let key = Key { kind: Kind::Model, name: format!("m{}", step.object) };
@@ -102,10 +102,10 @@
         let edit =
             if step.delete { Edit::Delete(key, expected) } else { Edit::Put(model(&key.name, versions), expected) };
         let author = format!("{name} {number}");
-        let answer = config.apply(&author, vec![edit.clone()]).await;
-        told.push(Told { author, edit, answer });
+        let result = config.apply(&author, vec![edit.clone()]).await;
+        operations.push(Operation { author, edit, result });
     }
-    told
+    operations
 }
 
 fn expected(config: &Handle, key: &Key, conditional: bool) -> Expected {
@@ -127,23 +127,23 @@
     entries.collect()
 }
 
-async fn check(scripts: [Script; 2], weather: Weather) -> Result<(), TestCaseError> {
+async fn check(scripts: [Script; 2], faults: Faults) -> Result<(), TestCaseError> {
     let keep = Keep { snapshot_every: 4, changes: 1_000 };
     let mut site = Site::open(Options { instances: 3, domains: 3, keep, ..Options::default() }).await;
     for (index, script) in scripts.iter().enumerate() {
         script.losses.iter().for_each(|(n, loss)| site.instances[index].client.lose(*n, *loss));
     }
-    let watched = tokio::spawn(watch(site.config(2).clone()));
+    let watched = tokio::spawn(check_monotonic(site.config(2).clone()));
     let ann = operate("ann", site.config(0), &scripts[0]);
     let bob = operate("bob", site.config(1), &scripts[1]);
-    let outage = during(weather.outage, |down| site.platform.set_down(down));
-    let (cut, span) = weather.cut.unzip();
-    let cut = during(span, |is_cut| site.cut(cut.unwrap_or_default(), is_cut));
+    let outage = during(faults.outage, |down| site.platform.set_down(down));
+    let (cut, period) = faults.cut.unzip();
+    let cut = during(period, |is_cut| site.cut(cut.unwrap_or_default(), is_cut));
     let (ann, bob, (), ()) = tokio::join!(ann, bob, outage, cut);
     sleep(Duration::from_secs(15)).await;
     let log = log(&site);
-    for told in ann.iter().chain(&bob) {
-        check_told(&log, told)?;
+    for operation in ann.iter().chain(&bob) {
+        check_operation(&log, operation)?;
     }
     let head = u64::try_from(log.len()).expect("few");
     prop_assert_eq!(log.keys().copied().collect::<Vec<_>>(), (1..=head).collect::<Vec<_>>(), "the log has a gap");
@@ -157,12 +157,12 @@
     }
     prop_assert!(!watched.is_finished(), "an instance moved to an older generation");
     watched.abort();
-    prop_assert!(entries(&site, "config/snapshot/").iter().all(|generation| *generation <= head));
+    prop_assert!(generations_under(&site, "config/snapshot/").iter().all(|generation| *generation <= head));
     Ok(())
 }
 
 /// Panics when an instance moves to an older generation.
-async fn watch(config: Handle) {
+async fn check_monotonic(config: Handle) {
     let mut catalog = config.subscribe();
     let mut last = 0;
     while catalog.changed().await.is_ok() {
@@ -172,31 +172,35 @@
     }
 }
 
-fn check_told(log: &BTreeMap<u64, serde_json::Value>, told: &Told) -> Result<(), TestCaseError> {
+fn check_operation(log: &BTreeMap<u64, serde_json::Value>, operation: &Operation) -> Result<(), TestCaseError> {
     let found: Vec<u64> =
-        log.iter().filter(|(_, entry)| entry["author"] == told.author.as_str()).map(|(g, _)| *g).collect();
-    match &told.answer {
+        log.iter().filter(|(_, entry)| entry["author"] == operation.author.as_str()).map(|(g, _)| *g).collect();
+    match &operation.result {
         Ok(applied) if applied.changed => {
-            prop_assert_eq!(&found, &vec![applied.generation], "{} was accepted", told.author);
-            check_expected(log, told, applied.generation)
+            prop_assert_eq!(&found, &vec![applied.generation], "{} was accepted", operation.author);
+            check_condition(log, operation, applied.generation)
         }
         Err(Error::Unknown { generation }) => {
-            prop_assert!(found.is_empty() || found == [*generation], "{} has entries at {:?}", told.author, found);
+            prop_assert!(found.is_empty() || found == [*generation], "{} has entries at {:?}", operation.author, found);
             Ok(())
         }
         other => {
-            prop_assert!(found.is_empty(), "{} got {:?} and has entries at {:?}", told.author, other, found);
+            prop_assert!(found.is_empty(), "{} got {:?} and has entries at {:?}", operation.author, other, found);
             Ok(())
         }
     }
 }
 
 /// Checks that a conditional change directly follows the one it named.
-fn check_expected(log: &BTreeMap<u64, serde_json::Value>, told: &Told, generation: u64) -> Result<(), TestCaseError> {
-    let (Edit::Put(_, expected) | Edit::Delete(_, expected)) = &told.edit;
+fn check_condition(
+    log: &BTreeMap<u64, serde_json::Value>,
+    operation: &Operation,
+    generation: u64,
+) -> Result<(), TestCaseError> {
+    let (Edit::Put(_, expected) | Edit::Delete(_, expected)) = &operation.edit;
     let before = log[&generation]["edits"][0]["before"].as_u64();
     if let Expected::At(named) = expected {
-        prop_assert_eq!(before, Some(*named), "{} overwrote a change it did not know", told.author);
+        prop_assert_eq!(before, Some(*named), "{} overwrote a change that it had not read", operation.author);
     }
     Ok(())
 }
@@ -209,8 +213,8 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn operators_hear_what_is_in_the_log(scripts in [script(), script()], weather in weather()) {
+    fn results_match_the_log(scripts in [script(), script()], faults in faults()) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-        runtime.expect("a runtime").block_on(check(scripts, weather))?;
+        runtime.expect("a runtime").block_on(check(scripts, faults))?;
     }
 }
--- a/crates/config/tests/config/log.rs
+++ b/crates/config/tests/config/log.rs
@@ -7,12 +7,12 @@
 use tokio::time::sleep;
 
 use crate::{
-    faults::entries,
+    faults::generations_under,
     site::{Options, Site, model, put},
 };
 
 /// Opens a site without peer links, so that instances depend on the platform alone.
-async fn without_links() -> Site {
+async fn site_without_links() -> Site {
     let site = Site::open(Options { keep: Keep { snapshot_every: 8, changes: 16 }, ..Options::default() }).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     site.wait(1).await;
@@ -23,8 +23,8 @@
 /// The platform compacts the changes after which a reader's watch would continue.
 /// The reader lists the missing entries, and none is skipped.
 #[tokio::test(start_paused = true)]
-async fn watch_gap_is_read_over() {
-    let site = without_links().await;
+async fn gap_in_the_watch_is_filled_by_a_read() {
+    let site = site_without_links().await;
     site.instances[1].client.set_down(true);
     for versions in 2..6 {
         put(site.config(0), model("m", versions)).await.expect("accepted");
@@ -37,8 +37,8 @@
 /// Watches are answered by a replica that lags permanently. Changes arrive through
 /// the plain reads that confirm freshness, within an interval or two.
 #[tokio::test(start_paused = true)]
-async fn lagging_watch_does_not_hold_back_changes() {
-    let site = without_links().await;
+async fn lagging_watch_does_not_delay_changes() {
+    let site = site_without_links().await;
     site.platform.set_stale_watches(1_000);
     put(site.config(0), model("m", 2)).await.expect("accepted");
     sleep(Duration::from_millis(2_500)).await;
@@ -49,8 +49,8 @@
 /// generation. The changes from its watch then do not follow its state, so it
 /// must load the snapshot.
 #[tokio::test(start_paused = true)]
-async fn reader_that_wakes_behind_the_cut_off_takes_the_snapshot() {
-    let site = without_links().await;
+async fn reader_behind_the_truncation_loads_the_snapshot() {
+    let site = site_without_links().await;
     site.instances[1].client.set_down(true);
     let mut seen = site.config(1).subscribe();
     for versions in 2..65 {
@@ -58,19 +58,19 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_secs(10)).await;
-    assert!(!entries(&site, "config/change/").contains(&2), "generation 2 is truncated");
+    assert!(!generations_under(&site, "config/change/").contains(&2), "generation 2 is truncated");
     assert!(!site.config(1).fresh());
     seen.mark_unchanged();
     site.instances[1].client.set_down(false);
     site.wait(64).await;
     assert!(site.config(1).fresh());
-    assert_eq!(entries(&site, "config/snapshot/").len(), 2, "older snapshots are gone");
+    assert_eq!(generations_under(&site, "config/snapshot/").len(), 2, "older snapshots are gone");
 }
 
 /// An instance stops and resumes being its domain's reader several times.
 #[tokio::test(start_paused = true)]
-async fn reader_changes() {
-    let site = without_links().await;
+async fn reader_role_can_change() {
+    let site = site_without_links().await;
     for reader in [false, true, true, false, true] {
         site.config(1).set_reader(reader).await;
         let versions = u32::try_from(site.config(0).current().generation()).expect("few") + 1;
@@ -83,7 +83,7 @@
 /// and accepts no new work, since the entry may contain a withdrawal.
 #[tokio::test(start_paused = true)]
 async fn unreadable_entry_stops_new_work() {
-    let site = without_links().await;
+    let site = site_without_links().await;
     let handle = store::open_with(store::Settings::fake("newer/1", 9), std::sync::Arc::new(site.platform.client()));
     let entry = serde_json::json!({
         "generation": 2, "at": 0, "author": "ann", "instance": "i9",
@@ -107,7 +107,7 @@
         put(site.config(0), model(name, 5_000)).await.expect("accepted");
     }
     sleep(Duration::from_secs(10)).await;
-    assert_eq!(entries(&site, "config/snapshot/"), [4]);
+    assert_eq!(generations_under(&site, "config/snapshot/"), [4]);
     assert!(site.platform.objects().iter().any(|object| object.key.starts_with("config/part/")));
     site.start(options).await;
     site.wait(4).await;
@@ -117,7 +117,7 @@
 /// An idle site makes calls only for the readers' watches and confirmations.
 /// Instances that are not readers make none.
 #[tokio::test(start_paused = true)]
-async fn idle_calls_stay_under_two_a_second() {
+async fn idle_reader_makes_at_most_two_calls_per_second() {
     for (readers, most) in [(true, 2 * 60 * 4), (false, 0)] {
         let site = Site::open(Options { readers: true, ..Options::default() }).await;
         put(site.config(0), model("m", 1)).await.expect("accepted");
--- a/crates/config/tests/config/peers.rs
+++ b/crates/config/tests/config/peers.rs
@@ -8,7 +8,7 @@
 
 use crate::site::{Options, Site, model, put};
 
-async fn changed(versions: u32) -> Site {
+async fn site_after_changes(versions: u32) -> Site {
     let site = Site::open(Options::default()).await;
     for versions in 1..=versions {
         put(site.config(0), model("m", versions)).await.expect("accepted");
@@ -17,16 +17,16 @@
     site
 }
 
-fn ask(site: &Site, after: u64) -> News {
+fn request(site: &Site, after: u64) -> News {
     let answer = site.config(0).serve(&Want { id: 7, after, ..Want::default() }.encode_to_vec());
     News::decode(answer).expect("news")
 }
 
 #[tokio::test(start_paused = true)]
-async fn answer_holds_just_what_is_missing() {
-    let site = changed(5).await;
+async fn answer_contains_only_missing_changes() {
+    let site = site_after_changes(5).await;
     for after in 0..7 {
-        let news = ask(&site, after);
+        let news = request(&site, after);
         let missing = usize::try_from(5_u64.saturating_sub(after)).expect("small");
         assert_eq!((news.id, news.head, news.changes.len()), (7, 5, missing));
         assert!(news.snapshot.is_empty());
@@ -34,17 +34,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_missed_much_gets_the_whole_state() {
-    let site = changed(200).await;
-    let news = ask(&site, 10);
+async fn peer_that_missed_many_changes_gets_the_whole_state() {
+    let site = site_after_changes(200).await;
+    let news = request(&site, 10);
     assert!(news.changes.is_empty() && !news.snapshot.is_empty());
 }
 
 /// Update messages arrive twice, out of order and very late. The generation in
 /// force never decreases.
 #[tokio::test(start_paused = true)]
-async fn old_and_repeated_news_changes_nothing() {
-    let mut site = changed(3).await;
+async fn old_and_repeated_updates_change_nothing() {
+    let mut site = site_after_changes(3).await;
     let old: Vec<_> =
         (0..3).map(|after| site.config(0).serve(&Want { after, ..Want::default() }.encode_to_vec())).collect();
     let snapshot = site.config(0).snapshot_bytes();
@@ -63,8 +63,8 @@
 /// A peer of a newer build sends a field that this build does not know. The rest of
 /// its message is processed.
 #[tokio::test(start_paused = true)]
-async fn news_of_another_build_is_understood() {
-    let site = changed(1).await;
+async fn update_from_a_newer_build_is_decoded() {
+    let site = site_after_changes(1).await;
     site.cut(0, true);
     put(site.config(0), model("m", 2)).await.expect("accepted");
     let mut bytes = site.config(0).serve(&Want { after: 1, ..Want::default() }.encode_to_vec()).to_vec();
@@ -78,8 +78,8 @@
 /// Bytes that are not a message arrive. They are dropped, and later messages are
 /// processed.
 #[tokio::test(start_paused = true)]
-async fn bytes_that_do_not_read_are_dropped() {
-    let site = changed(1).await;
+async fn undecodable_bytes_are_dropped() {
+    let site = site_after_changes(1).await;
     site.config(1).offer(vec![0xff; 40].into()).await;
     let answer = site.config(1).serve(&[0xff; 40]);
     assert_eq!(News::decode(answer).expect("news").head, 1);
@@ -91,8 +91,8 @@
 /// change. The others still receive it: from a reader's watch, or by asking a peer
 /// within an interval.
 #[tokio::test(start_paused = true)]
-async fn news_that_got_lost_is_asked_for() {
-    let site = changed(1).await;
+async fn lost_update_is_requested_again() {
+    let site = site_after_changes(1).await;
     for listener in [2, 3] {
         site.config(listener).set_reader(false).await;
     }
@@ -105,7 +105,7 @@
 /// A site's whole state is larger than one peer message may be. An instance that
 /// starts during an outage of the platform receives it in parts.
 #[tokio::test(start_paused = true)]
-async fn large_state_is_told_in_parts() {
+async fn large_state_is_sent_in_parts() {
     let options = Options::default();
     let mut site = Site::open(options).await;
     // More changes than peers keep individually.
@@ -117,7 +117,7 @@
     }
     site.wait(155).await;
     site.platform.set_down(true);
-    let first = ask(&site, 0);
+    let first = request(&site, 0);
     assert!(first.more && first.snapshot.len() < 1 << 20, "{} bytes", first.snapshot.len());
     site.start(options).await;
     site.wait_for(4, 155).await;
