--- a/crates/arbutuslugd/src/pump.rs
+++ b/crates/arbutuslugd/src/pump.rs
@@ -84,7 +84,7 @@
     while let Some(message) = messages.recv().await {
         match message {
             config::Outbound::News(bytes) => drop(peers.publish(Topic::Config, bytes).await),
-            config::Outbound::Want { scope, bytes } => {
+            config::Outbound::Request { scope, bytes } => {
                 for to in targets(&peers, scope) {
                     drop(tokio::spawn(want(peers.clone(), config.clone(), to, bytes.clone())));
                 }
--- a/crates/arbutuslugd/tests/operators/site.rs
+++ b/crates/arbutuslugd/tests/operators/site.rs
@@ -144,7 +144,7 @@
     while let Some(message) = outbound.recv().await {
         match message {
             Outbound::News(bytes) => drop(handles.peer.publish(Topic::Config, bytes).await),
-            Outbound::Want { bytes, scope: Scope::One | Scope::EachDomain } => {
+            Outbound::Request { bytes, scope: Scope::One | Scope::EachDomain } => {
                 let members = handles.peer.members().borrow().clone();
                 for id in members.others.keys() {
                     if let Ok(answer) = handles.peer.call(id, Topic::Config, bytes.clone(), PATIENCE).await {
--- a/crates/config/examples/measure/fleet.rs
+++ b/crates/config/examples/measure/fleet.rs
@@ -108,7 +108,7 @@
                 let _ = peers.publish(Topic::Config, bytes).await;
                 continue;
             }
-            Outbound::Want { scope, bytes } => (scope, bytes),
+            Outbound::Request { scope, bytes } => (scope, bytes),
         };
         for to in asked(&peers, scope) {
             let (peers, config, bytes) = (peers.clone(), config.clone(), bytes.clone());
--- a/crates/config/src/handle.rs
+++ b/crates/config/src/handle.rs
@@ -114,7 +114,7 @@
         self.send_to_observer(Message::SetReader(reader)).await;
     }
 
-    /// Processes a peer's update message or its answer to [`crate::Outbound::Want`].
+    /// Processes a peer's update message or its answer to [`crate::Outbound::Request`].
     pub async fn offer(&self, bytes: Bytes) {
         self.send_to_observer(Message::Offer(bytes)).await;
     }
@@ -123,12 +123,12 @@
     /// had no state.
     #[must_use]
     pub fn serve(&self, bytes: &[u8]) -> Bytes {
-        let want = wire::Want::decode(bytes).unwrap_or_default();
+        let request = wire::Request::decode(bytes).unwrap_or_default();
         // The age is read before the state: in the opposite order, a change in
         // between would attach its newer confirmation to the older state.
         let age = self.confirmations.platform_age();
         let state = self.state.borrow().clone();
-        wire::encode(&update_for(&state, age, &self.settings.domain, want))
+        wire::encode(&update_for(&state, age, &self.settings.domain, request))
     }
 
     /// Returns the whole state, encoded for an instance that is starting.
@@ -206,8 +206,8 @@
 }
 
 /// Returns the update message that answers a peer's request.
-pub(crate) fn update_for(state: &State, age: Option<Duration>, domain: &Domain, want: wire::Want) -> wire::News {
-    let wire::Want { id, after, snapshot, skip } = want;
+pub(crate) fn update_for(state: &State, age: Option<Duration>, domain: &Domain, request: wire::Request) -> wire::News {
+    let wire::Request { id, after, snapshot, skip } = request;
     // Rounded up, so that it is never reported younger than it is.
     let confirmed_ms = age.and_then(|age| u64::try_from(age.as_millis() + 1).ok());
     let domain = domain.to_string();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -53,7 +53,7 @@
     /// An update message to publish to every live instance.
     News(bytes::Bytes),
     /// A request to call peers with; each answer goes to [`Handle::offer`].
-    Want {
+    Request {
         /// Which peers to call.
         scope: Scope,
         /// The encoded request, which the peer answers with [`Handle::serve`].
--- a/crates/config/src/observer.rs
+++ b/crates/config/src/observer.rs
@@ -240,8 +240,8 @@
         self.pending_requests.insert(self.last_request_id, Instant::now());
         let (snapshot, skip) =
             self.partial_snapshot.as_ref().map_or((0, 0), |part| (part.generation, part.entries.len() as u64));
-        let request = wire::Want { id: self.last_request_id, after: self.generation(), snapshot, skip };
-        self.send(Outbound::Want { scope, bytes: wire::encode(&request) });
+        let request = wire::Request { id: self.last_request_id, after: self.generation(), snapshot, skip };
+        self.send(Outbound::Request { scope, bytes: wire::encode(&request) });
     }
 
     fn apply_tail(&mut self, tail: &Tail, origin: Origin) {
@@ -340,7 +340,7 @@
     /// Publishes the changes after a generation to every instance.
     fn publish(&self, after: u64) {
         let state = self.state.borrow().clone();
-        let request = wire::Want { after, ..wire::Want::default() };
+        let request = wire::Request { after, ..wire::Request::default() };
         let news = crate::handle::update_for(&state, self.confirmations.platform_age(), &self.settings.domain, request);
         self.send(Outbound::News(wire::encode(&news)));
     }
--- a/crates/config/src/wire.rs
+++ b/crates/config/src/wire.rs
@@ -9,7 +9,7 @@
 
 /// Asks a peer for everything newer than a generation.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Want {
+pub struct Request {
     /// Request id, repeated in the answer.
     #[prost(uint64, tag = "1")]
     pub id: u64,
--- a/crates/config/tests/config/peers.rs
+++ b/crates/config/tests/config/peers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use config::wire::{News, Want};
+use config::wire::{News, Request};
 use prost::Message;
 use tokio::time::sleep;
 
@@ -18,7 +18,7 @@
 }
 
 fn request(site: &Site, after: u64) -> News {
-    let answer = site.config(0).serve(&Want { id: 7, after, ..Want::default() }.encode_to_vec());
+    let answer = site.config(0).serve(&Request { id: 7, after, ..Request::default() }.encode_to_vec());
     News::decode(answer).expect("news")
 }
 
@@ -46,7 +46,7 @@
 async fn old_and_repeated_updates_change_nothing() {
     let mut site = site_after_changes(3).await;
     let old: Vec<_> =
-        (0..3).map(|after| site.config(0).serve(&Want { after, ..Want::default() }.encode_to_vec())).collect();
+        (0..3).map(|after| site.config(0).serve(&Request { after, ..Request::default() }.encode_to_vec())).collect();
     let snapshot = site.config(0).snapshot_bytes();
     put(site.config(0), model("m", 4)).await.expect("accepted");
     site.wait(4).await;
@@ -67,7 +67,7 @@
     let site = site_after_changes(1).await;
     site.cut(0, true);
     put(site.config(0), model("m", 2)).await.expect("accepted");
-    let mut bytes = site.config(0).serve(&Want { after: 1, ..Want::default() }.encode_to_vec()).to_vec();
+    let mut bytes = site.config(0).serve(&Request { after: 1, ..Request::default() }.encode_to_vec()).to_vec();
     // Field 99, a string.
     bytes.extend([0x9a, 0x06, 0x03, b'n', b'e', b'w']);
     site.config(1).offer(bytes.into()).await;
--- a/crates/config/tests/config/site.rs
+++ b/crates/config/tests/config/site.rs
@@ -144,10 +144,10 @@
     while let Some(message) = outbound.recv().await {
         match message {
             Outbound::News(bytes) => links.others(from).into_iter().for_each(|to| publish(&links, from, to, &bytes)),
-            Outbound::Want { scope: Scope::EachDomain, bytes } => {
+            Outbound::Request { scope: Scope::EachDomain, bytes } => {
                 links.others(from).into_iter().for_each(|to| call(&links, from, to, &bytes));
             }
-            Outbound::Want { scope: Scope::One, bytes } => {
+            Outbound::Request { scope: Scope::One, bytes } => {
                 if let Some(to) = links.others(from).first() {
                     call(&links, from, *to, &bytes);
                 }
--- a/crates/control/tests/it/site.rs
+++ b/crates/control/tests/it/site.rs
@@ -358,7 +358,7 @@
 
 /// Delivers an instance's configuration messages to the instances it can reach.
 async fn deliver_config(links: Arc<Mutex<Links>>, from: usize, mut outbound: mpsc::Receiver<Outbound>) {
-    while let Some(Outbound::News(bytes) | Outbound::Want { bytes, .. }) = outbound.recv().await {
+    while let Some(Outbound::News(bytes) | Outbound::Request { bytes, .. }) = outbound.recv().await {
         for (config, _) in reachable(&links, from) {
             let bytes = bytes.clone();
             tokio::spawn(async move {
--- a/crates/entry/tests/path/site.rs
+++ b/crates/entry/tests/path/site.rs
@@ -280,7 +280,7 @@
     while let Some(message) = out.recv().await {
         match message {
             Outbound::News(bytes) => drop(links.peer.publish(Topic::Config, bytes).await),
-            Outbound::Want { scope: Scope::One | Scope::EachDomain, bytes } => {
+            Outbound::Request { scope: Scope::One | Scope::EachDomain, bytes } => {
                 let other = links.peer.members().borrow().live().nth(1).map(|i| i.id.clone());
                 let Some(other) = other else { continue };
                 if let Ok(news) = links.peer.call(&other, Topic::Config, bytes, WITHIN).await {
