--- a/crates/config/src/applier.rs
+++ b/crates/config/src/applier.rs
@@ -1,4 +1,6 @@
-//! The task that makes changes.
+//! The task that appends operators' changes to the log.
+//!
+//! It also writes snapshots and truncates the log from time to time.
 
 use std::sync::Arc;
 
@@ -13,17 +15,17 @@
 use crate::{
     edit::{Applied, Edit},
     error::Error,
-    log::{Found, Log},
+    log::{Log, Tail},
     observer::{Message, Origin},
     record::Change,
     settings::{Keep, Settings},
     state::{Revision, State},
 };
 
-/// Times an applier looks whether a snapshot is due, between two snapshots.
-const SNAPSHOT_LOOKS: u64 = 8;
+/// Number of checks for a due snapshot per snapshot interval.
+const SNAPSHOT_CHECKS: u64 = 8;
 
-/// One operator's change.
+/// A queued request to apply an operator's change.
 #[derive(Debug)]
 pub(crate) struct Apply {
     pub(crate) author: String,
@@ -32,7 +34,7 @@
     pub(crate) answer: oneshot::Sender<Result<Applied, Error>>,
 }
 
-/// The task's state.
+/// State of the applier task.
 #[derive(Debug)]
 pub(crate) struct Applier {
     settings: Arc<Settings>,
@@ -40,8 +42,8 @@
     state: watch::Receiver<Arc<State>>,
     inbox: mpsc::WeakSender<Message>,
     recorder: Recorder,
-    /// Keeps the log short, apart from the changes that go on meanwhile.
-    keeping: Option<JoinHandle<()>>,
+    /// Background task that writes a snapshot and truncates the log while changes continue.
+    truncation: Option<JoinHandle<()>>,
 }
 
 impl Applier {
@@ -52,48 +54,48 @@
         inbox: mpsc::WeakSender<Message>,
         recorder: Recorder,
     ) -> Self {
-        Self { settings, log, state, inbox, recorder, keeping: None }
+        Self { settings, log, state, inbox, recorder, truncation: None }
     }
 
-    /// One change at a time: two at once would only race each other.
+    /// Applies one change at a time, since concurrent ones would only race each other.
     pub(crate) async fn run(mut self, mut requests: mpsc::Receiver<Apply>) {
         while let Some(Apply { author, change, edits, answer }) = requests.recv().await {
             let result = self.apply(&author, &change, &edits).await;
             let _ = answer.send(result);
-            self.keep_short();
+            self.start_truncation_if_due();
         }
     }
 
     async fn apply(&self, author: &str, change: &str, edits: &[Edit]) -> Result<Applied, Error> {
-        let until = Instant::now() + self.settings.deadline;
-        // What is in force here may be old. That is no risk for a change, since
-        // the create decides; but a refusal must rest on the newest state.
-        let mut newest = false;
+        let deadline = Instant::now() + self.settings.deadline;
+        // The state in force here may be outdated. That is safe for a change, since
+        // the create decides; but a refusal must be based on the newest state.
+        let mut caught_up = false;
         loop {
             let state = self.state.borrow().clone();
             let revision = self.revision(author, change, state.generation() + 1);
             let change = match state.propose(edits, revision) {
                 Ok(Some(change)) => change,
-                Ok(None) if newest => return Ok(Applied { generation: state.generation(), changed: false }),
-                Err(error) if newest => return Err(error),
+                Ok(None) if caught_up => return Ok(Applied { generation: state.generation(), changed: false }),
+                Err(error) if caught_up => return Err(error),
                 Ok(None) | Err(_) => {
                     self.catch_up(state.generation()).await?;
-                    newest = true;
+                    caught_up = true;
                     continue;
                 }
             };
             if let Some(applied) = self.append(change).await? {
                 return Ok(applied);
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(Error::Busy);
             }
             self.catch_up(state.generation()).await?;
-            newest = true;
+            caught_up = true;
         }
     }
 
-    /// Makes the entry; nothing when another was first.
+    /// Creates the change's entry; returns `None` if another entry took its generation first.
     async fn append(&self, change: Change) -> Result<Option<Applied>, Error> {
         let generation = change.generation();
         let asked = Instant::now();
@@ -106,44 +108,46 @@
         if self.is_void(generation, &item).await? {
             return Ok(None);
         }
-        // Under the stamp that went with the change: readers of the platform
-        // may have it in force by now, and its effects are to be read after it.
+        // Recorded with the change's own stamp: readers of the platform may
+        // already have it in force, and its effects must be ordered after it.
         let stamp = change.revision.stamp;
         let objects = change.edits.iter().filter_map(|edit| edit.action.key()).collect();
         self.recorder.record_at(stamp, Event::Edit { generation, objects });
-        self.tell(Found::changes(vec![change]), Origin::Applied { asked }).await?;
+        self.send_to_observer(Tail::changes(vec![change]), Origin::Applied { asked }).await?;
         Ok(Some(Applied { generation, changed: true }))
     }
 
-    /// An instance paused for very long may create an entry that was cut off
-    /// long ago: it would be told "accepted" for a change that nobody will
-    /// ever see. Entries are cut only `keep.changes` below a snapshot, so any
-    /// snapshot that far above ours proves that ours is void.
+    /// Returns whether the entry just created lies in the truncated part of the log.
+    ///
+    /// An instance that was paused for very long may recreate an entry that was
+    /// truncated long ago and report a change as accepted that no instance will
+    /// ever see. Entries are truncated only `keep.changes` below a snapshot, so a
+    /// snapshot that far above the new entry proves the entry void.
     async fn is_void(&self, generation: u64, item: &store::Item) -> Result<bool, Error> {
         let newest = self.log.newest_snapshot().await.map_err(|_| Error::Unknown { generation })?;
         if newest.unwrap_or(0) < generation + self.settings.keep.changes {
             return Ok(false);
         }
-        // Left standing it would do no harm: readers take no entry that is
-        // parted from the rest by a hole, and the next cut deletes it.
+        // A failed retraction is harmless: readers apply no entry that a gap
+        // separates from the rest, and the next truncation deletes it.
         if let Err(error) = self.log.retract(item).await {
-            tracing::warn!(%error, generation, "a void entry stays until the next cut");
+            tracing::warn!(%error, generation, "cannot retract a void log entry; the next truncation deletes it");
         }
         Ok(true)
     }
 
     async fn catch_up(&self, generation: u64) -> Result<(), Error> {
         let asked = Instant::now();
-        let found = self.log.read_after(generation).await?;
-        self.tell(found, Origin::Read { asked }).await
+        let tail = self.log.read_after(generation).await?;
+        self.send_to_observer(tail, Origin::Read { asked }).await
     }
 
-    /// Hands something to the observer and waits until it is in force here.
-    async fn tell(&self, found: Found, origin: Origin) -> Result<(), Error> {
-        let (done, told) = oneshot::channel();
+    /// Sends log entries to the observer and waits until it has processed them.
+    async fn send_to_observer(&self, tail: Tail, origin: Origin) -> Result<(), Error> {
+        let (done, processed) = oneshot::channel();
         let inbox = self.inbox.upgrade().ok_or(Error::Closed)?;
-        inbox.send(Message::Found { found, origin, done: Some(done) }).await.map_err(|_| Error::Closed)?;
-        told.await.map_err(|_| Error::Closed)
+        inbox.send(Message::Tail { tail, origin, done: Some(done) }).await.map_err(|_| Error::Closed)?;
+        processed.await.map_err(|_| Error::Closed)
     }
 
     fn revision(&self, author: &str, change: &str, generation: u64) -> Revision {
@@ -159,31 +163,33 @@
         }
     }
 
-    /// Snapshots and cuts off once in a while; whoever makes a change that is
-    /// due does it, and when it fails the next one does.
-    fn keep_short(&mut self) {
+    /// Starts writing a snapshot and truncating the log if that is due.
+    ///
+    /// The instance that made the last change does this; after a failure a later
+    /// change tries again.
+    fn start_truncation_if_due(&mut self) {
         let state = self.state.borrow().clone();
         let every = self.settings.keep.snapshot_every;
-        // Looking costs a read, so not after each change.
-        let due = state.generation().is_multiple_of((every / SNAPSHOT_LOOKS).max(1));
-        if !due || self.keeping.as_ref().is_some_and(|keeping| !keeping.is_finished()) {
+        // Each check costs a read, so it is not done after every change.
+        let due = state.generation().is_multiple_of((every / SNAPSHOT_CHECKS).max(1));
+        if !due || self.truncation.as_ref().is_some_and(|truncation| !truncation.is_finished()) {
             return;
         }
         let (log, keep) = (self.log.clone(), self.settings.keep);
-        self.keeping = Some(tokio::spawn(async move {
-            if let Err(error) = shorten(&log, &state, keep).await {
-                tracing::warn!(%error, "no snapshot yet; a later change tries again");
+        self.truncation = Some(tokio::spawn(async move {
+            if let Err(error) = snapshot_and_truncate(&log, &state, keep).await {
+                tracing::warn!(%error, "cannot write a snapshot or truncate the log; a later change tries again");
             }
         }));
     }
 }
 
-async fn shorten(log: &Log, state: &State, keep: Keep) -> Result<(), Error> {
+async fn snapshot_and_truncate(log: &Log, state: &State, keep: Keep) -> Result<(), Error> {
     let newest = log.newest_snapshot().await?.unwrap_or(0);
     if state.generation() < newest + keep.snapshot_every {
         return Ok(());
     }
     log.write_snapshot(state).await?;
-    log.cut(state.generation().saturating_sub(keep.changes)).await?;
+    log.truncate(state.generation().saturating_sub(keep.changes)).await?;
     Ok(())
 }
--- a/crates/config/src/handle.rs
+++ b/crates/config/src/handle.rs
@@ -1,4 +1,4 @@
-//! What the other crates call.
+//! The interface of the configuration for other crates.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,7 +13,7 @@
 
 use crate::{
     applier::Apply,
-    contact::Contact,
+    confirmations::Confirmations,
     edit::{Applied, Edit},
     error::Error,
     log::Log,
@@ -24,39 +24,39 @@
     wire,
 };
 
-/// Most bytes in one answer, apart from a single larger change or object;
-/// whoever missed more asks again. Far below what a peer link takes.
-const ANSWER_SIZE: usize = 512 * 1024;
+/// Largest answer in bytes, unless a single change or object is larger. A peer that
+/// missed more asks again. Far below the message limit of a peer link.
+const MAX_ANSWER_BYTES: usize = 512 * 1024;
 
-/// The configuration at this instance; cheap to clone.
+/// Handle to the configuration at this instance; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Handle {
     catalog: watch::Receiver<Arc<Catalog>>,
     state: watch::Receiver<Arc<State>>,
-    contact: Arc<Contact>,
+    confirmations: Arc<Confirmations>,
     inbox: mpsc::Sender<Message>,
-    applies: mpsc::Sender<Apply>,
+    applier_inbox: mpsc::Sender<Apply>,
     log: Log,
     settings: Arc<Settings>,
 }
 
-/// One step of an object's history.
+/// One change in an object's history.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Past {
-    /// Which change, when and by whom.
+pub struct HistoryEntry {
+    /// Generation, time and author of the change.
     pub revision: Revision,
-    /// What it left; nothing for a deletion.
+    /// The object after the change; `None` for a deletion.
     pub object: Option<Object>,
 }
 
-/// Where this instance stands.
+/// State of the configuration at this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
     /// The generation in force.
     pub generation: u64,
-    /// Whether new work may start.
+    /// Whether new work may be accepted.
     pub fresh: bool,
-    /// Time since the last confirmation; nothing before the first.
+    /// Time since the last confirmation; `None` before the first.
     pub age: Option<Duration>,
 }
 
@@ -64,73 +64,74 @@
     pub(crate) fn new(
         catalog: watch::Receiver<Arc<Catalog>>,
         state: watch::Receiver<Arc<State>>,
-        contact: Arc<Contact>,
+        confirmations: Arc<Confirmations>,
         inbox: mpsc::Sender<Message>,
-        applies: mpsc::Sender<Apply>,
+        applier_inbox: mpsc::Sender<Apply>,
         log: Log,
         settings: Arc<Settings>,
     ) -> Self {
-        Self { catalog, state, contact, inbox, applies, log, settings }
+        Self { catalog, state, confirmations, inbox, applier_inbox, log, settings }
     }
 
-    /// The catalog in force.
+    /// Returns the catalog in force.
     #[must_use]
     pub fn current(&self) -> Arc<Catalog> {
         self.catalog.borrow().clone()
     }
 
-    /// The catalog in force, and each that follows.
+    /// Returns a receiver of the catalog in force and every later one.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<Catalog>> {
         self.catalog.clone()
     }
 
-    /// Whether new work may start: platform or peers have confirmed the
+    /// Returns whether new work may start: the platform or peers have confirmed the
     /// catalog in force within the freshness bound.
     #[must_use]
     pub fn fresh(&self) -> bool {
-        self.contact.fresh()
+        self.confirmations.is_fresh()
     }
 
-    /// Time since the platform last confirmed the catalog in force, to this
-    /// instance or to a peer that passed it on; nothing before the first.
+    /// Returns the time since the platform last confirmed the catalog in force, to
+    /// this instance or to a peer that forwarded it; `None` before the first.
     ///
-    /// Longer than a few confirmations' interval means that nobody here
-    /// reaches the platform.
+    /// If it exceeds a few confirmation intervals, neither this instance nor the
+    /// peers it reaches can reach the platform.
     #[must_use]
     pub fn platform_age(&self) -> Option<Duration> {
-        self.contact.platform_age()
+        self.confirmations.platform_age()
     }
 
-    /// Where this instance stands.
+    /// Returns the state of the configuration at this instance.
     #[must_use]
     pub fn status(&self) -> Status {
         let generation = self.state.borrow().generation();
-        Status { generation, fresh: self.fresh(), age: self.contact.newest() }
+        Status { generation, fresh: self.fresh(), age: self.confirmations.newest_age() }
     }
 
     /// Sets whether this instance watches the platform for its failure domain.
     pub async fn set_reader(&self, reader: bool) {
-        self.tell(Message::SetReader(reader)).await;
+        self.send_to_observer(Message::SetReader(reader)).await;
     }
 
-    /// Takes a peer's news or a peer's answer to [`crate::Outbound::Want`].
+    /// Processes a peer's update message or its answer to [`crate::Outbound::Request`].
     pub async fn offer(&self, bytes: Bytes) {
-        self.tell(Message::Offer(bytes)).await;
+        self.send_to_observer(Message::Offer(bytes)).await;
     }
 
-    /// Answers a peer's want; an unreadable one gets the whole state.
+    /// Answers a peer's request; one that cannot be decoded is answered as if the peer
+    /// had no state.
     #[must_use]
     pub fn serve(&self, bytes: &[u8]) -> Bytes {
-        let want = wire::Want::decode(bytes).unwrap_or_default();
-        // The age before the state: the other way round, a change that comes
-        // between would lend its fresh confirmation to the state before it.
-        let age = self.contact.platform_age();
+        let request = wire::Request::decode(bytes).unwrap_or_default();
+        // The age is read before the state: in the opposite order, a change in
+        // between would attach its newer confirmation to the older state.
+        let age = self.confirmations.platform_age();
         let state = self.state.borrow().clone();
-        wire::encode(&news(&state, age, &self.settings.domain, want))
+        wire::encode(&update_for(&state, age, &self.settings.domain, request))
     }
 
-    /// The whole state, to be offered to an instance that starts.
+    /// Returns the whole state, encoded for an instance that is starting.
     #[must_use]
     pub fn snapshot_bytes(&self) -> Bytes {
         let state = self.state.borrow().clone();
@@ -139,13 +140,13 @@
         wire::encode(&wire::News { domain, head: state.generation(), snapshot, ..wire::News::default() })
     }
 
-    /// Takes a peer's whole state; nothing happens when it is no newer.
+    /// Processes a peer's whole state; ignores it if it is not newer.
     pub async fn offer_snapshot(&self, bytes: Bytes) {
         self.offer(bytes).await;
     }
 
-    /// Checks edits and makes them the next generation, in force here when
-    /// this returns and everywhere within seconds.
+    /// Checks edits and appends them as the next generation, which is in force here
+    /// when this returns and everywhere within seconds.
     ///
     /// # Errors
     ///
@@ -155,32 +156,32 @@
         self.apply_as(author, "", edits).await
     }
 
-    /// As [`Handle::apply`], under the operator's own id of the change, which
-    /// the history shows.
+    /// Like [`Handle::apply`], with the operator's own id of the change, which the
+    /// history shows.
     ///
     /// # Errors
     ///
-    /// As [`Handle::apply`].
+    /// The same as [`Handle::apply`].
     pub async fn apply_as(&self, author: &str, change: &str, edits: Vec<Edit>) -> Result<Applied, Error> {
         let (answer, answered) = oneshot::channel();
         let apply = Apply { author: author.into(), change: change.into(), edits, answer };
-        self.applies.send(apply).await.map_err(|_| Error::Closed)?;
+        self.applier_inbox.send(apply).await.map_err(|_| Error::Closed)?;
         answered.await.map_err(|_| Error::Closed)?
     }
 
-    /// The last change of an object, its deletion included.
+    /// Returns the last change of an object, which may be its deletion.
     #[must_use]
     pub fn revision(&self, key: &Key) -> Option<Revision> {
         Some(self.state.borrow().entry(key)?.revision.clone())
     }
 
-    /// The changes of an object, newest first, as far back as they are kept;
-    /// one read of the platform for each.
+    /// Returns at most `limit` changes of an object, newest first, as far back as
+    /// they are kept, with one read of the platform for each.
     ///
     /// # Errors
     ///
     /// [`Error::Down`], [`Error::Unreadable`].
-    pub async fn history(&self, key: &Key, limit: usize) -> Result<Vec<Past>, Error> {
+    pub async fn history(&self, key: &Key, limit: usize) -> Result<Vec<HistoryEntry>, Error> {
         let mut history = Vec::new();
         let mut generation = self.revision(key).map_or(0, |revision| revision.generation);
         while generation > 0 && history.len() < limit {
@@ -190,24 +191,24 @@
             };
             let object = match edit.action {
                 Action::Delete(_) => None,
-                Action::Put(value) => Some(read(generation, &value)?),
+                Action::Put(value) => Some(decode_object(generation, &value)?),
             };
-            history.push(Past { revision: change.revision, object });
+            history.push(HistoryEntry { revision: change.revision, object });
             generation = edit.before;
         }
         Ok(history)
     }
 
-    async fn tell(&self, message: Message) {
-        // Without an observer the runtime shuts down.
+    async fn send_to_observer(&self, message: Message) {
+        // The observer is gone only while the runtime shuts down.
         let _ = self.inbox.send(message).await;
     }
 }
 
-/// What is newer than a generation, as a message for peers.
-pub(crate) fn news(state: &State, age: Option<Duration>, domain: &Domain, want: wire::Want) -> wire::News {
-    let wire::Want { id, after, snapshot, skip } = want;
-    // Rounded up: never younger than it is.
+/// Returns the update message that answers a peer's request.
+pub(crate) fn update_for(state: &State, age: Option<Duration>, domain: &Domain, request: wire::Request) -> wire::News {
+    let wire::Request { id, after, snapshot, skip } = request;
+    // Rounded up, so that it is never reported younger than it is.
     let confirmed_ms = age.and_then(|age| u64::try_from(age.as_millis() + 1).ok());
     let domain = domain.to_string();
     let mut news = wire::News { id, domain, head: state.generation(), confirmed_ms, ..wire::News::default() };
@@ -215,9 +216,9 @@
         return news;
     }
     let Some(changes) = state.changes_after(after) else {
-        // A state that has changed since is told from its start.
+        // A state that has changed since is sent from its start.
         news.skip = if snapshot == state.generation() { skip } else { 0 };
-        let (part, more) = state.snapshot_part(usize::try_from(news.skip).unwrap_or(usize::MAX), ANSWER_SIZE);
+        let (part, more) = state.snapshot_part(usize::try_from(news.skip).unwrap_or(usize::MAX), MAX_ANSWER_BYTES);
         news.snapshot = serde_json::to_vec(&part).unwrap_or_default().into();
         news.more = more;
         return news;
@@ -225,7 +226,7 @@
     let mut bytes = 0;
     for change in changes {
         bytes += change.json.len();
-        if bytes > ANSWER_SIZE && !news.changes.is_empty() {
+        if bytes > MAX_ANSWER_BYTES && !news.changes.is_empty() {
             break;
         }
         news.changes.push(change.json.clone());
@@ -233,6 +234,6 @@
     news
 }
 
-fn read(generation: u64, value: &serde_json::Value) -> Result<Object, Error> {
+fn decode_object(generation: u64, value: &serde_json::Value) -> Result<Object, Error> {
     Object::from_json(value).map_err(|error| Error::Unreadable { generation, message: error.to_string() })
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Watches the log for a whole failure domain.
+//! Watches the log in the platform on behalf of a failure domain.
 
 use std::sync::Arc;
 
@@ -10,14 +10,14 @@
 
 use crate::{
     error::Error,
-    log::{self, Found, Log},
+    log::{self, Log, Tail},
     observer::{Message, Origin},
     record::Change,
     settings::Settings,
     state::State,
 };
 
-/// One reader; runs until aborted or the observer is gone.
+/// A task that watches the log and runs until it is aborted or the observer ends.
 #[derive(Debug)]
 pub(crate) struct Reader {
     pub(crate) settings: Arc<Settings>,
@@ -33,14 +33,14 @@
             watch.relist_after(&log::change_key(self.generation()));
             let events = match watch.next().await {
                 Ok(Batch::Changes { changes, .. }) => changes,
-                // After a gap only the log itself can tell which entries
-                // follow on what is in force.
+                // After a gap only a read of the log can tell which entries
+                // follow the state in force.
                 Ok(Batch::Relisted(_)) => {
                     watch = self.start().await;
                     continue;
                 }
-                // Needs nothing here: the watch backs off by itself, and the
-                // observer's own reads tell it that the platform is away.
+                // Needs no handling: the watch backs off by itself, and the
+                // observer's own reads detect that the platform is unavailable.
                 Err(_) => continue,
             };
             let changes = match parse(events) {
@@ -51,24 +51,24 @@
                     continue;
                 }
             };
-            if !self.send(Message::Found { found: Found::changes(changes), origin: Origin::Watch, done: None }).await {
+            if !self.send(Message::Tail { tail: Tail::changes(changes), origin: Origin::Watch, done: None }).await {
                 return;
             }
         }
     }
 
-    /// Reads what there is and the version to watch from.
+    /// Reads the log after the state in force and returns a watch that continues from there.
     async fn start(&self) -> store::Watch {
         loop {
             let asked = Instant::now();
             match self.log.read_after(self.generation()).await {
-                Ok(found) => {
-                    let version = found.version;
+                Ok(tail) => {
+                    let version = tail.version;
                     let origin = Origin::Read { asked };
-                    self.send(Message::Found { found, origin, done: None }).await;
+                    self.send(Message::Tail { tail, origin, done: None }).await;
                     return self.log.watch(version).waiting(self.settings.watch_wait);
                 }
-                // The platform's own backoff has run until its deadline.
+                // The store client has already retried with backoff until its deadline.
                 Err(error) => {
                     self.send(Message::Unreadable(error)).await;
                     sleep(self.settings.interval()).await;
@@ -88,12 +88,12 @@
 }
 
 fn parse(events: Vec<Event>) -> Result<Vec<Change>, Error> {
-    let items: Vec<Item> = events.into_iter().filter_map(put).collect();
+    let items: Vec<Item> = events.into_iter().filter_map(written_item).collect();
     items.iter().filter_map(log::parse_change).collect()
 }
 
-/// Deletions are the cut-off's and need nothing.
-fn put(event: Event) -> Option<Item> {
+/// Returns a written item; deletions come from truncation and are ignored.
+fn written_item(event: Event) -> Option<Item> {
     match event {
         Event::Put(item) => Some(item),
         Event::Deleted { .. } => None,
--- a/crates/config/tests/config/log.rs
+++ b/crates/config/tests/config/log.rs
@@ -1,4 +1,4 @@
-//! Reading the log: gaps, lagging watches, pauses, entries that do not read.
+//! Reading the log: gaps, lagging watches, pauses and entries that cannot be decoded.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use tokio::time::sleep;
 
 use crate::{
-    faults::entries,
+    faults::generations_under,
     site::{Options, Site, model, put},
 };
 
-/// Only what the platform tells counts: no peer links.
-async fn without_links() -> Site {
+/// Opens a site without peer links, so that instances depend on the platform alone.
+async fn site_without_links() -> Site {
     let site = Site::open(Options { keep: Keep { snapshot_every: 8, changes: 16 }, ..Options::default() }).await;
     put(site.config(0), model("m", 1)).await.expect("accepted");
     site.wait(1).await;
@@ -20,11 +20,11 @@
     site
 }
 
-/// The platform forgets the changes that a reader's watch was to go on from.
-/// The reader lists what it lacks; nothing is skipped.
+/// The platform compacts the changes after which a reader's watch would continue.
+/// The reader lists the missing entries, and none is skipped.
 #[tokio::test(start_paused = true)]
-async fn watch_gap_is_read_over() {
-    let site = without_links().await;
+async fn gap_in_the_watch_is_filled_by_a_read() {
+    let site = site_without_links().await;
     site.instances[1].client.set_down(true);
     for versions in 2..6 {
         put(site.config(0), model("m", versions)).await.expect("accepted");
@@ -34,23 +34,23 @@
     site.wait(5).await;
 }
 
-/// Watches are answered by a replica that lags behind for good. Changes come
-/// by the plain reads that confirm freshness, within an interval or two.
+/// Watches are answered by a replica that lags permanently. Changes arrive through
+/// the plain reads that confirm freshness, within an interval or two.
 #[tokio::test(start_paused = true)]
-async fn lagging_watch_does_not_hold_back_changes() {
-    let site = without_links().await;
+async fn lagging_watch_does_not_delay_changes() {
+    let site = site_without_links().await;
     site.platform.set_stale_watches(1_000);
     put(site.config(0), model("m", 2)).await.expect("accepted");
     sleep(Duration::from_millis(2_500)).await;
     assert_eq!(site.generations(), [2; 4]);
 }
 
-/// A reader is paused, the log goes on and is cut off above its generation.
-/// When it wakes, what its watch brings does not follow on its own state: it
-/// must take the snapshot, in one step and forward only.
+/// A reader loses the platform while the log grows and is truncated above its
+/// generation. The changes from its watch then do not follow its state, so it
+/// must load the snapshot.
 #[tokio::test(start_paused = true)]
-async fn reader_that_wakes_behind_the_cut_off_takes_the_snapshot() {
-    let site = without_links().await;
+async fn reader_behind_the_truncation_loads_the_snapshot() {
+    let site = site_without_links().await;
     site.instances[1].client.set_down(true);
     let mut seen = site.config(1).subscribe();
     for versions in 2..65 {
@@ -58,19 +58,19 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_secs(10)).await;
-    assert!(!entries(&site, "config/change/").contains(&2), "cut off");
+    assert!(!generations_under(&site, "config/change/").contains(&2), "generation 2 is truncated");
     assert!(!site.config(1).fresh());
     seen.mark_unchanged();
     site.instances[1].client.set_down(false);
     site.wait(64).await;
     assert!(site.config(1).fresh());
-    assert_eq!(entries(&site, "config/snapshot/").len(), 2, "older snapshots are gone");
+    assert_eq!(generations_under(&site, "config/snapshot/").len(), 2, "older snapshots are gone");
 }
 
-/// A reader hands its part over to another instance of its domain and back.
+/// An instance stops and resumes being its domain's reader several times.
 #[tokio::test(start_paused = true)]
-async fn reader_changes() {
-    let site = without_links().await;
+async fn reader_role_can_change() {
+    let site = site_without_links().await;
     for reader in [false, true, true, false, true] {
         site.config(1).set_reader(reader).await;
         let versions = u32::try_from(site.config(0).current().generation()).expect("few") + 1;
@@ -79,12 +79,12 @@
     }
 }
 
-/// An entry comes from a newer build and does not read here. The instance
-/// keeps what it has and takes no new work, since a withdrawal may be in
-/// there; an entry that it can read does not hide the one that it cannot.
+/// An entry from a newer build cannot be decoded here. The instance keeps its state
+/// and accepts no new work, since the entry may contain a withdrawal. A readable
+/// entry does not hide one that cannot be decoded.
 #[tokio::test(start_paused = true)]
 async fn unreadable_entry_stops_new_work() {
-    let site = without_links().await;
+    let site = site_without_links().await;
     let handle = store::open_with(store::Settings::fake("newer/1", 9), std::sync::Arc::new(site.platform.client()));
     let entry = serde_json::json!({
         "generation": 2, "at": 0, "author": "ann", "instance": "i9",
@@ -97,8 +97,8 @@
     assert!(site.instances.iter().all(|instance| !instance.config.fresh()));
 }
 
-/// The objects of a fleet do not fit into one value of the platform. The
-/// snapshot is split, and an instance that starts from it has all of them.
+/// The objects of a fleet do not fit into one value of the platform. The snapshot
+/// is split, and an instance that starts from it has all objects.
 #[tokio::test(start_paused = true)]
 async fn snapshot_above_a_megabyte_is_split() {
     let options =
@@ -108,17 +108,17 @@
         put(site.config(0), model(name, 5_000)).await.expect("accepted");
     }
     sleep(Duration::from_secs(10)).await;
-    assert_eq!(entries(&site, "config/snapshot/"), [4]);
+    assert_eq!(generations_under(&site, "config/snapshot/"), [4]);
     assert!(site.platform.objects().iter().any(|object| object.key.starts_with("config/part/")));
     site.start(options).await;
     site.wait(4).await;
     assert_eq!(site.config(1).current().models(), site.config(0).current().models());
 }
 
-/// What an idle site costs: a reader's watch and its confirmations, and
-/// nothing at all for those that hear from peers.
+/// An idle site makes calls only for the readers' watches and confirmations.
+/// Instances that are not readers make none.
 #[tokio::test(start_paused = true)]
-async fn idle_calls_stay_under_two_a_second() {
+async fn idle_reader_makes_at_most_two_calls_per_second() {
     for (readers, most) in [(true, 2 * 60 * 4), (false, 0)] {
         let site = Site::open(Options { readers: true, ..Options::default() }).await;
         put(site.config(0), model("m", 1)).await.expect("accepted");
--- a/crates/entry/tests/path/site.rs
+++ b/crates/entry/tests/path/site.rs
@@ -283,7 +283,7 @@
     while let Some(message) = out.recv().await {
         match message {
             Outbound::News(bytes) => drop(links.peer.publish(Topic::Config, bytes).await),
-            Outbound::Want { scope: Scope::One | Scope::EachDomain, bytes } => {
+            Outbound::Request { scope: Scope::One | Scope::EachDomain, bytes } => {
                 let other = links.peer.members().borrow().live().nth(1).map(|i| i.id.clone());
                 let Some(other) = other else { continue };
                 if let Ok(update) = links.peer.call(&other, Topic::Config, bytes, CALL_TIMEOUT).await {
