--- a/crates/config/examples/measure/fleet.rs
+++ b/crates/config/examples/measure/fleet.rs
@@ -23,7 +23,7 @@
 /// Number of failure domains of the site.
 pub const DOMAINS: usize = 4;
 /// Timeout of a call to a peer.
-const ANSWER: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub struct Fleet {
     pub platform: objects::Handle,
@@ -110,10 +110,10 @@
             }
             Outbound::Request { scope, bytes } => (scope, bytes),
         };
-        for to in asked(&peers, scope) {
+        for to in peers_to_call(&peers, scope) {
             let (peers, config, bytes) = (peers.clone(), config.clone(), bytes.clone());
             tokio::spawn(async move {
-                if let Ok(answer) = peers.call(&to, Topic::Config, bytes, ANSWER).await {
+                if let Ok(answer) = peers.call(&to, Topic::Config, bytes, CALL_TIMEOUT).await {
                     config.offer(answer).await;
                 }
             });
@@ -150,7 +150,7 @@
     there.max_by_key(|i| hash::rendezvous(key, i.id.as_str().as_bytes())).map(|instance| instance.id.clone())
 }
 
-fn asked(peers: &peer::Handle, scope: Scope) -> Vec<Id> {
+fn peers_to_call(peers: &peer::Handle, scope: Scope) -> Vec<Id> {
     let members = peers.members().borrow().clone();
     let own = &members.me.domain;
     let others = |domain: &Domain| reader(&members, domain).filter(|id| *id != members.me.id);
--- a/crates/config/examples/measure/force.rs
+++ b/crates/config/examples/measure/force.rs
@@ -18,10 +18,11 @@
 };
 
 /// Time for links and readers to settle.
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// Number of objects per change while the site is set up.
-const BATCH: usize = 200;
+const SETUP_BATCH: usize = 200;
 
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
     pub instances: usize,
@@ -37,17 +38,17 @@
 
 pub async fn run(plan: Plan) {
     let fleet = Fleet::open(plan.instances).await;
-    for objects in site(plan.customers).chunks(BATCH) {
+    for objects in site(plan.customers).chunks(SETUP_BATCH) {
         apply(&fleet, 0, objects.to_vec()).await;
     }
     fleet.wait(1).await;
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let (calls, bytes) = (fleet.calls(), fleet.peer_bytes());
     sleep(Duration::from_secs(plan.seconds)).await;
     let seconds = seconds(plan.seconds);
-    let instances = number(plan.instances);
-    let idle_calls = number(fleet.calls() - calls) / seconds;
-    let idle_bytes = number(fleet.peer_bytes() - bytes) / seconds;
+    let instances = to_f64(plan.instances);
+    let idle_calls = to_f64(fleet.calls() - calls) / seconds;
+    let idle_bytes = to_f64(fleet.peer_bytes() - bytes) / seconds;
     println!("instances                            {}", plan.instances);
     println!("idle: platform calls/s, all          {idle_calls:.2}");
     println!("idle: platform calls/s, per instance {:.2}", idle_calls / instances);
@@ -73,7 +74,7 @@
     let (calls, bytes, started) = (fleet.calls(), fleet.peer_bytes(), Instant::now());
     let mut ticks = interval(Duration::from_secs_f64(1.0 / plan.rate));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
-    let mut asked = BTreeMap::new();
+    let mut submitted = BTreeMap::new();
     let mut accepted = histogram();
     for edit in 1.. {
         if started.elapsed() >= Duration::from_secs(plan.seconds) {
@@ -85,28 +86,28 @@
         let instance = usize::try_from(edit).expect("few") % plan.instances;
         let generation = apply(fleet, instance, vec![contract(customer, edit)]).await;
         record(&mut accepted, at.elapsed());
-        asked.insert(generation, at);
+        submitted.insert(generation, at);
     }
-    let last = *asked.keys().next_back().expect("some changes");
+    let last = *submitted.keys().next_back().expect("some changes");
     fleet.wait(last).await;
     let seconds = started.elapsed().as_secs_f64();
     sleep(Duration::from_millis(200)).await;
-    let changes = number(asked.len());
-    report_force(&seen, &asked, &accepted);
-    println!("change: changes                      {}", asked.len());
+    let changes = to_f64(submitted.len());
+    report_force(&seen, &submitted, &accepted);
+    println!("change: changes                      {}", submitted.len());
     println!(
         "change: platform calls per change    {:.2}",
-        number(fleet.calls() - calls) / changes - idle_calls * seconds / changes
+        to_f64(fleet.calls() - calls) / changes - idle_calls * seconds / changes
     );
-    let per_change = (number(fleet.peer_bytes() - bytes) - idle_bytes * seconds) / changes;
+    let per_change = (to_f64(fleet.peer_bytes() - bytes) - idle_bytes * seconds) / changes;
     println!("change: peer bytes per change, all   {per_change:.0}");
-    println!("change: peer bytes per change, each  {:.0}", per_change / number(plan.instances));
+    println!("change: peer bytes per change, each  {:.0}", per_change / to_f64(plan.instances));
     println!("change: log entry, bytes             {}", entry_bytes(fleet, last));
 }
 
-fn report_force(seen: &[Seen], asked: &BTreeMap<u64, Instant>, accepted: &Histogram<u64>) {
+fn report_force(seen: &[Seen], submitted: &BTreeMap<u64, Instant>, accepted: &Histogram<u64>) {
     let mut everywhere = histogram();
-    for (generation, at) in asked {
+    for (generation, at) in submitted {
         let reached = seen.iter().map(|seen| reached(seen, *generation));
         let last = reached.max().expect("some instances");
         record(&mut everywhere, last.duration_since(*at));
@@ -123,7 +124,7 @@
     first.expect("in force by now").1
 }
 
-/// Makes one claim after the other, as fast as the rate limit allows.
+/// Creates claims one after another, as fast as the rate limit allows.
 async fn claim(platform: store::Handle, prefix: String) {
     for number in 0_u64.. {
         let _ = platform.create(Priority::Claim, &format!("{prefix}/{number}"), &number).await;
@@ -158,14 +159,14 @@
 }
 
 fn quantiles(histogram: &Histogram<u64>) -> String {
-    let ms = |quantile| number(histogram.value_at_quantile(quantile)) / 1_000.0;
+    let ms = |quantile| to_f64(histogram.value_at_quantile(quantile)) / 1_000.0;
     format!("p50 {:.1}, p99 {:.1}, max {:.1}", ms(0.5), ms(0.99), ms(1.0))
 }
 
 fn seconds(seconds: u64) -> f64 {
-    number(seconds)
+    to_f64(seconds)
 }
 
-fn number(value: impl TryInto<u32>) -> f64 {
+fn to_f64(value: impl TryInto<u32>) -> f64 {
     f64::from(value.try_into().unwrap_or(u32::MAX))
 }
--- a/crates/config/src/applier.rs
+++ b/crates/config/src/applier.rs
@@ -68,8 +68,9 @@
 
     async fn apply(&self, author: &str, change: &str, edits: &[Edit]) -> Result<Applied, Error> {
         let deadline = Instant::now() + self.settings.deadline;
-        // The state in force here may be outdated. That is safe for a change, since
-        // the create decides; but a refusal must be based on the newest state.
+        // The state in force here may be outdated. That is safe for a change, since its
+        // entry cannot be created if the generation is taken; but a refusal, or the
+        // answer that nothing changes, must be based on the newest state.
         let mut caught_up = false;
         loop {
             let state = self.state.borrow().clone();
@@ -98,7 +99,7 @@
     /// Creates the change's entry; returns `None` if another entry took its generation first.
     async fn append(&self, change: Change) -> Result<Option<Applied>, Error> {
         let generation = change.generation();
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let item = match self.log.append(&change).await {
             Ok(Write::Done(item)) => item,
             Ok(Write::Lost { .. }) => return Ok(None),
@@ -113,7 +114,7 @@
         let stamp = change.revision.stamp;
         let objects = change.edits.iter().filter_map(|edit| edit.action.key()).collect();
         self.recorder.record_at(stamp, Event::Edit { generation, objects });
-        self.send_to_observer(Tail::changes(vec![change]), Origin::Applied { asked }).await?;
+        self.send_to_observer(Tail::from_changes(vec![change]), Origin::Applied { sent_at }).await?;
         Ok(Some(Applied { generation, changed: true }))
     }
 
@@ -137,9 +138,9 @@
     }
 
     async fn catch_up(&self, generation: u64) -> Result<(), Error> {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let tail = self.log.read_after(generation).await?;
-        self.send_to_observer(tail, Origin::Read { asked }).await
+        self.send_to_observer(tail, Origin::Read { sent_at }).await
     }
 
     /// Sends log entries to the observer and waits until it has processed them.
--- a/crates/config/src/confirmations.rs
+++ b/crates/config/src/confirmations.rs
@@ -1,9 +1,10 @@
 //! Tracks when the state in force was last confirmed to be the newest.
 //!
-//! A withdrawal is accepted by one write to the platform. An instance cut off
-//! from the platform and its peers would continue to send work to the withdrawn
-//! version; so it accepts no new work once its last confirmation is older than
-//! the freshness bound. There are two kinds of confirmation:
+//! The withdrawal of a model version is accepted by one write to the platform.
+//! An instance cut off from the platform and its peers would continue to send
+//! work to the withdrawn version; so it accepts no new work once its last
+//! confirmation is older than the freshness bound. There are two kinds of
+//! confirmation:
 //!
 //! - *By the platform*: a plain read found nothing newer. Its age counts from
 //!   just before the read was sent, so that a delayed answer, or a process paused
@@ -37,8 +38,8 @@
     bound: Duration,
     own: Domain,
     domains: Vec<Domain>,
-    /// Time of the last confirmation by the platform, in milliseconds after
-    /// `created` plus one; 0 for never. `quorum` is encoded alike.
+    /// Time of the last confirmation by the platform: milliseconds since `created`,
+    /// plus one; 0 if there was none. `quorum` has the same encoding.
     platform: AtomicU64,
     quorum: AtomicU64,
     blocked: AtomicBool,
@@ -113,7 +114,7 @@
     }
 
     /// Returns the latest time by which more than half of the domains had confirmed.
-    /// The own domain, if it is one of them, always counts as confirmed.
+    /// This instance's own domain, if it is one of them, always counts as confirmed.
     fn quorum_time(&self, reports: &DomainReports) -> Option<Instant> {
         if self.domains.is_empty() {
             return None;
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -15,7 +15,8 @@
     Conflict(Box<Conflict>),
     /// The change contains two edits of one object; nothing was changed.
     DuplicateObject(Key),
-    /// Other changes came first until the deadline; nothing was changed.
+    /// Other changes came first until the deadline, or others truncated the log during
+    /// every attempt to read it; nothing was changed.
     Busy,
     /// The change is too large for one entry of the log; nothing was changed.
     TooLarge {
--- a/crates/config/src/handle.rs
+++ b/crates/config/src/handle.rs
@@ -208,7 +208,7 @@
 /// Returns the update message that answers a peer's request.
 pub(crate) fn update_for(state: &State, age: Option<Duration>, domain: &Domain, request: wire::Request) -> wire::News {
     let wire::Request { id, after, snapshot, skip } = request;
-    // Rounded up, so that it is never reported younger than it is.
+    // Rounded up, so that the reported age is never too low.
     let confirmed_ms = age.and_then(|age| u64::try_from(age.as_millis() + 1).ok());
     let domain = domain.to_string();
     let mut news = wire::News { id, domain, head: state.generation(), confirmed_ms, ..wire::News::default() };
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,11 +5,12 @@
 //! the instance that creates the entry owns the generation; an instance that
 //! finds it taken reads it and tries the next one (docs/design/configuration.md).
 //!
-//! Two tasks share the work. The observer owns the state in force: it applies
-//! entries from the platform and from peers in order and never moves to an
-//! older generation. The applier creates new entries. One instance per failure
-//! domain is the domain's reader and watches the platform; the others receive
-//! changes over peer links and poll a peer once a second for missed ones.
+//! Two tasks share the work. The observer owns the state in force, the one that
+//! this instance uses now: it applies entries from the platform and from peers
+//! in order and never moves to an older generation. The applier creates new
+//! entries. One instance per failure domain is the domain's reader and watches
+//! the platform; the others receive changes over peer links and poll a peer
+//! once a second for missed ones.
 //!
 //! The daemon forwards [`Outbound`] messages to the peer links, passes incoming
 //! messages to [`Handle::offer`] and answers peers' calls with [`Handle::serve`].
@@ -64,9 +65,9 @@
 /// Which peers to ask for updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// One peer: the reader of the own failure domain, or any other.
+    /// One peer: the reader of this instance's failure domain, or any other peer.
     One,
-    /// One peer in each failure domain, the own included.
+    /// One peer in each failure domain, including this instance's own.
     EachDomain,
 }
 
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -75,7 +75,8 @@
             let snapshot = if newest == 0 { None } else { self.snapshot(newest).await? };
             if snapshot.is_some() || newest == 0 {
                 let tail = self.changes_after(newest).await?;
-                // Nothing above the newest snapshot is ever truncated.
+                // Nothing above the newest snapshot is ever truncated, so no stray entry can
+                // be there, however many changes follow.
                 if tail.directly_follows(newest, u64::MAX) {
                     return Ok(Tail { snapshot, ..tail });
                 }
@@ -95,7 +96,7 @@
         self.platform.create(PRIORITY, &change_key(change.generation()), change).await
     }
 
-    /// Deletes an entry again.
+    /// Deletes an entry that this instance has just created.
     pub(crate) async fn retract(&self, item: &Item) -> Result<(), store::Error> {
         self.platform.delete(PRIORITY, item).await.map(drop)
     }
@@ -169,8 +170,8 @@
 }
 
 impl Tail {
-    /// Creates a value of changes alone, for instance from a watch.
-    pub(crate) fn changes(changes: Vec<Change>) -> Self {
+    /// Creates a tail without a snapshot, for instance from a watch.
+    pub(crate) fn from_changes(changes: Vec<Change>) -> Self {
         Self { snapshot: None, changes, version: 0 }
     }
 
@@ -185,8 +186,8 @@
     /// An instance that was paused for long may have created a stray entry in
     /// place of a truncated one. A reader at the generation just before it that
     /// applied it as the next change would diverge from all other instances. A
-    /// stray is at least `kept` generations below the newest snapshot, so it is
-    /// followed either by a gap or by that many entries.
+    /// stray is at least `kept` ([`Keep::changes`]) generations below the newest
+    /// snapshot, so it is followed either by a gap or by that many entries.
     fn directly_follows(&self, generation: u64, kept: u64) -> bool {
         if u64::try_from(self.changes.len()).is_ok_and(|len| len >= kept) {
             return false;
--- a/crates/config/src/observer.rs
+++ b/crates/config/src/observer.rs
@@ -39,7 +39,7 @@
 /// Longest pause between two reads of an unavailable platform, in intervals.
 const MAX_BACKOFF_INTERVALS: u32 = 8;
 /// Longest time that a reader waits before it publishes a change from its watch. It
-/// publishes only if no peer did so before; usually the change's author did.
+/// publishes only if no peer has done so; usually the instance that made the change has.
 const MAX_PUBLISH_DELAY: Duration = Duration::from_millis(200);
 
 /// A message to the observer.
@@ -57,9 +57,9 @@
         done: Option<oneshot::Sender<()>>,
     },
     /// The reader could not read the log.
-    Unreadable(Error),
+    ReaderFailed(Error),
     /// The observer's own read of the platform failed.
-    ReadFailed(Error),
+    OwnReadFailed(Error),
     /// Sets whether this instance watches the platform for its failure domain.
     SetReader(bool),
 }
@@ -69,20 +69,20 @@
 pub(crate) enum Origin {
     /// By a watch, which may lag and confirms nothing.
     Watch,
-    /// By a reader's read, complete as of the time when it was sent.
+    /// By a read of the reader or the applier, complete as of the time when it was sent.
     Read {
-        /// When it was sent.
-        asked: Instant,
+        /// When the read was sent.
+        sent_at: Instant,
     },
     /// By the observer's own read, complete as of the time when it was sent.
     OwnRead {
-        /// When it was sent.
-        asked: Instant,
+        /// When the read was sent.
+        sent_at: Instant,
     },
     /// By a change that this instance made.
     Applied {
-        /// When it was sent.
-        asked: Instant,
+        /// When the write of its entry was sent.
+        sent_at: Instant,
     },
 }
 
@@ -105,8 +105,8 @@
     read_in_progress: bool,
     read_backoff: Option<Backoff>,
     next_read_at: Instant,
-    /// The generation before changes from a watch that are still to be published, and
-    /// when to publish them.
+    /// Changes from a watch that are still to be published: the generation just
+    /// before them, and the time at which to publish them.
     to_publish: Option<(u64, Instant)>,
     /// The first entries of a snapshot that peers send in parts.
     partial_snapshot: Option<Snapshot>,
@@ -176,8 +176,8 @@
                     let _ = done.send(());
                 }
             }
-            Message::Unreadable(error) => self.handle_log_error(&error),
-            Message::ReadFailed(error) => self.handle_read_failure(&error),
+            Message::ReaderFailed(error) => self.handle_log_error(&error),
+            Message::OwnReadFailed(error) => self.handle_read_failure(&error),
             Message::SetReader(reader) => self.set_reader(reader),
         }
     }
@@ -185,19 +185,19 @@
     /// Polls the platform or peers for missed changes.
     fn tick(&mut self) {
         if self.generation() > 0 {
-            // Needed by a site of one failure domain, which confirms itself. Not
-            // done before the first state: with an empty catalog every customer
-            // would be refused as unknown.
+            // Lets a site of one failure domain, where there may be no peer to answer,
+            // stay fresh in an outage of the platform. Not done before the first state:
+            // with an empty catalog every customer would be refused as unknown.
             self.confirmations.add_peer_confirmation(self.settings.domain.clone(), Instant::now());
         }
         let unconfirmed = self.is_unconfirmed();
         let reader = self.reader.is_some();
-        let platform_away = self.read_backoff.is_some();
+        let platform_unavailable = self.read_backoff.is_some();
         if (reader || unconfirmed) && !self.read_in_progress && Instant::now() >= self.next_read_at {
             self.start_read();
         }
-        if !reader || platform_away || unconfirmed {
-            let scope = if unconfirmed || platform_away { Scope::EachDomain } else { Scope::One };
+        if !reader || platform_unavailable || unconfirmed {
+            let scope = if unconfirmed || platform_unavailable { Scope::EachDomain } else { Scope::One };
             self.send_request(scope);
         }
         self.report_freshness();
@@ -214,10 +214,10 @@
         let (log, inbox) = (self.log.with_deadline(self.settings.interval()), self.inbox.clone());
         let generation = self.generation();
         tokio::spawn(async move {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let message = match log.read_after(generation).await {
-                Ok(tail) => Message::Tail { tail, origin: Origin::OwnRead { asked }, done: None },
-                Err(error) => Message::ReadFailed(error),
+                Ok(tail) => Message::Tail { tail, origin: Origin::OwnRead { sent_at }, done: None },
+                Err(error) => Message::OwnReadFailed(error),
             };
             if let Some(inbox) = inbox.upgrade() {
                 let _ = inbox.send(message).await;
@@ -236,7 +236,7 @@
     fn send_request(&mut self, scope: Scope) {
         self.last_request_id += 1;
         let bound = self.settings.freshness;
-        self.pending_requests.retain(|_, asked| asked.elapsed() < bound);
+        self.pending_requests.retain(|_, sent_at| sent_at.elapsed() < bound);
         self.pending_requests.insert(self.last_request_id, Instant::now());
         let (snapshot, skip) =
             self.partial_snapshot.as_ref().map_or((0, 0), |part| (part.generation, part.entries.len() as u64));
@@ -268,8 +268,8 @@
             self.next_read_at = Instant::now();
             return self.send_request(Scope::One);
         }
-        if let Origin::Read { asked } | Origin::OwnRead { asked } | Origin::Applied { asked } = origin {
-            self.confirmations.add_platform_confirmation(asked);
+        if let Origin::Read { sent_at } | Origin::OwnRead { sent_at } | Origin::Applied { sent_at } = origin {
+            self.confirmations.add_platform_confirmation(sent_at);
         }
         self.report_freshness();
     }
@@ -297,21 +297,21 @@
             return;
         }
         // Only an answer to a request has a known age; see `confirmations`.
-        if let Some(asked) = self.pending_requests.get(&news.id).copied() {
-            self.add_confirmations(&news, asked);
+        if let Some(sent_at) = self.pending_requests.get(&news.id).copied() {
+            self.add_confirmations(&news, sent_at);
         }
         self.report_freshness();
     }
 
-    fn add_confirmations(&mut self, news: &wire::News, asked: Instant) {
+    fn add_confirmations(&mut self, news: &wire::News, sent_at: Instant) {
         // A peer at an older generation has confirmed an older state, which says
         // nothing about this one; but it still shows that it has nothing newer.
         let age = news.confirmed_ms.filter(|_| news.head == self.generation()).map(Duration::from_millis);
-        if let Some(at) = age.and_then(|age| asked.checked_sub(age)) {
+        if let Some(at) = age.and_then(|age| sent_at.checked_sub(age)) {
             self.confirmations.add_platform_confirmation(at);
         }
         if let Ok(domain) = Domain::parse(&news.domain) {
-            self.confirmations.add_peer_confirmation(domain, asked);
+            self.confirmations.add_peer_confirmation(domain, sent_at);
         }
     }
 
@@ -369,7 +369,7 @@
         self.state.borrow().generation()
     }
 
-    /// Returns four to six fifths of an interval, so that instances do not poll in lockstep.
+    /// Returns 80% to 120% of an interval, so that instances do not poll in lockstep.
     fn jittered(&mut self, interval: Duration) -> Duration {
         interval.mul_f64(self.rng.random_range(0.8..1.2))
     }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -47,11 +47,12 @@
                 Ok(changes) if changes.is_empty() => continue,
                 Ok(changes) => changes,
                 Err(error) => {
-                    self.send(Message::Unreadable(error)).await;
+                    self.send(Message::ReaderFailed(error)).await;
                     continue;
                 }
             };
-            if !self.send(Message::Tail { tail: Tail::changes(changes), origin: Origin::Watch, done: None }).await {
+            if !self.send(Message::Tail { tail: Tail::from_changes(changes), origin: Origin::Watch, done: None }).await
+            {
                 return;
             }
         }
@@ -60,17 +61,17 @@
     /// Reads the log after the state in force and returns a watch that continues from there.
     async fn start(&self) -> store::Watch {
         loop {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             match self.log.read_after(self.generation()).await {
                 Ok(tail) => {
                     let version = tail.version;
-                    let origin = Origin::Read { asked };
+                    let origin = Origin::Read { sent_at };
                     self.send(Message::Tail { tail, origin, done: None }).await;
                     return self.log.watch(version).waiting(self.settings.watch_wait);
                 }
                 // The store client has already retried with backoff until its deadline.
                 Err(error) => {
-                    self.send(Message::Unreadable(error)).await;
+                    self.send(Message::ReaderFailed(error)).await;
                     sleep(self.settings.interval()).await;
                 }
             }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -47,6 +47,7 @@
 const CONFIRMATIONS_PER_BOUND: u32 = 5;
 
 impl Settings {
+    /// Returns the interval in use, which a tight freshness bound makes shorter.
     pub(crate) fn interval(&self) -> Duration {
         self.interval.min(self.freshness / CONFIRMATIONS_PER_BOUND)
     }
--- a/crates/config/src/state.rs
+++ b/crates/config/src/state.rs
@@ -108,7 +108,8 @@
 
     /// Returns the snapshot's entries after the first `skip`, and whether more follow.
     ///
-    /// Returns at least one entry and otherwise at most `bytes` bytes of them.
+    /// The entries have at most `bytes` bytes together, except that the first one is
+    /// included whatever its size.
     pub(crate) fn snapshot_part(&self, skip: usize, bytes: usize) -> (Snapshot, bool) {
         let mut entries = Vec::new();
         let mut size = 0;
--- a/crates/config/src/wire.rs
+++ b/crates/config/src/wire.rs
@@ -24,7 +24,7 @@
     pub skip: u64,
 }
 
-/// Newer changes or a snapshot, sent as an answer or published unasked.
+/// Newer changes or a snapshot, sent as an answer or published without a request.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct News {
     /// Id of the request that it answers; 0 if published.
--- a/crates/config/tests/config/faults.rs
+++ b/crates/config/tests/config/faults.rs
@@ -233,8 +233,8 @@
 
 /// An instance is lost right after one of the writes for its changes: an entry, a
 /// snapshot or a deletion by the truncation. The others continue and agree, the
-/// remaining log has no gap, and the author of a later change completes what the
-/// lost instance left unfinished.
+/// remaining log has no gap, and the instance that makes a later change completes
+/// what the lost one left unfinished.
 async fn check_lost_after(writes: u64) {
     let options = Options { keep: SHORT_LOG, ..Options::default() };
     let mut site = Site::open(options).await;
--- a/crates/config/tests/config/log.rs
+++ b/crates/config/tests/config/log.rs
@@ -80,8 +80,8 @@
 }
 
 /// An entry from a newer build cannot be decoded here. The instance keeps its state
-/// and accepts no new work, since the entry may contain a withdrawal. A readable
-/// entry does not hide one that cannot be decoded.
+/// and accepts no new work, since the entry may contain a withdrawal. The
+/// readable entry in the same log does not hide the one that cannot be decoded.
 #[tokio::test(start_paused = true)]
 async fn unreadable_entry_stops_new_work() {
     let site = site_without_links().await;
--- a/crates/config/tests/config/site.rs
+++ b/crates/config/tests/config/site.rs
@@ -13,7 +13,7 @@
 use world::{Timestamp, domain::Domain, instance, object::Object};
 
 /// Default transit time of a message between two instances.
-const LINK: Duration = Duration::from_millis(1);
+const LINK_DELAY: Duration = Duration::from_millis(1);
 
 /// A fake platform with instances on it, one per failure domain.
 pub struct Site {
@@ -57,7 +57,7 @@
 
 impl Site {
     pub async fn open(options: Options) -> Self {
-        let links = Arc::new(Links { peers: Mutex::default(), cut: Mutex::default(), delay: Mutex::new(LINK) });
+        let links = Arc::new(Links { peers: Mutex::default(), cut: Mutex::default(), delay: Mutex::new(LINK_DELAY) });
         let mut site = Self { platform: Platform::open(), instances: Vec::new(), links };
         for _ in 0..options.instances {
             site.start(options).await;
@@ -82,7 +82,7 @@
         let (config, outbound) = config::spawn(settings, platform, recorder.clone());
         lock(&self.links.peers).push(config.clone());
         lock(&self.links.cut).push(false);
-        tokio::spawn(carry(self.links.clone(), index, outbound));
+        tokio::spawn(deliver(self.links.clone(), index, outbound));
         config.set_reader(options.readers).await;
         self.instances.push(Instance { config, client, recorder });
     }
@@ -140,7 +140,7 @@
     config.apply("ann", vec![Edit::Put(object, Expected::Any)]).await.map(|applied| applied.generation)
 }
 
-async fn carry(links: Arc<Links>, from: usize, mut outbound: mpsc::Receiver<Outbound>) {
+async fn deliver(links: Arc<Links>, from: usize, mut outbound: mpsc::Receiver<Outbound>) {
     while let Some(message) = outbound.recv().await {
         match message {
             Outbound::News(bytes) => links.others(from).into_iter().for_each(|to| publish(&links, from, to, &bytes)),
@@ -168,7 +168,7 @@
 
     /// Waits for the transit time and returns whether the message arrives; it is lost
     /// if the link is cut by then.
-    async fn pass(&self, from: usize, to: usize) -> bool {
+    async fn transfer(&self, from: usize, to: usize) -> bool {
         let delay = *lock(&self.delay);
         sleep(delay).await;
         let cut = lock(&self.cut);
@@ -179,7 +179,7 @@
 fn publish(links: &Arc<Links>, from: usize, to: usize, bytes: &Bytes) {
     let (links, bytes) = (links.clone(), bytes.clone());
     tokio::spawn(async move {
-        if links.pass(from, to).await {
+        if links.transfer(from, to).await {
             links.peer(to).offer(bytes).await;
         }
     });
@@ -188,11 +188,11 @@
 fn call(links: &Arc<Links>, from: usize, to: usize, bytes: &Bytes) {
     let (links, bytes) = (links.clone(), bytes.clone());
     tokio::spawn(async move {
-        if !links.pass(from, to).await {
+        if !links.transfer(from, to).await {
             return;
         }
         let answer = links.peer(to).serve(&bytes);
-        if links.pass(to, from).await {
+        if links.transfer(to, from).await {
             links.peer(from).offer(answer).await;
         }
     });
